--- a/crates/hawthornmill-gateway/src/catching_up.rs
+++ b/crates/hawthornmill-gateway/src/catching_up.rs
@@ -114,7 +114,7 @@
         mute.retain(|(_, at)| now.duration_since(*at) < MUTE);
         let pull = Pull {
             version: gateway.version(),
-            revision: gateway.desk.borrow().registry.latest(),
+            revision: gateway.scheduler.borrow().registry.latest(),
         };
         let ahead = ahead(&gateway, pull, &mute);
         if ahead.is_empty() {
@@ -208,7 +208,7 @@
             away: false,
         };
         gateway.list(list, &from);
-        let registry = &mut gateway.desk.borrow_mut().registry;
+        let registry = &mut gateway.scheduler.borrow_mut().registry;
         registry.caught_up(knowledge.revision);
     }
 }
@@ -286,12 +286,12 @@
 fn knowledge(gateway: &Gateway, pull: Pull) -> Knowledge {
     let table = gateway.table();
     let newer = table.filter(|t| t.version() > pull.version);
-    let desk = gateway.desk.borrow();
-    let latest = desk.registry.latest();
+    let scheduler = gateway.scheduler.borrow();
+    let latest = scheduler.registry.latest();
     Knowledge {
         catalog: newer.map(|t| t.catalog().clone()),
-        servers: (latest > pull.revision).then(|| desk.registry.snapshot()),
-        doubted: desk.registry.doubted(gateway.now()),
+        servers: (latest > pull.revision).then(|| scheduler.registry.snapshot()),
+        doubted: scheduler.registry.doubted(gateway.now()),
         revision: latest,
     }
 }
--- a/crates/hawthornmill-gateway/src/daemon.rs
+++ b/crates/hawthornmill-gateway/src/daemon.rs
@@ -179,7 +179,7 @@
         journal::belief("settings_need_restart", json!({"section": "listen"}));
     }
     gateway
-        .desk
+        .scheduler
         .borrow_mut()
         .regions
         .clone_from(&settings.regions);
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -14,7 +14,6 @@
 use hawthornmill::limits::strain::Strain;
 use hawthornmill::routing::budget::Budget;
 use hawthornmill::routing::catalog::Catalog;
-use hawthornmill::routing::desk::Desk;
 use hawthornmill::routing::lag::Lag;
 use hawthornmill::routing::leaving::{Leavers, Leaving, Source};
 use hawthornmill::routing::news::{Mates, Reading};
@@ -22,6 +21,7 @@
 use hawthornmill::routing::place::{Choice, Place};
 use hawthornmill::routing::registry::{Change, List};
 use hawthornmill::routing::request::{Cause, Refusal, Request, Ticket, Verdict};
+use hawthornmill::routing::scheduler::Scheduler;
 use hawthornmill::routing::table::Table;
 use serde_json::json;
 use slotmap::SecondaryMap;
@@ -72,7 +72,7 @@
     /// This process run.
     pub incarnation: Incarnation,
     /// Decisions.
-    pub desk: RefCell<Desk>,
+    pub scheduler: RefCell<Scheduler>,
     /// Catalog in force.
     pub table: RefCell<Option<Rc<Table>>>,
     /// Catalogs that others have and this instance has not.
@@ -128,15 +128,15 @@
             domain: settings.domain,
             region: settings.region,
         };
-        let mut desk = Desk::new(place, Budget::new(settings.promises.resends, now));
-        desk.regions.clone_from(&settings.regions);
+        let mut scheduler = Scheduler::new(place, Budget::new(settings.promises.resends, now));
+        scheduler.regions.clone_from(&settings.regions);
         Rc::new(Self {
             me: InstanceId::of(&settings.name),
             settings: RefCell::new(Rc::new(settings)),
             dialect,
             clock,
             incarnation,
-            desk: RefCell::new(desk),
+            scheduler: RefCell::new(scheduler),
             table: RefCell::default(),
             lag: RefCell::default(),
             leavers: RefCell::default(),
@@ -228,7 +228,7 @@
             Ok(table) => {
                 let fields = json!({"version": version, "before": before, "from": from});
                 journal::belief("catalog_in_force", fields);
-                self.desk.borrow_mut().token_rate = table.limits().token_rate;
+                self.scheduler.borrow_mut().token_rate = table.limits().token_rate;
                 *self.table.borrow_mut() = Some(Rc::new(table));
                 self.lag.borrow_mut().reach(version);
                 self.nudge.notify_one();
@@ -250,7 +250,7 @@
     /// Takes one change of the registrations.
     pub fn register(&self, change: Change, from: &str) {
         let (told, leaving) = (describe(&change, from), change.leaving());
-        if self.desk.borrow_mut().register(change, self.now()) {
+        if self.scheduler.borrow_mut().apply_change(change, self.now()) {
             journal::belief("registration", told);
             self.nudge.notify_one();
             if let Some(leaving) = leaving {
@@ -262,7 +262,7 @@
     /// Takes the word of another instance that servers leave.
     pub fn hear_leaving(&self, all: &[Leaving]) {
         for leaving in all {
-            if self.desk.borrow_mut().registry.leaves(*leaving) {
+            if self.scheduler.borrow_mut().registry.leaves(*leaving) {
                 let server = self.server_name(leaving.server);
                 let fields = json!({"server": server, "revision": leaving.revision});
                 journal::belief("registration_leaving", fields);
@@ -278,7 +278,7 @@
 
     /// An entry was removed at `revision`, maybe since the store was away.
     pub fn doubt(&self, server: ServerId, revision: u64) {
-        let registry = &mut self.desk.borrow_mut().registry;
+        let registry = &mut self.scheduler.borrow_mut().registry;
         if let Some(known) = registry.get(server) {
             let fields = json!({"server": known.entry.name, "revision": revision});
             journal::belief("registration_doubted", fields);
@@ -293,17 +293,19 @@
             "store_was_away": list.away, "from": from,
         });
         journal::belief("registrations_listed", fields);
-        self.desk.borrow_mut().list(list, self.now());
+        self.scheduler
+            .borrow_mut()
+            .replace_registrations(list, self.now());
         self.listed.set(true);
         self.nudge.notify_one();
     }
 
-    /// Waits until the desk decides on `request`.
+    /// Waits until the scheduler decides on `request`.
     ///
     /// # Errors
     /// Why it is turned away, and when its caller may come back.
     pub async fn place(&self, request: &Request) -> Result<Choice, Refusal> {
-        let verdict = self.desk.borrow_mut().ask(request, self.now());
+        let verdict = self.scheduler.borrow_mut().submit(request, self.now());
         self.tell_work();
         let decided = match verdict {
             Verdict::Decided(decided) => return decided,
@@ -328,9 +330,9 @@
         (&mut waiting.decided).await.ok()
     }
 
-    /// Lets the desk decide on those that wait.
+    /// Lets the scheduler decide on those that wait.
     pub fn turn(&self) {
-        let decided = self.desk.borrow_mut().turn(self.now());
+        let decided = self.scheduler.borrow_mut().dispatch_queued(self.now());
         self.tell_work();
         for (ticket, decided) in decided {
             let waiter = self.waiters.borrow_mut().remove(ticket);
@@ -346,14 +348,14 @@
 
     /// Lets the others hear of this instance's work if much of it has changed.
     pub fn tell_work(&self) {
-        if self.desk.borrow().loads.is_untold() {
+        if self.scheduler.borrow().loads.is_untold() {
             self.stir.notify_one();
         }
     }
 
     /// A request is no longer under way at its server.
     pub fn release(&self, choice: &Choice, began: bool) {
-        self.desk.borrow_mut().ended(choice, began);
+        self.scheduler.borrow_mut().finish(choice, began);
         self.nudge.notify_one();
     }
 
@@ -363,7 +365,7 @@
     /// ones. Half of the bound, divided by the instances, leaves the other half for requests under way.
     pub fn idle_bound(&self, server: ServerId) -> usize {
         let Some(service) = self
-            .desk
+            .scheduler
             .borrow()
             .registry
             .get(server)
@@ -381,8 +383,8 @@
 
     /// Name of a server for logs.
     pub fn server_name(&self, server: ServerId) -> Box<str> {
-        let desk = self.desk.borrow();
-        let known = desk.registry.get(server);
+        let scheduler = self.scheduler.borrow();
+        let known = scheduler.registry.get(server);
         known.map_or_else(|| "gone".into(), |k| k.entry.name.clone())
     }
 }
@@ -414,7 +416,7 @@
             .remove(self.ticket)
             .is_some()
         {
-            self.gateway.desk.borrow_mut().leave(self.ticket);
+            self.gateway.scheduler.borrow_mut().cancel(self.ticket);
         }
         // A place was found and its caller left before it heard; nobody else would free it.
         if let Ok(Ok(choice)) = self.decided.try_recv() {
@@ -431,7 +433,7 @@
 /// Decides on waiting requests for as long as the process lives.
 pub async fn turns(gateway: Rc<Gateway>) {
     loop {
-        if gateway.desk.borrow().waiting() > 0 {
+        if gateway.scheduler.borrow().queue_len() > 0 {
             tokio::select! {
                 () = gateway.nudge.notified() => {}
                 () = tokio::time::sleep(LOOK) => {}
@@ -476,14 +478,14 @@
     loop {
         tokio::time::sleep(SWEEP).await;
         let now = gateway.now();
-        let gone = gateway.desk.borrow_mut().sweep(now);
+        let gone = gateway.scheduler.borrow_mut().sweep(now);
         for server in gone {
             let fields = json!({"server": format!("{:x}", server.0), "why": "not back in time"});
             journal::belief("registration_lapsed", fields);
         }
-        let desk = gateway.desk.borrow();
+        let scheduler = gateway.scheduler.borrow();
         gateway
             .pool
-            .sweep(|id| desk.registry.get(id).is_some(), now);
+            .sweep(|id| scheduler.registry.get(id).is_some(), now);
     }
 }
--- a/crates/hawthornmill-gateway/src/mates.rs
+++ b/crates/hawthornmill-gateway/src/mates.rs
@@ -57,7 +57,7 @@
             .borrow_mut()
             .targets(&settings.seeds, round, now);
         let most = gateway.mates.borrow().most();
-        gateway.desk.borrow_mut().budget.share_among(most);
+        gateway.scheduler.borrow_mut().budget.share_among(most);
         let news = news(&gateway, round, now);
         let others = targets.iter().filter(|t| **t != settings.listen.peer);
         datagrams.send(&Message::News(Box::new(news)), others.copied());
@@ -95,7 +95,7 @@
 fn domain_news(gateway: &Gateway, now: Instant) -> Vec<Message> {
     let settings = gateway.settings();
     let mates = gateway.mates.borrow();
-    let mut desk = gateway.desk.borrow_mut();
+    let mut scheduler = gateway.scheduler.borrow_mut();
     let mut members: Vec<Member> = mates
         .domain_mates(now)
         .map(|(id, h)| Member {
@@ -118,13 +118,13 @@
         leaving: gateway.phase() > Phase::Serving,
         reading: gateway.reading.get(),
         version: gateway.version(),
-        revision: desk.registry.latest(),
+        revision: scheduler.registry.latest(),
     });
-    let work = desk.loads.sum(&ids);
-    let mut usage = desk.usage.sum(&ids, now);
+    let work = scheduler.loads.sum(&ids);
+    let mut usage = scheduler.usage.sum(&ids, now);
     usage.sort_by(|a, b| b.1.asked.total_cmp(&a.1.asked));
     usage.truncate(MOST_TOLD);
-    let members = desk.members(settings.domain, members, now);
+    let members = scheduler.domain_members(settings.domain, members, now);
     let parts = DomainWork::parts(settings.domain, &work, &usage);
     let parts = parts.into_iter().map(|p| Message::DomainWork(Box::new(p)));
     std::iter::once(Message::Members(Box::new(members)))
@@ -144,7 +144,7 @@
 /// Tells those nearby what this instance has under way.
 fn tell_work(gateway: &Gateway, datagrams: &Datagrams) {
     let work = {
-        let loads = &mut gateway.desk.borrow_mut().loads;
+        let loads = &mut gateway.scheduler.borrow_mut().loads;
         loads.told();
         let mut work = loads.own();
         work.truncate(MOST_TOLD);
@@ -155,10 +155,10 @@
 }
 
 fn news(gateway: &Gateway, round: u64, now: Instant) -> News {
-    let mut desk = gateway.desk.borrow_mut();
-    let mut work = desk.loads.own();
+    let mut scheduler = gateway.scheduler.borrow_mut();
+    let mut work = scheduler.loads.own();
     work.truncate(MOST_TOLD);
-    let mut usage = desk.usage.own(now);
+    let mut usage = scheduler.usage.own(now);
     usage.sort_by(|a, b| b.1.asked.total_cmp(&a.1.asked));
     usage.truncate(MOST_TOLD);
     News {
@@ -167,11 +167,11 @@
         leaving: gateway.phase() > Phase::Serving,
         reading: gateway.reading.get(),
         version: gateway.version(),
-        revision: desk.registry.latest(),
+        revision: scheduler.registry.latest(),
         work,
         usage,
-        strays: desk.told_strays(now),
-        short: desk.told_short(now),
+        strays: scheduler.told_strays(now),
+        short: scheduler.told_short(now),
         others: gateway.mates.borrow().named(round, now),
     }
 }
@@ -235,7 +235,7 @@
     let (sender, run) = (frame.sender, frame.incarnation);
     match frame.message {
         Message::News(news) => take_news(gateway, sender, run, &news),
-        Message::Work(work) => gateway.desk.borrow_mut().loads.hear(sender, work, now),
+        Message::Work(work) => gateway.scheduler.borrow_mut().loads.hear(sender, work, now),
         Message::Members(told) if told.domain != own => {
             for member in told.members.iter().filter(|m| m.id != gateway.me) {
                 gateway.hear_version(member.version);
@@ -244,10 +244,13 @@
                     note(change, member.mate.peer, mates.live(now).count());
                 }
             }
-            gateway.desk.borrow_mut().hear_members(&told, now);
+            gateway
+                .scheduler
+                .borrow_mut()
+                .apply_domain_members(&told, now);
         }
         Message::DomainWork(told) if told.domain != own => {
-            gateway.desk.borrow_mut().hear_work(*told, now);
+            gateway.scheduler.borrow_mut().apply_domain_work(*told, now);
         }
         Message::Leaving(all) => gateway.hear_leaving(&all),
         Message::Wanted(wanted) => catching_up::tell_parts(gateway, datagrams, from, &wanted),
@@ -268,9 +271,9 @@
         // Its domain's sums hold the same; counted here too, its work would count twice.
         return;
     }
-    let mut desk = gateway.desk.borrow_mut();
-    desk.hear(sender, news, now);
-    if desk.waiting() > 0 {
+    let mut scheduler = gateway.scheduler.borrow_mut();
+    scheduler.apply_report(sender, news, now);
+    if scheduler.queue_len() > 0 {
         gateway.nudge.notify_one();
     }
 }
--- a/crates/hawthornmill-gateway/src/side.rs
+++ b/crates/hawthornmill-gateway/src/side.rs
@@ -171,8 +171,8 @@
 
 fn metrics(gateway: &Gateway) -> String {
     let now = gateway.now();
-    let desk = gateway.desk.borrow();
-    let work = desk.loads.own();
+    let scheduler = gateway.scheduler.borrow();
+    let work = scheduler.loads.own();
     let running: u32 = work.iter().map(|(_, w)| w.running).sum();
     let unread: u32 = work.iter().map(|(_, w)| w.unread).sum();
     let mates = gateway.mates.borrow().live(now).count();
@@ -187,15 +187,15 @@
         (
             "registrations_revision",
             "Newest change known",
-            number(desk.registry.latest()),
+            number(scheduler.registry.latest()),
         ),
         (
             "registrations",
             "Servers known",
-            count(desk.registry.entries().count()),
+            count(scheduler.registry.entries().count()),
         ),
         ("mates", "Other instances heard", count(mates)),
-        ("waiting", "Requests in line", count(desk.waiting())),
+        ("waiting", "Requests in line", count(scheduler.queue_len())),
         ("running", "Requests at servers", i64::from(running)),
         (
             "unread_prompt_tokens",
--- a/crates/hawthornmill-gateway/src/store.rs
+++ b/crates/hawthornmill-gateway/src/store.rs
@@ -177,7 +177,7 @@
         self.revision = Some(page.revision.max(after));
         if self.topic == Topic::Servers {
             self.gateway
-                .desk
+                .scheduler
                 .borrow_mut()
                 .registry
                 .advance(page.revision);
--- a/crates/hawthornmill-gateway/src/trip/admit.rs
+++ b/crates/hawthornmill-gateway/src/trip/admit.rs
@@ -20,7 +20,7 @@
 /// A request that may be served.
 #[derive(Debug)]
 pub struct Admitted {
-    /// What the desk decides on.
+    /// What the scheduler decides on.
     pub request: Request,
     /// How often it may run.
     pub repeat: Repeat,
--- a/crates/hawthornmill-gateway/src/trip/again.rs
+++ b/crates/hawthornmill-gateway/src/trip/again.rs
@@ -37,7 +37,11 @@
 /// Notes how a request to `server` ended.
 pub fn judge(gateway: &Gateway, server: ServerId, verdict: Verdict) {
     let now = gateway.now();
-    gateway.desk.borrow_mut().loads.judge(server, verdict, now);
+    gateway
+        .scheduler
+        .borrow_mut()
+        .loads
+        .judge(server, verdict, now);
 }
 
 /// Takes a second send for a request that may have run.
@@ -56,7 +60,7 @@
     }
     let service = admitted.request.service;
     let taken = gateway
-        .desk
+        .scheduler
         .borrow_mut()
         .budget
         .take(service, gateway.now());
--- a/crates/hawthornmill-gateway/src/trip/mod.rs
+++ b/crates/hawthornmill-gateway/src/trip/mod.rs
@@ -4,7 +4,7 @@
 //! |---|---|---|
 //! | [`read`] | bytes of a caller | a [`read::Call`] |
 //! | [`admit`] | a call and the catalog | an [`admit::Admitted`], or a [`reply::Reply`] |
-//! | wait | an admitted call | a server, from the desk |
+//! | wait | an admitted call | a server, from the scheduler |
 //! | [`mod@send`] | a call and its server | a [`send::Sent`] |
 //! | [`mod@deliver`], [`events`] | a server's answer | bytes to the caller |
 //! | [`settle`] | how it ended | log line, counters |
@@ -131,10 +131,12 @@
         let now = self.gateway.now();
         let request = &self.admitted.request;
         let time = (!self.gateway.is_behind()).then(|| now.duration_since(self.sent));
-        self.gateway
-            .desk
-            .borrow_mut()
-            .began(request.service, &self.choice, time, now);
+        self.gateway.scheduler.borrow_mut().record_first_token(
+            request.service,
+            &self.choice,
+            time,
+            now,
+        );
         self.gateway.tell_work();
         let whole = now.duration_since(request.came);
         self.gateway
--- a/crates/hawthornmill-gateway/src/trip/send.rs
+++ b/crates/hawthornmill-gateway/src/trip/send.rs
@@ -77,8 +77,8 @@
 ) -> Sent {
     let server = choice.server;
     let target = {
-        let desk = gateway.desk.borrow();
-        let known = desk.registry.get(server);
+        let scheduler = gateway.scheduler.borrow();
+        let known = scheduler.registry.get(server);
         known.map(|k| (k.entry.address, k.entry.name.clone()))
     };
     let Some((address, name)) = target else {
@@ -237,7 +237,7 @@
         }
         if let Some(load) = (gateway.dialect.load)(&head.fields) {
             gateway
-                .desk
+                .scheduler
                 .borrow_mut()
                 .loads
                 .report(server, load, gateway.now());
--- a/crates/hawthornmill-gateway/src/trip/settle.rs
+++ b/crates/hawthornmill-gateway/src/trip/settle.rs
@@ -14,11 +14,11 @@
 use crate::gateway::Gateway;
 use crate::journal;
 
-/// Writes why the desk turned a request away.
+/// Writes why the scheduler turned a request away.
 pub fn note_refusal(way: Way<'_>, request: &Request, refusal: &Refusal) {
     let (gateway, now) = (way.gateway, way.gateway.now());
-    let desk = gateway.desk.borrow();
-    let outlook = desk.outlook(request, now);
+    let scheduler = gateway.scheduler.borrow();
+    let outlook = scheduler.decision_context(request, now);
     let fields = json!({
         "code": refusal.code.number(), "cause": format!("{:?}", refusal.cause),
         "again_ms": refusal.again.as_millis() as u64,
@@ -26,7 +26,7 @@
         "servers": outlook.servers, "draining": outlook.draining, "down": outlook.down,
         "full": outlook.full, "waiting": outlook.waiting, "short_at": outlook.short,
         "lack": outlook.lack, "standing": format!("{:?}", outlook.share.standing), "lead": outlook.share.lead,
-        "asked": outlook.sums.asked, "got": outlook.sums.got, "registrations": desk.registry.latest(),
+        "asked": outlook.sums.asked, "got": outlook.sums.got, "registrations": scheduler.registry.latest(),
         "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
         "link_wait_ms": gateway.link.borrow().wait(now).as_millis() as u64,
     });
@@ -81,7 +81,7 @@
         let fields = json!({
             "server": name, "waited_ms": waited.as_millis() as u64, "send": self.arrivals + 1,
             "tokens_before_first": choice.ahead, "tokens_again": choice.again, "stray": choice.stray, "expected_ms": choice.expected.as_millis() as u64,
-            "catalog": gateway.version(), "lag_ms": lag_ms(gateway), "registrations": gateway.desk.borrow().registry.latest(),
+            "catalog": gateway.version(), "lag_ms": lag_ms(gateway), "registrations": gateway.scheduler.borrow().registry.latest(),
         });
         journal::step("sent", &call.attempt, fields);
         self.servers.push(name);
--- a/crates/hawthornmill/src/routing/mod.rs
+++ b/crates/hawthornmill/src/routing/mod.rs
@@ -18,7 +18,7 @@
 //! | [`allowance`] | how much of a server an account's requests may take |
 //! | [`budget`] | second sends over the fleet |
 //! | [`shortage`] | what found no room lately |
-//! | [`desk`] | letting in, waiting, turning away |
+//! | [`scheduler`] | letting in, waiting, turning away |
 //! | [`news`] | what instances tell each other |
 //! | [`lag`] | how long it is known that others decide by something newer |
 //! | [`parts`] | what an instance knows, in parts that fit datagrams |
@@ -27,7 +27,6 @@
 pub mod allowance;
 pub mod budget;
 pub mod catalog;
-pub mod desk;
 pub mod digest;
 pub mod lag;
 pub mod leaving;
@@ -39,6 +38,7 @@
 pub mod reading;
 pub mod registry;
 pub mod request;
+pub mod scheduler;
 pub mod shape;
 pub mod shortage;
 pub mod table;
--- a/crates/hawthornmill/src/routing/request.rs
+++ b/crates/hawthornmill/src/routing/request.rs
@@ -98,6 +98,6 @@
 pub enum Verdict {
     /// It goes to a server or is turned away.
     Decided(Decided),
-    /// It waits; [`super::desk::Desk::turn`] tells when that is over.
+    /// It waits; [`super::scheduler::Scheduler::dispatch_queued`] tells when that is over.
     Wait(Ticket),
 }
--- a/crates/hawthornmill/src/routing/desk.rs
+++ b/crates/hawthornmill/src/routing/scheduler.rs
@@ -60,7 +60,7 @@
 
 /// Everything that decides where requests go.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Scheduler {
     /// Servers.
     pub registry: Registry,
     /// Their work.
@@ -87,8 +87,8 @@
     shared: Option<Instant>,
 }
 
-impl Desk {
-    /// A desk that knows no server.
+impl Scheduler {
+    /// A scheduler that knows no server.
     pub fn new(place: Place, budget: Budget) -> Self {
         Self {
             registry: Registry::default(),
@@ -112,12 +112,12 @@
     }
 
     /// Requests that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn queue_len(&self) -> usize {
         self.line.len()
     }
 
     /// Decides on a request that came, or that its server did not run.
-    pub fn ask(&mut self, request: &Request, now: Instant) -> Verdict {
+    pub fn submit(&mut self, request: &Request, now: Instant) -> Verdict {
         self.count(request, now);
         self.work_out(now);
         let blocked = self.is_blocked(request, now);
@@ -163,7 +163,7 @@
     /// Nobody passes one of the same service that goes before and finds no room: a long prompt would
     /// never be placed while short ones keep taking what comes free. One that waits for few servers keeps
     /// the others from just these.
-    pub fn turn(&mut self, now: Instant) -> Vec<(Ticket, Decided)> {
+    pub fn dispatch_queued(&mut self, now: Instant) -> Vec<(Ticket, Decided)> {
         self.work_out(now);
         let mut order: Vec<Ticket> = self.line.keys().collect();
         order.sort_by_key(|t| self.rank(&self.line[*t].request));
@@ -207,19 +207,19 @@
     }
 
     /// A request that waited is no longer wanted by its caller.
-    pub fn leave(&mut self, ticket: Ticket) {
+    pub fn cancel(&mut self, ticket: Ticket) {
         self.line.remove(ticket);
     }
 
     /// Takes one change of a registration; false when it is older than what is known.
-    pub fn register(&mut self, change: Change, now: Instant) -> bool {
+    pub fn apply_change(&mut self, change: Change, now: Instant) -> bool {
         let taken = self.registry.take(change, now);
         self.forget_lost();
         taken
     }
 
     /// Takes a whole list of registrations, as [`Registry::replace`] does.
-    pub fn list(&mut self, list: List, now: Instant) {
+    pub fn replace_registrations(&mut self, list: List, now: Instant) {
         self.registry.replace(list, now);
         self.forget_lost();
     }
@@ -236,7 +236,7 @@
     /// The first token, or the whole answer, came `time` after a request was sent.
     ///
     /// None when this process was behind with its work: the time would tell of that, and not of the server.
-    pub fn began(
+    pub fn record_first_token(
         &mut self,
         service: ServiceId,
         choice: &Choice,
@@ -256,7 +256,7 @@
     }
 
     /// The request is no longer under way; `began` says whether [`Self::began`] was called for it.
-    pub fn ended(&mut self, choice: &Choice, began: bool) {
+    pub fn finish(&mut self, choice: &Choice, began: bool) {
         let mut work = choice.work;
         if began {
             work.unread = 0;
@@ -265,7 +265,7 @@
     }
 
     /// What a decision on `request` rests on now.
-    pub fn outlook(&self, request: &Request, now: Instant) -> Outlook {
+    pub fn decision_context(&self, request: &Request, now: Instant) -> Outlook {
         let entries = self.registry.entries();
         let lack = self.better(request, now);
         let mut outlook = Outlook {
@@ -422,7 +422,7 @@
     }
 
     /// Takes what another instance tells.
-    pub fn hear(&mut self, from: InstanceId, news: &News, now: Instant) {
+    pub fn apply_report(&mut self, from: InstanceId, news: &News, now: Instant) {
         self.loads.hear(from, news.work.clone(), now);
         self.usage.hear(from, news.usage.clone(), now);
         for (family, server) in &news.strays {
@@ -435,7 +435,12 @@
     }
 
     /// What the own failure domain tells the others: `members` are its live instances, this one among them.
-    pub fn members(&mut self, domain: DomainId, members: Vec<Member>, now: Instant) -> Members {
+    pub fn domain_members(
+        &mut self,
+        domain: DomainId,
+        members: Vec<Member>,
+        now: Instant,
+    ) -> Members {
         let ids: Vec<InstanceId> = members.iter().map(|m| m.id).collect();
         let short = self.shortages.sum(&ids, now);
         let fresh = |at: &Instant| now.duration_since(*at) < TOLD;
@@ -454,7 +459,7 @@
     }
 
     /// Takes what another failure domain tells of itself.
-    pub fn hear_members(&mut self, members: &Members, now: Instant) {
+    pub fn apply_domain_members(&mut self, members: &Members, now: Instant) {
         let teller = digest::teller(members.domain, 0);
         self.shortages.hear(teller, &members.short, now);
         for (family, server) in &members.strays {
@@ -463,7 +468,7 @@
     }
 
     /// Takes what another failure domain has under way.
-    pub fn hear_work(&mut self, told: DomainWork, now: Instant) {
+    pub fn apply_domain_work(&mut self, told: DomainWork, now: Instant) {
         let teller = told.teller();
         if told.part == 0 {
             self.usage.hear(teller, told.usage, now);
--- a/tests/testsuite/routing/digest.rs
+++ b/tests/testsuite/routing/digest.rs
@@ -12,7 +12,7 @@
 use hawthornmill::wire::{Message, Sealer};
 use hawthornmill_test_support::news::news_of;
 
-use super::{desk, millis};
+use super::{millis, scheduler};
 
 const ONE: Work = Work {
     running: 1,
@@ -188,7 +188,7 @@
 fn a_domain_counts_as_one_teller() {
     let now = Instant::now();
     let server = ServerId::of("s");
-    let mut desk = desk(&[("s", "a")], now);
+    let mut scheduler = scheduler(&[("s", "a")], now);
     let usage = vec![(
         AccountId::of("lab"),
         Sums {
@@ -200,12 +200,15 @@
 
     for _ in 0..3 {
         for part in &told {
-            desk.hear_work(part.clone(), now);
+            scheduler.apply_domain_work(part.clone(), now);
         }
     }
 
-    assert_eq!(desk.loads.total(server, now).running, 1);
-    assert_eq!(desk.usage.fleet(now)[&AccountId::of("lab")], usage[0].1);
+    assert_eq!(scheduler.loads.total(server, now).running, 1);
+    assert_eq!(
+        scheduler.usage.fleet(now)[&AccountId::of("lab")],
+        usage[0].1
+    );
 }
 
 /// A domain's sum falls when one of its relays has not heard of a member yet. Taken for a count that
--- a/tests/testsuite/routing/leaving.rs
+++ b/tests/testsuite/routing/leaving.rs
@@ -6,7 +6,7 @@
 use hawthornmill::routing::leaving::{Leavers, Leaving, Source};
 use hawthornmill::routing::request::Verdict;
 
-use super::{change, desk, entry, millis, request, sent, shape};
+use super::{change, entry, millis, request, scheduler, sent, shape};
 
 fn leaving(server: &str, revision: u64) -> Leaving {
     Leaving {
@@ -19,15 +19,15 @@
 #[test]
 fn a_server_that_others_know_to_leave_gets_no_work_though_it_is_doubted_here() {
     let now = Instant::now();
-    let mut desk = desk(&[("a1", "a"), ("a2", "a")], now);
-    desk.registry.doubt_anew(ServerId::of("a1"), 50, now);
+    let mut scheduler = scheduler(&[("a1", "a"), ("a2", "a")], now);
+    scheduler.registry.doubt_anew(ServerId::of("a1"), 50, now);
 
-    let new = desk.registry.leaves(leaving("a1", 50));
-    let again = desk.registry.leaves(leaving("a1", 50));
+    let new = scheduler.registry.leaves(leaving("a1", 50));
+    let again = scheduler.registry.leaves(leaving("a1", 50));
 
     assert!(new && !again);
     for _ in 0..8 {
-        let choice = sent(desk.ask(&request("lab", shape(1, 10, 10), now), now));
+        let choice = sent(scheduler.submit(&request("lab", shape(1, 10, 10), now), now));
         assert_eq!(choice.server, ServerId::of("a2"));
     }
 }
@@ -36,14 +36,14 @@
 #[test]
 fn a_server_that_is_back_gets_work() {
     let now = Instant::now();
-    let mut desk = desk(&[("a1", "a")], now);
+    let mut scheduler = scheduler(&[("a1", "a")], now);
 
-    desk.registry.leaves(leaving("a1", 50));
-    desk.register(change("a1", 60, Some(entry("a1", "a"))), now);
-    let late = desk.registry.leaves(leaving("a1", 50));
+    scheduler.registry.leaves(leaving("a1", 50));
+    scheduler.apply_change(change("a1", 60, Some(entry("a1", "a"))), now);
+    let late = scheduler.registry.leaves(leaving("a1", 50));
 
     assert!(!late);
-    let verdict = desk.ask(&request("lab", shape(1, 10, 10), now), now);
+    let verdict = scheduler.submit(&request("lab", shape(1, 10, 10), now), now);
     assert!(matches!(verdict, Verdict::Decided(Ok(_))), "{verdict:?}");
 }
 
--- a/tests/testsuite/routing/many.rs
+++ b/tests/testsuite/routing/many.rs
@@ -4,13 +4,13 @@
 use std::time::{Duration, Instant};
 
 use hawthornmill::ident::{DomainId, InstanceId, ServerId};
-use hawthornmill::routing::desk::Desk;
 use hawthornmill::routing::news::{Mate, News};
 use hawthornmill::routing::place::Choice;
 use hawthornmill::routing::request::{Decided, Request, Ticket, Verdict};
+use hawthornmill::routing::scheduler::Scheduler;
 use hawthornmill_test_support::news::news_of;
 
-use super::{desk, drafter, millis, request, shape};
+use super::{drafter, millis, request, scheduler, shape};
 
 /// Servers before the instances, in the only failure domain.
 const SERVERS: [&str; 12] = [
@@ -47,7 +47,7 @@
 }
 
 struct Fleet {
-    desks: Vec<Desk>,
+    desks: Vec<Scheduler>,
     waiting: BTreeMap<(usize, Ticket), &'static str>,
     free: BTreeMap<ServerId, Instant>,
     due: Vec<Due>,
@@ -58,10 +58,10 @@
     fn new(instances: usize, now: Instant) -> Self {
         let servers = SERVERS.map(|name| (name, "a"));
         let one = || {
-            let mut desk = desk(&servers, now);
-            desk.token_rate = PROMISED;
-            desk.budget.share_among(instances);
-            desk
+            let mut scheduler = scheduler(&servers, now);
+            scheduler.token_rate = PROMISED;
+            scheduler.budget.share_among(instances);
+            scheduler
         };
         Self {
             desks: (0..instances).map(|_| one()).collect(),
@@ -73,7 +73,7 @@
     }
 
     fn ask(&mut self, entry: usize, account: &'static str, wanted: &Request, now: Instant) {
-        match self.desks[entry].ask(wanted, now) {
+        match self.desks[entry].submit(wanted, now) {
             Verdict::Decided(decided) => self.decided(entry, account, decided, now),
             Verdict::Wait(ticket) => {
                 self.waiting.insert((entry, ticket), account);
@@ -96,7 +96,7 @@
     }
 
     fn turn(&mut self, entry: usize, now: Instant) {
-        for (ticket, decided) in self.desks[entry].turn(now) {
+        for (ticket, decided) in self.desks[entry].dispatch_queued(now) {
             let account = self.waiting.remove(&(entry, ticket));
             self.decided(entry, account.expect("it waited"), decided, now);
         }
@@ -109,15 +109,15 @@
                 index += 1;
                 continue;
             }
-            let desk = &mut self.desks[due.entry];
+            let scheduler = &mut self.desks[due.entry];
             if due.began {
-                desk.ended(&due.choice, true);
+                scheduler.finish(&due.choice, true);
                 self.due.swap_remove(index);
                 self.turn(due.entry, now);
                 continue;
             }
             let time = Some(now.duration_since(due.sent));
-            desk.began(drafter(), &due.choice, time, now);
+            scheduler.record_first_token(drafter(), &due.choice, time, now);
             *self.begun.entry(due.account).or_default() += 1;
             self.due[index].began = true;
             self.due[index].at = now + TIMES[1];
@@ -131,19 +131,19 @@
             peer: address,
             domain: DomainId::of("a"),
         };
-        let news = |desk: &mut Desk| News {
-            work: desk.loads.own(),
-            usage: desk.usage.own(now),
-            strays: desk.told_strays(now),
-            short: desk.told_short(now),
+        let news = |scheduler: &mut Scheduler| News {
+            work: scheduler.loads.own(),
+            usage: scheduler.usage.own(now),
+            strays: scheduler.told_strays(now),
+            short: scheduler.told_short(now),
             ..news_of(mate)
         };
         let all: Vec<News> = self.desks.iter_mut().map(news).collect();
         for (from, told) in all.iter().enumerate() {
             let id = InstanceId::of(&format!("i{from}"));
             let others = self.desks.iter_mut().enumerate();
-            for (_, desk) in others.filter(|(to, _)| *to != from) {
-                desk.hear(id, told, now);
+            for (_, scheduler) in others.filter(|(to, _)| *to != from) {
+                scheduler.apply_report(id, told, now);
             }
         }
     }
--- a/tests/testsuite/routing/mod.rs
+++ b/tests/testsuite/routing/mod.rs
@@ -1,7 +1,6 @@
 //! Decisions of the gateway in a fixed order, with a clock moved by hand and no socket.
 
 mod budget;
-mod desk;
 mod digest;
 mod lag;
 mod leaving;
@@ -14,6 +13,7 @@
 mod place;
 mod reading;
 mod registry;
+mod scheduler;
 mod shares;
 mod shortage;
 mod table;
@@ -25,10 +25,10 @@
 use hawthornmill::routing::catalog::{
     Account, Catalog, Engine, Limits, Repeat, Route, Service, Target, TokenDigest,
 };
-use hawthornmill::routing::desk::Desk;
 use hawthornmill::routing::place::{Choice, Place};
 use hawthornmill::routing::registry::{Change, List, Registration};
 use hawthornmill::routing::request::{Request, Verdict};
+use hawthornmill::routing::scheduler::Scheduler;
 use hawthornmill::routing::shape::{PromptPart, Shape};
 use smallvec::{SmallVec, smallvec};
 
@@ -118,8 +118,8 @@
     }
 }
 
-/// A desk in domain `a` of region `north` before `servers` in the domains named with them.
-fn desk(servers: &[(&str, &str)], now: Instant) -> Desk {
+/// A scheduler in domain `a` of region `north` before `servers` in the domains named with them.
+fn scheduler(servers: &[(&str, &str)], now: Instant) -> Scheduler {
     let terms = Terms {
         ratio: 0.2,
         extra: 50.0,
@@ -129,16 +129,16 @@
         domain: DomainId::of("a"),
         region: RegionId::of("north"),
     };
-    let mut desk = Desk::new(place, Budget::new(terms, now));
+    let mut scheduler = Scheduler::new(place, Budget::new(terms, now));
     let regions = [("a", "north"), ("b", "north"), ("c", "south")];
-    desk.regions = regions
+    scheduler.regions = regions
         .map(|(d, r)| (DomainId::of(d), RegionId::of(r)))
         .to_vec();
     for (number, (name, domain)) in servers.iter().enumerate() {
         let change = change(name, number as u64 + 1, Some(entry(name, domain)));
-        assert!(desk.registry.take(change, now));
+        assert!(scheduler.registry.take(change, now));
     }
-    desk
+    scheduler
 }
 
 /// A prompt of `own` tokens behind a shared part of `shared` tokens that `family` names.
--- a/tests/testsuite/routing/place.rs
+++ b/tests/testsuite/routing/place.rs
@@ -6,7 +6,7 @@
 use hawthornmill::routing::loads;
 use hawthornmill::routing::request::Verdict;
 
-use super::{change, desk, entry, millis, request, sent, shape};
+use super::{change, entry, millis, request, scheduler, sent, shape};
 
 const SIX: &[(&str, &str)] = &[
     ("a1", "a"),
@@ -22,12 +22,12 @@
 #[test]
 fn a_family_with_a_long_shared_part_stays_at_one_server_of_the_fleet() {
     let now = Instant::now();
-    let mut desk = desk(SIX, now);
+    let mut scheduler = scheduler(SIX, now);
 
     let mut servers = Vec::new();
     for _ in 0..4 {
-        let choice = sent(desk.ask(&request("lab", shape(7, 5_000, 500), now), now));
-        desk.began(super::drafter(), &choice, Some(millis(100)), now);
+        let choice = sent(scheduler.submit(&request("lab", shape(7, 5_000, 500), now), now));
+        scheduler.record_first_token(super::drafter(), &choice, Some(millis(100)), now);
         servers.push(choice.server);
     }
 
@@ -39,14 +39,14 @@
 #[test]
 fn every_instance_works_out_the_same_home() {
     let now = Instant::now();
-    let mut here = desk(SIX, now);
-    let mut there = desk(SIX, now);
+    let mut here = scheduler(SIX, now);
+    let mut there = scheduler(SIX, now);
 
     for family in 0..50 {
         let ask = request("lab", shape(family, 5_000, 500), now);
-        let (one, other) = (sent(here.ask(&ask, now)), sent(there.ask(&ask, now)));
-        here.ended(&one, false);
-        there.ended(&other, false);
+        let (one, other) = (sent(here.submit(&ask, now)), sent(there.submit(&ask, now)));
+        here.finish(&one, false);
+        there.finish(&other, false);
         assert_eq!(one.server, other.server);
     }
 }
@@ -54,11 +54,11 @@
 #[test]
 fn a_short_shared_part_is_kept_in_the_own_failure_domain() {
     let now = Instant::now();
-    let mut desk = desk(SIX, now);
+    let mut scheduler = scheduler(SIX, now);
 
     for family in 0..30 {
-        let choice = sent(desk.ask(&request("lab", shape(family, 300, 200), now), now));
-        desk.ended(&choice, false);
+        let choice = sent(scheduler.submit(&request("lab", shape(family, 300, 200), now), now));
+        scheduler.finish(&choice, false);
         assert!([ServerId::of("a1"), ServerId::of("a2")].contains(&choice.server));
     }
 }
@@ -68,17 +68,17 @@
 #[test]
 fn a_busy_home_is_left_and_the_second_copy_is_told_to_the_others() {
     let now = Instant::now();
-    let mut desk = desk(SIX, now);
+    let mut scheduler = scheduler(SIX, now);
     let mut servers = Vec::new();
 
     for _ in 0..12 {
         if let Verdict::Decided(Ok(choice)) =
-            desk.ask(&request("lab", shape(7, 5_000, 8_000), now), now)
+            scheduler.submit(&request("lab", shape(7, 5_000, 8_000), now), now)
         {
             servers.push(choice.server);
         }
     }
-    let strays = desk.told_strays(now);
+    let strays = scheduler.told_strays(now);
 
     servers.sort_unstable();
     servers.dedup();
@@ -93,12 +93,12 @@
 #[test]
 fn a_long_prompt_takes_more_time_than_its_length_says() {
     let now = Instant::now();
-    let mut desk = desk(&[("a1", "a"), ("a2", "a")], now);
+    let mut scheduler = scheduler(&[("a1", "a"), ("a2", "a")], now);
     let mut alone = |own: u32| {
         let mut request = request("lab", shape(u64::from(own), 0, own), now);
         request.objective = millis(60_000);
-        let choice = sent(desk.ask(&request, now));
-        desk.ended(&choice, false);
+        let choice = sent(scheduler.submit(&request, now));
+        scheduler.finish(&choice, false);
         choice.work.unread
     };
 
@@ -115,15 +115,16 @@
 #[test]
 fn a_server_that_fails_is_passed_over_while_others_have_room() {
     let now = Instant::now();
-    let mut desk = desk(&[("a1", "a"), ("a2", "a")], now);
+    let mut scheduler = scheduler(&[("a1", "a"), ("a2", "a")], now);
     for _ in 0..8 {
-        desk.loads
+        scheduler
+            .loads
             .judge(ServerId::of("a1"), loads::Verdict::Failed, now);
     }
 
     for family in 0..10 {
-        let choice = sent(desk.ask(&request("lab", shape(family, 300, 200), now), now));
-        desk.ended(&choice, false);
+        let choice = sent(scheduler.submit(&request("lab", shape(family, 300, 200), now), now));
+        scheduler.finish(&choice, false);
         assert_eq!(choice.server, ServerId::of("a2"));
     }
 }
@@ -131,14 +132,16 @@
 #[test]
 fn draining_servers_and_those_that_had_the_request_get_none() {
     let now = Instant::now();
-    let mut desk = desk(&[("a1", "a"), ("a2", "a"), ("a3", "a")], now);
+    let mut scheduler = scheduler(&[("a1", "a"), ("a2", "a"), ("a3", "a")], now);
     let mut leaving = entry("a1", "a");
     leaving.draining = true;
-    desk.registry.take(change("a1", 50, Some(leaving)), now);
+    scheduler
+        .registry
+        .take(change("a1", 50, Some(leaving)), now);
     let mut again = request("lab", shape(1, 300, 200), now);
     again.tried.push(ServerId::of("a2"));
 
-    let choice = sent(desk.ask(&again, now));
+    let choice = sent(scheduler.submit(&again, now));
 
     assert_eq!(choice.server, ServerId::of("a3"));
 }
@@ -148,11 +151,11 @@
 #[test]
 fn memory_bounds_what_a_server_gets() {
     let now = Instant::now();
-    let mut desk = desk(&[("a1", "a")], now);
+    let mut scheduler = scheduler(&[("a1", "a")], now);
     let mut long = |family| {
         let mut request = request("lab", shape(family, 0, 30_000), now);
         request.objective = millis(60_000);
-        desk.ask(&request, now)
+        scheduler.submit(&request, now)
     };
 
     let (first, second, third) = (long(1), long(2), long(3));
--- a/tests/testsuite/routing/desk.rs
+++ b/tests/testsuite/routing/scheduler.rs
@@ -4,13 +4,13 @@
 
 use hawthornmill::codes::Code;
 use hawthornmill::ident::{AccountId, InstanceId};
-use hawthornmill::routing::desk::Desk;
 use hawthornmill::routing::news::{Lack, Mate, News};
 use hawthornmill::routing::request::Verdict;
+use hawthornmill::routing::scheduler::Scheduler;
 use hawthornmill::routing::usage::{Standing, Sums};
 use hawthornmill_test_support::news::news_of;
 
-use super::{desk, drafter, millis, request, sent, shape};
+use super::{drafter, millis, request, scheduler, sent, shape};
 
 pub const ONE: &[(&str, &str)] = &[("a1", "a")];
 
@@ -23,9 +23,9 @@
 };
 
 /// Takes all eight slots of the only server.
-pub fn fill(desk: &mut Desk, now: Instant) {
+pub fn fill(scheduler: &mut Scheduler, now: Instant) {
     for _ in 0..8 {
-        let _choice = sent(desk.ask(&request("lab", shape(1, 10, 10), now), now));
+        let _choice = sent(scheduler.submit(&request("lab", shape(1, 10, 10), now), now));
     }
 }
 
@@ -55,23 +55,25 @@
 #[test]
 fn a_request_waits_for_room_and_goes_when_there_is_some() {
     let now = Instant::now();
-    let mut desk = desk(ONE, now);
-    fill(&mut desk, now);
+    let mut scheduler = scheduler(ONE, now);
+    fill(&mut scheduler, now);
 
-    let verdict = desk.ask(&request("lab", shape(1, 10, 10), now), now);
+    let verdict = scheduler.submit(&request("lab", shape(1, 10, 10), now), now);
     let Verdict::Wait(ticket) = verdict else {
         panic!("{verdict:?}")
     };
-    let none = desk.turn(now + millis(10));
-    let work = desk.loads.own()[0].1;
+    let none = scheduler.dispatch_queued(now + millis(10));
+    let work = scheduler.loads.own()[0].1;
     let one = hawthornmill::routing::loads::Work {
         running: 1,
         unread: work.unread / 8,
         held: work.held / 8,
         sent: 0,
     };
-    desk.loads.end(hawthornmill::ident::ServerId::of("a1"), one);
-    let decided = desk.turn(now + millis(20));
+    scheduler
+        .loads
+        .end(hawthornmill::ident::ServerId::of("a1"), one);
+    let decided = scheduler.dispatch_queued(now + millis(20));
 
     assert!(none.is_empty());
     assert_eq!(decided.len(), 1);
@@ -85,13 +87,13 @@
 #[test]
 fn a_wait_ends_after_a_small_part_of_the_objective_with_a_time_to_come_back() {
     let now = Instant::now();
-    let mut desk = desk(ONE, now);
-    fill(&mut desk, now);
-    let verdict = desk.ask(&request("lab", shape(1, 10, 10), now), now);
+    let mut scheduler = scheduler(ONE, now);
+    fill(&mut scheduler, now);
+    let verdict = scheduler.submit(&request("lab", shape(1, 10, 10), now), now);
     assert!(matches!(verdict, Verdict::Wait(_)));
 
-    let early = desk.turn(now + millis(200));
-    let late = desk.turn(now + millis(310));
+    let early = scheduler.dispatch_queued(now + millis(200));
+    let late = scheduler.dispatch_queued(now + millis(310));
 
     assert!(early.is_empty());
     let Err(refusal) = late[0].1 else {
@@ -99,15 +101,15 @@
     };
     assert_eq!(refusal.code, Code::QueueLate);
     assert!(refusal.again >= millis(50));
-    assert_eq!(desk.waiting(), 0);
+    assert_eq!(scheduler.queue_len(), 0);
 }
 
 #[test]
 fn a_service_without_servers_refuses_at_once() {
     let now = Instant::now();
-    let mut desk = desk(&[], now);
+    let mut scheduler = scheduler(&[], now);
 
-    let verdict = desk.ask(&request("lab", shape(1, 10, 10), now), now);
+    let verdict = scheduler.submit(&request("lab", shape(1, 10, 10), now), now);
 
     let Verdict::Decided(Err(refusal)) = verdict else {
         panic!("{verdict:?}")
@@ -121,17 +123,17 @@
 #[test]
 fn an_account_beyond_its_share_leaves_room_for_the_others() {
     let now = Instant::now();
-    let mut desk = desk(ONE, now);
-    desk.token_rate = 10.0;
+    let mut scheduler = scheduler(ONE, now);
+    scheduler.token_rate = 10.0;
     let flood: Vec<Verdict> = (0..8)
         .map(|step| {
             let at = now + millis(step * 250);
-            desk.ask(&request("flood", shape(1, 10, 10), at), at)
+            scheduler.submit(&request("flood", shape(1, 10, 10), at), at)
         })
         .collect();
 
     let later = now + millis(2_100);
-    let small = desk.ask(&request("small", shape(1, 1, 1), later), later);
+    let small = scheduler.submit(&request("small", shape(1, 1, 1), later), later);
 
     assert!(flood.iter().any(|v| !matches!(v, Verdict::Decided(Ok(_)))));
     assert!(matches!(small, Verdict::Decided(Ok(_))));
@@ -142,10 +144,10 @@
 #[test]
 fn what_can_not_begin_in_time_is_not_sent() {
     let now = Instant::now();
-    let mut desk = desk(ONE, now);
-    let _busy = sent(desk.ask(&request("lab", shape(1, 0, 50_000), now), now));
+    let mut scheduler = scheduler(ONE, now);
+    let _busy = sent(scheduler.submit(&request("lab", shape(1, 0, 50_000), now), now));
 
-    let verdict = desk.ask(&request("lab", shape(2, 0, 10_000), now), now);
+    let verdict = scheduler.submit(&request("lab", shape(2, 0, 10_000), now), now);
 
     assert!(!matches!(verdict, Verdict::Decided(Ok(_))), "{verdict:?}");
 }
@@ -161,13 +163,13 @@
         request.objective = millis(100);
         request
     };
-    let mut calm = desk(ONE, now);
-    let mut short = desk(ONE, now);
+    let mut calm = scheduler(ONE, now);
+    let mut short = scheduler(ONE, now);
     let told = vec![(Standing::Owed, ODD)];
-    short.hear(InstanceId::of("other"), &news(told, Vec::new()), now);
+    short.apply_report(InstanceId::of("other"), &news(told, Vec::new()), now);
 
-    let served = calm.ask(&long(), now);
-    let held_back = short.ask(&long(), now);
+    let served = calm.submit(&long(), now);
+    let held_back = short.submit(&long(), now);
 
     assert!(matches!(served, Verdict::Decided(Ok(_))), "{served:?}");
     assert!(
@@ -182,16 +184,16 @@
 #[test]
 fn a_prompt_that_is_late_on_idle_servers_tells_of_no_shortage() {
     let now = Instant::now();
-    let mut desk = desk(ONE, now);
+    let mut scheduler = scheduler(ONE, now);
     let told = vec![(Standing::Owed, ODD)];
-    desk.hear(InstanceId::of("other"), &news(told, Vec::new()), now);
+    scheduler.apply_report(InstanceId::of("other"), &news(told, Vec::new()), now);
     let mut long = request("lab", shape(1, 0, 20_000), now);
     long.objective = millis(100);
 
-    let turned_away = desk.ask(&long, now);
+    let turned_away = scheduler.submit(&long, now);
 
     assert!(matches!(turned_away, Verdict::Decided(Err(_))));
-    assert!(desk.told_short(now).is_empty());
+    assert!(scheduler.told_short(now).is_empty());
 }
 
 /// Failure: an account beyond its share waits before servers that nobody uses.
@@ -199,10 +201,10 @@
 fn an_account_beyond_its_share_takes_more_while_nobody_lacks_room() {
     let now = Instant::now();
     let placed = |short: Vec<_>| {
-        let mut desk = desk(ONE, now);
-        desk.token_rate = 10.0;
-        desk.hear(InstanceId::of("other"), &news(short, flooding()), now);
-        let asks = (0..8).map(|_| desk.ask(&request("flood", shape(1, 10, 10), now), now));
+        let mut scheduler = scheduler(ONE, now);
+        scheduler.token_rate = 10.0;
+        scheduler.apply_report(InstanceId::of("other"), &news(short, flooding()), now);
+        let asks = (0..8).map(|_| scheduler.submit(&request("flood", shape(1, 10, 10), now), now));
         asks.filter(|v| matches!(v, Verdict::Decided(Ok(_))))
             .count()
     };
@@ -227,10 +229,10 @@
         got("third", 2e5),
         got("near", 3.4e5),
     ];
-    let mut desk = desk(ONE, now);
-    desk.token_rate = 10.0;
-    desk.hear(InstanceId::of("other"), &news(short, usage), now);
-    let asks = (0..8).map(|_| desk.ask(&request(account, shape(1, 10, 10), now), now));
+    let mut scheduler = scheduler(ONE, now);
+    scheduler.token_rate = 10.0;
+    scheduler.apply_report(InstanceId::of("other"), &news(short, usage), now);
+    let asks = (0..8).map(|_| scheduler.submit(&request(account, shape(1, 10, 10), now), now));
     asks.filter(|v| matches!(v, Verdict::Decided(Ok(_))))
         .count()
 }
@@ -266,13 +268,13 @@
     let six: Vec<(String, &str)> = (0..6).map(|n| (format!("a{n}"), "a")).collect();
     let six: Vec<(&str, &str)> = six.iter().map(|(n, d)| (n.as_str(), *d)).collect();
     let servers = |name: &str| {
-        let mut desk = desk(&six, now);
-        desk.token_rate = 10.0;
+        let mut scheduler = scheduler(&six, now);
+        scheduler.token_rate = 10.0;
         let told = news(Vec::new(), flooding());
-        desk.hear(InstanceId::of("other"), &told, now);
+        scheduler.apply_report(InstanceId::of("other"), &told, now);
         let mut used: Vec<_> = (0..48)
             .filter_map(
-                |_| match desk.ask(&request(name, shape(1, 5_000, 10), now), now) {
+                |_| match scheduler.submit(&request(name, shape(1, 5_000, 10), now), now) {
                     Verdict::Decided(Ok(choice)) => Some(choice.server),
                     _ => None,
                 },
@@ -291,16 +293,17 @@
 #[test]
 fn a_caller_that_leaves_takes_its_request_out_of_the_line() {
     let now = Instant::now();
-    let mut desk = desk(ONE, now);
-    fill(&mut desk, now);
-    let Verdict::Wait(ticket) = desk.ask(&request("lab", shape(1, 10, 10), now), now) else {
+    let mut scheduler = scheduler(ONE, now);
+    fill(&mut scheduler, now);
+    let Verdict::Wait(ticket) = scheduler.submit(&request("lab", shape(1, 10, 10), now), now)
+    else {
         panic!("the request does not wait")
     };
 
-    desk.leave(ticket);
+    scheduler.cancel(ticket);
 
-    assert_eq!(desk.waiting(), 0);
-    assert!(desk.turn(now + millis(400)).is_empty());
+    assert_eq!(scheduler.queue_len(), 0);
+    assert!(scheduler.dispatch_queued(now + millis(400)).is_empty());
 }
 
 /// A server starts again under the name that it had, with its memory empty. Prompts that it had read
@@ -308,16 +311,16 @@
 #[test]
 fn a_server_that_started_anew_has_read_nothing() {
     let now = Instant::now();
-    let mut desk = desk(ONE, now);
-    let first = sent(desk.ask(&request("lab", shape(1, 300, 200), now), now));
-    desk.ended(&first, true);
-    let known = sent(desk.ask(&request("lab", shape(1, 300, 200), now), now));
-    desk.ended(&known, true);
+    let mut scheduler = scheduler(ONE, now);
+    let first = sent(scheduler.submit(&request("lab", shape(1, 300, 200), now), now));
+    scheduler.finish(&first, true);
+    let known = sent(scheduler.submit(&request("lab", shape(1, 300, 200), now), now));
+    scheduler.finish(&known, true);
     let mut anew = super::entry("a1", "a");
     anew.born = 7;
 
-    desk.register(super::change("a1", 90, Some(anew)), now);
-    let unknown = sent(desk.ask(&request("lab", shape(1, 300, 200), now), now));
+    scheduler.apply_change(super::change("a1", 90, Some(anew)), now);
+    let unknown = sent(scheduler.submit(&request("lab", shape(1, 300, 200), now), now));
 
     assert_eq!(known.work.unread, 0);
     let own = shape(1, 300, 200).effort(200);
@@ -328,22 +331,22 @@
 #[test]
 fn a_list_tells_of_a_server_that_started_anew() {
     let now = Instant::now();
-    let mut desk = desk(ONE, now);
-    let first = sent(desk.ask(&request("lab", shape(1, 300, 200), now), now));
-    desk.ended(&first, true);
+    let mut scheduler = scheduler(ONE, now);
+    let first = sent(scheduler.submit(&request("lab", shape(1, 300, 200), now), now));
+    scheduler.finish(&first, true);
     let mut anew = super::entry("a1", "a");
     anew.born = 7;
 
     let anew = vec![super::change("a1", 90, Some(anew))];
-    desk.list(super::list(anew, 90, false), now);
-    let unknown = sent(desk.ask(&request("lab", shape(1, 300, 200), now), now));
+    scheduler.replace_registrations(super::list(anew, 90, false), now);
+    let unknown = sent(scheduler.submit(&request("lab", shape(1, 300, 200), now), now));
 
     let own = shape(1, 300, 200).effort(200);
     assert_eq!(unknown.work.unread, own, "its own part must be read again");
 }
 
-/// A desk before six servers that knows `flood` to be beyond its share.
-pub fn flooded(now: Instant) -> Desk {
+/// A scheduler before six servers that knows `flood` to be beyond its share.
+pub fn flooded(now: Instant) -> Scheduler {
     let six = [
         ("a0", "a"),
         ("a1", "a"),
@@ -352,26 +355,26 @@
         ("a4", "a"),
         ("a5", "a"),
     ];
-    let mut desk = desk(&six, now);
-    desk.token_rate = 10.0;
+    let mut scheduler = scheduler(&six, now);
+    scheduler.token_rate = 10.0;
     let told = news(Vec::new(), flooding());
-    desk.hear(InstanceId::of("other"), &told, now);
-    desk
+    scheduler.apply_report(InstanceId::of("other"), &told, now);
+    scheduler
 }
 
 /// Failure: one long prompt that waits for its family's homes holds back all that its instance has to send.
 #[test]
 fn a_request_that_waits_for_few_servers_holds_back_none_that_needs_others() {
     let now = Instant::now();
-    let mut desk = flooded(now);
+    let mut scheduler = flooded(now);
     let long = request("flood", shape(1, 5_000, 10), now);
-    let taken = std::iter::repeat_with(|| desk.ask(&long, now));
+    let taken = std::iter::repeat_with(|| scheduler.submit(&long, now));
     let waits = taken.take(48).any(|v| matches!(v, Verdict::Wait(_)));
     assert!(waits, "its homes never filled up");
 
     let then = now + millis(1);
-    let next = desk.ask(&request("flood", shape(2, 10, 10), then), then);
-    let later = desk.turn(now + millis(10));
+    let next = scheduler.submit(&request("flood", shape(2, 10, 10), then), then);
+    let later = scheduler.dispatch_queued(now + millis(10));
 
     assert!(matches!(next, Verdict::Decided(Ok(_))), "{next:?}");
     assert!(later.is_empty(), "the long prompt lost its place");
@@ -381,21 +384,21 @@
 #[test]
 fn nobody_takes_the_server_for_which_one_that_goes_before_waits() {
     let now = Instant::now();
-    let mut desk = flooded(now);
+    let mut scheduler = flooded(now);
     let long = request("flood", shape(1, 5_000, 10), now);
     let mut homes = Vec::new();
     let ticket = loop {
-        match desk.ask(&long, now) {
+        match scheduler.submit(&long, now) {
             Verdict::Decided(Ok(choice)) => homes.push(choice),
             Verdict::Wait(ticket) => break ticket,
             other @ Verdict::Decided(_) => panic!("{other:?}"),
         }
     };
-    desk.ended(&homes[0], false);
+    scheduler.finish(&homes[0], false);
     let later = request("flood", shape(1, 5_000, 10), now + millis(1));
 
-    let second = desk.ask(&later, now + millis(1));
-    let decided = desk.turn(now + millis(1));
+    let second = scheduler.submit(&later, now + millis(1));
+    let decided = scheduler.dispatch_queued(now + millis(1));
 
     assert!(matches!(second, Verdict::Wait(_)), "{second:?}");
     assert_eq!(
@@ -408,11 +411,11 @@
 #[test]
 fn a_prompt_too_long_for_its_part_of_the_time_is_refused_at_once() {
     let now = Instant::now();
-    let mut desk = flooded(now);
+    let mut scheduler = flooded(now);
     let long = request("flood", shape(1, 0, 35_000), now);
 
-    let refused = desk.ask(&long, now);
-    let next = desk.ask(&request("flood", shape(2, 10, 10), now), now);
+    let refused = scheduler.submit(&long, now);
+    let next = scheduler.submit(&request("flood", shape(2, 10, 10), now), now);
 
     assert!(matches!(refused, Verdict::Decided(Err(_))), "{refused:?}");
     assert!(matches!(next, Verdict::Decided(Ok(_))), "{next:?}");
@@ -422,24 +425,26 @@
 #[test]
 fn one_that_waits_for_any_server_holds_back_those_behind_it() {
     let now = Instant::now();
-    let mut desk = flooded(now);
+    let mut scheduler = flooded(now);
     let long = request("flood", shape(1, 5_000, 10), now);
     let mut placed = Vec::new();
-    while let Verdict::Decided(Ok(choice)) = desk.ask(&long, now) {
+    while let Verdict::Decided(Ok(choice)) = scheduler.submit(&long, now) {
         placed.push(choice);
     }
     let home = placed[0].server;
     for _ in placed.len()..6 * 8 {
-        placed.push(sent(desk.ask(&request("lab", shape(3, 10, 10), now), now)));
+        placed.push(sent(
+            scheduler.submit(&request("lab", shape(3, 10, 10), now), now),
+        ));
     }
     // Without a promised rate no account is beyond its share.
-    desk.token_rate = 0.0;
+    scheduler.token_rate = 0.0;
     let then = now + millis(250);
-    let turned = desk.turn(then);
+    let turned = scheduler.dispatch_queued(then);
     let other = placed.iter().find(|c| c.server != home);
-    desk.ended(other.expect("there are six servers"), false);
+    scheduler.finish(other.expect("there are six servers"), false);
 
-    let behind = desk.ask(&request("flood", shape(2, 10, 10), then), then);
+    let behind = scheduler.submit(&request("flood", shape(2, 10, 10), then), then);
 
     assert!(turned.is_empty(), "{turned:?}");
     assert!(matches!(behind, Verdict::Wait(_)), "{behind:?}");
@@ -450,17 +455,17 @@
 #[test]
 fn answers_that_came_late_for_a_while_turn_nobody_away_for_good() {
     let now = Instant::now();
-    let mut desk = desk(ONE, now);
-    let choice = sent(desk.ask(&request("lab", shape(1, 10, 10), now), now));
+    let mut scheduler = scheduler(ONE, now);
+    let choice = sent(scheduler.submit(&request("lab", shape(1, 10, 10), now), now));
     for step in 0..400 {
-        desk.began(drafter(), &choice, Some(millis(1_500)), now + millis(step));
+        scheduler.record_first_token(drafter(), &choice, Some(millis(1_500)), now + millis(step));
     }
-    desk.ended(&choice, true);
+    scheduler.finish(&choice, true);
 
     let later = now + millis(3_000);
     let lacking = news(vec![(Standing::Below, MUCH)], Vec::new());
-    desk.hear(InstanceId::of("other"), &lacking, later);
-    let verdict = desk.ask(&request("lab", shape(1, 10, 10), later), later);
+    scheduler.apply_report(InstanceId::of("other"), &lacking, later);
+    let verdict = scheduler.submit(&request("lab", shape(1, 10, 10), later), later);
 
     assert!(matches!(verdict, Verdict::Decided(Ok(_))), "{verdict:?}");
 }
@@ -469,9 +474,9 @@
 /// much and an even part is ten of them.
 fn sent_at_once(entries: u16) -> usize {
     let now = Instant::now();
-    let mut desk = desk(&[("a1", "a"), ("a2", "a"), ("a3", "a"), ("a4", "a")], now);
+    let mut scheduler = scheduler(&[("a1", "a"), ("a2", "a"), ("a3", "a"), ("a4", "a")], now);
     let cost = shape(1, 10, 10).cost();
-    desk.token_rate = 20.0 * cost;
+    scheduler.token_rate = 20.0 * cost;
     let elsewhere = Sums {
         asked: (cost * 100.0 * f64::from(entries - 1)) as f32,
         got: 0.0,
@@ -486,10 +491,10 @@
     ];
     let told = news(vec![(Standing::Owed, MUCH)], usage);
     for _ in 0..100 {
-        desk.usage.asked(AccountId::of("hot"), cost, now);
+        scheduler.usage.asked(AccountId::of("hot"), cost, now);
     }
-    desk.hear(InstanceId::of("elsewhere"), &told, now);
-    let ask = |_| desk.ask(&request("hot", shape(1, 10, 10), now), now);
+    scheduler.apply_report(InstanceId::of("elsewhere"), &told, now);
+    let ask = |_| scheduler.submit(&request("hot", shape(1, 10, 10), now), now);
     let verdicts: Vec<Verdict> = (0..32).map(ask).collect();
     let placed = |v: &&Verdict| matches!(v, Verdict::Decided(Ok(_)));
     verdicts.iter().filter(placed).count()
--- a/tests/testsuite/routing/shortage.rs
+++ b/tests/testsuite/routing/shortage.rs
@@ -7,8 +7,8 @@
 use hawthornmill::routing::request::Verdict;
 use hawthornmill::routing::usage::Standing;
 
-use super::desk::{MUCH, ODD, ONE, fill, flooded, flooding, news};
-use super::{desk, drafter, millis, request, shape};
+use super::scheduler::{MUCH, ODD, ONE, fill, flooded, flooding, news};
+use super::{drafter, millis, request, scheduler, shape};
 
 /// Another instance has turned away a request of an account below its share, a moment ago. Here the
 /// flooding account's next request finds a place that came free; if it took it, the account below
@@ -16,20 +16,20 @@
 #[test]
 fn an_account_beyond_its_share_gives_way_to_one_that_waits_elsewhere() {
     let now = Instant::now();
-    let mut desk = desk(ONE, now);
-    desk.token_rate = 10.0;
+    let mut scheduler = scheduler(ONE, now);
+    scheduler.token_rate = 10.0;
     let told = news(vec![(Standing::Owed, MUCH)], flooding());
-    desk.hear(InstanceId::of("other"), &told, now);
+    scheduler.apply_report(InstanceId::of("other"), &told, now);
 
-    let refused = desk.ask(&request("flood", shape(1, 10, 10), now), now);
-    let owed = desk.ask(&request("small", shape(1, 10, 10), now), now);
+    let refused = scheduler.submit(&request("flood", shape(1, 10, 10), now), now);
+    let owed = scheduler.submit(&request("small", shape(1, 10, 10), now), now);
     let later = now + millis(1_000);
-    desk.hear(
+    scheduler.apply_report(
         InstanceId::of("other"),
         &news(Vec::new(), Vec::new()),
         later,
     );
-    let after = desk.ask(&request("flood", shape(1, 10, 10), later), later);
+    let after = scheduler.submit(&request("flood", shape(1, 10, 10), later), later);
 
     assert!(matches!(refused, Verdict::Decided(Err(_))));
     assert!(matches!(owed, Verdict::Decided(Ok(_))));
@@ -41,11 +41,11 @@
 fn only_an_account_that_is_owed_shuts_others_out() {
     let now = Instant::now();
     let asks = |better: Standing| {
-        let mut desk = desk(ONE, now);
-        desk.token_rate = 10.0;
+        let mut scheduler = scheduler(ONE, now);
+        scheduler.token_rate = 10.0;
         let told = news(vec![(better, MUCH)], flooding());
-        desk.hear(InstanceId::of("other"), &told, now);
-        desk.ask(&request("flood", shape(1, 10, 10), now), now)
+        scheduler.apply_report(InstanceId::of("other"), &told, now);
+        scheduler.submit(&request("flood", shape(1, 10, 10), now), now)
     };
 
     let (owed, below) = (asks(Standing::Owed), asks(Standing::Below));
@@ -60,12 +60,12 @@
 fn much_owed_work_that_one_instance_turns_away_shuts_others_out() {
     let now = Instant::now();
     let asks = |cost: u32| {
-        let mut desk = desk(ONE, now);
-        desk.token_rate = 10_000.0;
+        let mut scheduler = scheduler(ONE, now);
+        scheduler.token_rate = 10_000.0;
         let lack = Lack { places: 1, cost };
         let told = news(vec![(Standing::Owed, lack)], flooding());
-        desk.hear(InstanceId::of("other"), &told, now);
-        desk.ask(&request("flood", shape(1, 10, 10), now), now)
+        scheduler.apply_report(InstanceId::of("other"), &told, now);
+        scheduler.submit(&request("flood", shape(1, 10, 10), now), now)
     };
 
     let (odd, much) = (asks(500), asks(2_000));
@@ -78,13 +78,13 @@
 #[test]
 fn what_was_turned_away_is_told_with_its_cost_and_fades() {
     let now = Instant::now();
-    let mut desk = desk(ONE, now);
-    fill(&mut desk, now);
+    let mut scheduler = scheduler(ONE, now);
+    fill(&mut scheduler, now);
     for _ in 0..3 {
-        let _waiting = desk.ask(&request("lab", shape(1, 100, 100), now), now);
+        let _waiting = scheduler.submit(&request("lab", shape(1, 100, 100), now), now);
     }
 
-    let cost = |after: u64| desk.told_short(now + millis(after))[0].2.cost;
+    let cost = |after: u64| scheduler.told_short(now + millis(after))[0].2.cost;
 
     let whole = 3.0 * shape(1, 100, 100).cost();
     assert_eq!(cost(0), whole as u32);
@@ -100,12 +100,12 @@
 #[test]
 fn a_shortage_is_told_until_far_instances_have_heard_of_it() {
     let now = Instant::now();
-    let mut desk = desk(ONE, now);
-    fill(&mut desk, now);
-    let _waiting = desk.ask(&request("lab", shape(1, 10, 10), now), now);
+    let mut scheduler = scheduler(ONE, now);
+    fill(&mut scheduler, now);
+    let _waiting = scheduler.submit(&request("lab", shape(1, 10, 10), now), now);
 
-    let later = desk.told_short(now + millis(800));
-    let over = desk.told_short(now + millis(1_000));
+    let later = scheduler.told_short(now + millis(800));
+    let over = scheduler.told_short(now + millis(1_000));
 
     let keys: Vec<_> = later.iter().map(|(s, st, _)| (*s, *st)).collect();
     assert_eq!(keys, [(drafter(), Standing::Owed)]);
@@ -116,12 +116,12 @@
 #[test]
 fn a_single_odd_request_shuts_nobody_out() {
     let now = Instant::now();
-    let mut desk = flooded(now);
-    desk.token_rate = 10_000.0;
+    let mut scheduler = flooded(now);
+    scheduler.token_rate = 10_000.0;
     let odd = news(vec![(Standing::Owed, ODD)], Vec::new());
-    desk.hear(InstanceId::of("third"), &odd, now);
+    scheduler.apply_report(InstanceId::of("third"), &odd, now);
 
-    let verdict = desk.ask(&request("flood", shape(1, 10, 10), now), now);
+    let verdict = scheduler.submit(&request("flood", shape(1, 10, 10), now), now);
 
     assert!(matches!(verdict, Verdict::Decided(Ok(_))), "{verdict:?}");
 }
