--- a/crates/hawthornmill-gateway/src/dialect.rs
+++ b/crates/hawthornmill-gateway/src/dialect.rs
@@ -4,7 +4,7 @@
 //! they mean does not. An adapter fills in a [`Dialect`], and nothing else here knows a name.
 
 use hawthornmill::routing::catalog::Catalog;
-use hawthornmill::routing::loads::OwnReport;
+use hawthornmill::routing::loads::ServerReport;
 use hawthornmill::routing::registry::Registration;
 use hawthornmill::routing::shape::Shape;
 
@@ -111,7 +111,7 @@
     /// Reads what a request says of its size.
     pub shape: fn(&Fields) -> Result<Shape, Unusable>,
     /// Reads what a server says of its load in an answer.
-    pub load: fn(&Fields) -> Option<OwnReport>,
+    pub load: fn(&Fields) -> Option<ServerReport>,
     /// Reads the number of a stream's event.
     pub event: fn(&[u8]) -> Option<u64>,
 }
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -348,7 +348,7 @@
 
     /// Lets the others hear of this instance's work if much of it has changed.
     pub fn tell_work(&self) {
-        if self.scheduler.borrow().loads.is_untold() {
+        if self.scheduler.borrow().loads.needs_broadcast() {
             self.stir.notify_one();
         }
     }
--- a/crates/hawthornmill-gateway/src/mates.rs
+++ b/crates/hawthornmill-gateway/src/mates.rs
@@ -120,7 +120,7 @@
         version: gateway.version(),
         revision: scheduler.registry.latest(),
     });
-    let work = scheduler.loads.sum(&ids);
+    let work = scheduler.loads.domain_sum(&ids);
     let mut usage = scheduler.usage.sum(&ids, now);
     usage.sort_by(|a, b| b.1.asked.total_cmp(&a.1.asked));
     usage.truncate(MOST_TOLD);
@@ -145,8 +145,8 @@
 fn tell_work(gateway: &Gateway, datagrams: &Datagrams) {
     let work = {
         let loads = &mut gateway.scheduler.borrow_mut().loads;
-        loads.told();
-        let mut work = loads.own();
+        loads.mark_broadcast();
+        let mut work = loads.local();
         work.truncate(MOST_TOLD);
         work
     };
@@ -156,7 +156,7 @@
 
 fn news(gateway: &Gateway, round: u64, now: Instant) -> News {
     let mut scheduler = gateway.scheduler.borrow_mut();
-    let mut work = scheduler.loads.own();
+    let mut work = scheduler.loads.local();
     work.truncate(MOST_TOLD);
     let mut usage = scheduler.usage.own(now);
     usage.sort_by(|a, b| b.1.asked.total_cmp(&a.1.asked));
@@ -235,7 +235,11 @@
     let (sender, run) = (frame.sender, frame.incarnation);
     match frame.message {
         Message::News(news) => take_news(gateway, sender, run, &news),
-        Message::Work(work) => gateway.scheduler.borrow_mut().loads.hear(sender, work, now),
+        Message::Work(work) => gateway
+            .scheduler
+            .borrow_mut()
+            .loads
+            .apply_peer_report(sender, work, now),
         Message::Members(told) if told.domain != own => {
             for member in told.members.iter().filter(|m| m.id != gateway.me) {
                 gateway.hear_version(member.version);
--- a/crates/hawthornmill-gateway/src/side.rs
+++ b/crates/hawthornmill-gateway/src/side.rs
@@ -172,9 +172,9 @@
 fn metrics(gateway: &Gateway) -> String {
     let now = gateway.now();
     let scheduler = gateway.scheduler.borrow();
-    let work = scheduler.loads.own();
+    let work = scheduler.loads.local();
     let running: u32 = work.iter().map(|(_, w)| w.running).sum();
-    let unread: u32 = work.iter().map(|(_, w)| w.unread).sum();
+    let unread: u32 = work.iter().map(|(_, w)| w.pending_prefill).sum();
     let mates = gateway.mates.borrow().live(now).count();
     let count = |value: usize| value.cast_signed() as i64;
     let number = |value: u64| value.cast_signed();
--- a/crates/hawthornmill-gateway/src/trip/again.rs
+++ b/crates/hawthornmill-gateway/src/trip/again.rs
@@ -5,7 +5,7 @@
 //! to run again.
 
 use hawthornmill::ident::ServerId;
-use hawthornmill::routing::loads::Verdict;
+use hawthornmill::routing::loads::ServerOutcome;
 use serde_json::json;
 
 use super::admit::Admitted;
@@ -35,13 +35,13 @@
 }
 
 /// Notes how a request to `server` ended.
-pub fn judge(gateway: &Gateway, server: ServerId, verdict: Verdict) {
+pub fn judge(gateway: &Gateway, server: ServerId, verdict: ServerOutcome) {
     let now = gateway.now();
     gateway
         .scheduler
         .borrow_mut()
         .loads
-        .judge(server, verdict, now);
+        .record_outcome(server, verdict, now);
 }
 
 /// Takes a second send for a request that may have run.
@@ -90,7 +90,7 @@
     let fields = json!({"server": gateway.server_name(server), "why": why});
     journal::trouble("server_unreached", &call.attempt, fields);
     gateway.pool.drop_idle(server);
-    judge(gateway, server, Verdict::Unreachable);
+    judge(gateway, server, ServerOutcome::Unreachable);
     trip.unreached += 1;
     if trip.unreached <= MOST_UNREACHED {
         Next::Again
@@ -109,9 +109,9 @@
 ) -> Next {
     if moved {
         gateway.pool.drop_idle(server);
-        judge(gateway, server, Verdict::Unreachable);
+        judge(gateway, server, ServerOutcome::Unreachable);
     } else {
-        judge(gateway, server, Verdict::Full);
+        judge(gateway, server, ServerOutcome::Full);
     }
     trip.not_run();
     if take(gateway, admitted, trip) {
@@ -128,7 +128,7 @@
     trip: &mut Trip,
     server: ServerId,
 ) -> Next {
-    judge(gateway, server, Verdict::Failed);
+    judge(gateway, server, ServerOutcome::Failed);
     if may(gateway, admitted, trip) {
         Next::Again
     } else {
--- a/crates/hawthornmill-gateway/src/trip/deliver.rs
+++ b/crates/hawthornmill-gateway/src/trip/deliver.rs
@@ -4,7 +4,7 @@
 //! off can still be replaced by the truth. Streams and long answers go on as they come.
 
 use bytes::BytesMut;
-use hawthornmill::routing::loads::Verdict;
+use hawthornmill::routing::loads::ServerOutcome;
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
 
@@ -155,9 +155,9 @@
 
 fn judge_answer(gateway: &Gateway, answer: &Answer) {
     let verdict = if again::is_failure(answer) {
-        Verdict::Failed
+        ServerOutcome::Failed
     } else {
-        Verdict::Sound
+        ServerOutcome::Success
     };
     again::judge(gateway, answer.server, verdict);
 }
--- a/crates/hawthornmill-gateway/src/trip/mod.rs
+++ b/crates/hawthornmill-gateway/src/trip/mod.rs
@@ -116,7 +116,11 @@
         let silent = self.admitted.request.objective.mul_f64(SILENT);
         let time = self.gateway.now().duration_since(self.sent);
         if !self.began && time > silent {
-            again::judge(self.gateway, self.choice.server, loads::Verdict::Failed);
+            again::judge(
+                self.gateway,
+                self.choice.server,
+                loads::ServerOutcome::Failed,
+            );
         }
         self.gateway.release(&self.choice, self.began);
     }
@@ -210,7 +214,7 @@
         Sent::Answer(answer)
             if again::is_failure(&answer) && again::may(gateway, admitted, trip) =>
         {
-            again::judge(gateway, server, loads::Verdict::Failed);
+            again::judge(gateway, server, loads::ServerOutcome::Failed);
             if let Some(answer) = deliver::collect(answer).await {
                 *fallback = Some(answer);
             }
--- a/crates/hawthornmill-gateway/src/trip/send.rs
+++ b/crates/hawthornmill-gateway/src/trip/send.rs
@@ -240,7 +240,7 @@
                 .scheduler
                 .borrow_mut()
                 .loads
-                .report(server, load, gateway.now());
+                .apply_server_report(server, load, gateway.now());
         }
         let moved = head.status == MISDIRECTED;
         if moved || head.fields.get(names.not_run).is_some() {
--- a/crates/hawthornmill/src/routing/loads.rs
+++ b/crates/hawthornmill/src/routing/loads.rs
@@ -39,31 +39,31 @@
     /// Requests.
     pub running: u32,
     /// Effort of reading the prompts of requests that have not begun to answer, in tokens.
-    pub unread: u32,
+    pub pending_prefill: u32,
     /// Tokens that the requests take in the server's memory.
-    pub held: u32,
+    pub kv_tokens: u32,
     /// Effort of all prompts that the teller ever sent there, in tokens; wraps.
-    pub sent: u32,
+    pub total_prefill: u32,
 }
 
 impl Work {
     fn add(&mut self, other: Self) {
         self.running += other.running;
-        self.unread += other.unread;
-        self.held += other.held;
-        self.sent = self.sent.wrapping_add(other.sent);
+        self.pending_prefill += other.pending_prefill;
+        self.kv_tokens += other.kv_tokens;
+        self.total_prefill = self.total_prefill.wrapping_add(other.total_prefill);
     }
 
     fn subtract(&mut self, other: Self) {
         self.running = self.running.saturating_sub(other.running);
-        self.unread = self.unread.saturating_sub(other.unread);
-        self.held = self.held.saturating_sub(other.held);
+        self.pending_prefill = self.pending_prefill.saturating_sub(other.pending_prefill);
+        self.kv_tokens = self.kv_tokens.saturating_sub(other.kv_tokens);
     }
 }
 
 /// What a server says of its load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OwnReport {
+pub struct ServerReport {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -72,9 +72,9 @@
 
 /// How a request to a server ended, as far as the server's soundness goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ServerOutcome {
     /// It answered as it should.
-    Sound,
+    Success,
     /// It failed, broke off or stayed silent.
     Failed,
     /// It was full; says nothing of its soundness.
@@ -143,7 +143,7 @@
     own: Work,
     backlog: Backlog,
     pace: Pace,
-    report: Option<(OwnReport, Instant)>,
+    report: Option<(ServerReport, Instant)>,
     failing: f64,
     judged: Option<Instant>,
     down: Option<Instant>,
@@ -166,20 +166,20 @@
 
 /// One server as a choice sees it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Glance {
+pub struct LoadSnapshot {
     /// All work under way there.
     pub total: Work,
     /// Effort of reading that is left, in tokens.
     pub backlog: u32,
     /// Times that its answers took of what was expected.
-    pub pace: f64,
+    pub slowdown: f64,
     /// Part of its answers that were failures lately.
-    pub failing: f64,
+    pub failure_rate: f64,
 }
 
 /// Work and soundness of every server.
 #[derive(Debug, Clone, Default)]
-pub struct Loads {
+pub struct LoadTracker {
     servers: BTreeMap<ServerId, Server>,
     peers: BTreeMap<InstanceId, (Instant, Vec<(ServerId, Work)>)>,
     others: BTreeMap<ServerId, Work>,
@@ -189,16 +189,16 @@
     rate: f64,
 }
 
-impl Loads {
+impl LoadTracker {
     /// A request is sent to `server`, which reads `rate` tokens a second as far as is known.
     pub fn begin(&mut self, server: ServerId, work: Work, rate: f64, now: Instant) {
-        self.untold = self.untold.saturating_add(work.unread);
+        self.untold = self.untold.saturating_add(work.pending_prefill);
         self.rate = rate;
         let known = self.servers.entry(server).or_default();
         known.own.add(work);
-        known.own.sent = known.own.sent.wrapping_add(work.unread);
+        known.own.total_prefill = known.own.total_prefill.wrapping_add(work.pending_prefill);
         known.backlog.rate = rate / known.pace.at(now);
-        known.backlog.add(work.unread, now);
+        known.backlog.add(work.pending_prefill, now);
     }
 
     /// Effort of reading that is left at `server`, in tokens.
@@ -207,38 +207,44 @@
     /// Counted whole until its first token, a long prompt would hide for its whole reading that the
     /// server is nearly through.
     pub fn backlog(&self, server: ServerId, now: Instant) -> u32 {
-        self.glance(server, now).backlog
+        self.snapshot(server, now).backlog
     }
 
     /// What a choice looks at of `server`, found by one search.
-    pub fn glance(&self, server: ServerId, now: Instant) -> Glance {
+    pub fn snapshot(&self, server: ServerId, now: Instant) -> LoadSnapshot {
         let others = self.others.get(&server).copied().unwrap_or_default();
         let Some(known) = self.servers.get(&server) else {
-            return Glance {
+            return LoadSnapshot {
                 total: others,
                 backlog: 0,
-                pace: 1.0,
-                failing: 0.0,
+                slowdown: 1.0,
+                failure_rate: 0.0,
             };
         };
         let total = known.total(others, now);
-        Glance {
+        LoadSnapshot {
             total,
-            backlog: known.backlog.at(now).min(f64::from(total.unread)) as u32,
-            pace: known.pace.at(now),
-            failing: faded(known, now),
+            backlog: known.backlog.at(now).min(f64::from(total.pending_prefill)) as u32,
+            slowdown: known.pace.at(now),
+            failure_rate: faded(known, now),
         }
     }
 
     /// The first token from `server` came after `time` instead of `expected`.
-    pub fn observe(&mut self, server: ServerId, expected: Duration, time: Duration, now: Instant) {
+    pub fn observe_latency(
+        &mut self,
+        server: ServerId,
+        expected: Duration,
+        time: Duration,
+        now: Instant,
+    ) {
         let known = self.servers.entry(server).or_default();
         known.pace.observe(expected, time, now);
     }
 
     /// Part of what [`Self::begin`] added is over.
     pub fn end(&mut self, server: ServerId, work: Work) {
-        self.untold = self.untold.saturating_add(work.unread);
+        self.untold = self.untold.saturating_add(work.pending_prefill);
         if let Some(known) = self.servers.get_mut(&server) {
             known.own.subtract(work);
         }
@@ -246,28 +252,28 @@
 
     /// All work under way at `server` as far as is known.
     pub fn total(&self, server: ServerId, now: Instant) -> Work {
-        self.glance(server, now).total
+        self.snapshot(server, now).total
     }
 
     /// Tells whether the others should hear of this instance's work before its next news.
-    pub const fn is_untold(&self) -> bool {
+    pub const fn needs_broadcast(&self) -> bool {
         self.untold >= TELL_AT
     }
 
     /// The others are told of this instance's work now.
-    pub const fn told(&mut self) {
+    pub const fn mark_broadcast(&mut self) {
         self.untold = 0;
     }
 
     /// What this instance has under way, for the others.
-    pub fn own(&self) -> Vec<(ServerId, Work)> {
+    pub fn local(&self) -> Vec<(ServerId, Work)> {
         let busy = self.servers.iter().filter(|(_, s)| s.own.running > 0);
         busy.map(|(id, s)| (*id, s.own)).collect()
     }
 
     /// What this instance and the `members` of its failure domain have under way, in sum.
-    pub fn sum(&self, members: &[InstanceId]) -> Vec<(ServerId, Work)> {
-        let mut all: BTreeMap<ServerId, Work> = self.own().into_iter().collect();
+    pub fn domain_sum(&self, members: &[InstanceId]) -> Vec<(ServerId, Work)> {
+        let mut all: BTreeMap<ServerId, Work> = self.local().into_iter().collect();
         let peers = members.iter().filter_map(|id| self.peers.get(id));
         for (server, work) in peers.flat_map(|(_, list)| list) {
             all.entry(*server).or_default().add(*work);
@@ -276,13 +282,21 @@
     }
 
     /// Takes what a peer has under way, in place of what it said before.
-    pub fn hear(&mut self, peer: InstanceId, work: Vec<(ServerId, Work)>, now: Instant) {
+    pub fn apply_peer_report(
+        &mut self,
+        peer: InstanceId,
+        work: Vec<(ServerId, Work)>,
+        now: Instant,
+    ) {
         for (server, work) in &work {
-            let before = self.sent.insert((peer, *server), work.sent);
+            let before = self.sent.insert((peer, *server), work.total_prefill);
             // What it sent and what was read since is no backlog. The count falls when a teller starts
             // anew, or when a domain's sum misses a member: that brings nothing new.
-            let grown = work.sent.wrapping_sub(before.unwrap_or(0)).cast_signed();
-            let new = (grown.max(0).cast_unsigned()).min(work.unread);
+            let grown = work
+                .total_prefill
+                .wrapping_sub(before.unwrap_or(0))
+                .cast_signed();
+            let new = (grown.max(0).cast_unsigned()).min(work.pending_prefill);
             let known = self.servers.entry(*server).or_default();
             // A server that this instance has not used would never seem to read, and so never be used.
             if known.backlog.rate <= 0.0 {
@@ -319,26 +333,26 @@
     }
 
     /// Takes a server's own report.
-    pub fn report(&mut self, server: ServerId, report: OwnReport, now: Instant) {
+    pub fn apply_server_report(&mut self, server: ServerId, report: ServerReport, now: Instant) {
         self.servers.entry(server).or_default().report = Some((report, now));
     }
 
     /// Takes how a request ended.
-    pub fn judge(&mut self, server: ServerId, verdict: Verdict, now: Instant) {
+    pub fn record_outcome(&mut self, server: ServerId, verdict: ServerOutcome, now: Instant) {
         let known = self.servers.entry(server).or_default();
         match verdict {
-            Verdict::Sound => {
+            ServerOutcome::Success => {
                 known.failing = faded(known, now) * (1.0 - NEWEST);
                 known.judged = Some(now);
                 known.downs = 0;
                 known.down = None;
             }
-            Verdict::Failed => {
+            ServerOutcome::Failed => {
                 known.failing = faded(known, now) * (1.0 - NEWEST) + NEWEST;
                 known.judged = Some(now);
             }
-            Verdict::Full => {}
-            Verdict::Unreachable => {
+            ServerOutcome::Full => {}
+            ServerOutcome::Unreachable => {
                 let time = FIRST_DOWN * 2_u32.saturating_pow(known.downs);
                 known.down = Some(now + time.min(MOST_DOWN));
                 known.downs = (known.downs + 1).min(8);
--- a/crates/hawthornmill/src/routing/place.rs
+++ b/crates/hawthornmill/src/routing/place.rs
@@ -14,7 +14,7 @@
 use smallvec::SmallVec;
 
 use super::catalog::Engine;
-use super::loads::{Loads, Work};
+use super::loads::{LoadTracker, Work};
 use super::memory::{Keepers, PrefixMemory};
 use super::reading::ReadTimes;
 use super::registry::Registry;
@@ -72,7 +72,7 @@
     /// Servers.
     pub registry: &'a Registry,
     /// Their work.
-    pub loads: &'a Loads,
+    pub loads: &'a LoadTracker,
     /// What they have read.
     pub memory: &'a PrefixMemory,
     /// Where this instance stands.
@@ -274,7 +274,7 @@
     if ask.kept.contains(&candidate.server) {
         return Err(Unfit::Full);
     }
-    let glance = view.loads.glance(candidate.server, now);
+    let glance = view.loads.snapshot(candidate.server, now);
     let total = glance.total;
     let room = room(ask, candidate);
     if f64::from(total.running) + 1.0 > (room * ask.part).max(1.0) {
@@ -283,13 +283,13 @@
     let held = held(ask.shape, read);
     if let Some(engine) = ask.engine
         && total.running > 0
-        && f64::from(total.held + held) > f64::from(engine.memory) * MEMORY_PART * ask.part
+        && f64::from(total.kv_tokens + held) > f64::from(engine.memory) * MEMORY_PART * ask.part
     {
         return Err(Unfit::Full);
     }
     let effort = ask.shape.effort(read);
     let ahead = glance.backlog + effort;
-    let pace = glance.pace.max(1.0);
+    let pace = glance.slowdown.max(1.0);
     let first = ask.engine.map_or(Duration::ZERO, |_| ask.times.first());
     let way = ROUND_TRIPS[candidate.tier];
     let usual = first + ask.times.reading(ahead) + way;
@@ -307,9 +307,9 @@
         server: candidate.server,
         work: Work {
             running: 1,
-            unread: effort,
-            held,
-            sent: 0,
+            pending_prefill: effort,
+            kv_tokens: held,
+            total_prefill: 0,
         },
         ahead,
         way,
@@ -320,7 +320,7 @@
         stray: home.is_some_and(|h| h != candidate.server),
     };
     let full = f64::from(total.running) / room;
-    let cost = cost(&choice, ask.objective, rank, full, glance.failing);
+    let cost = cost(&choice, ask.objective, rank, full, glance.failure_rate);
     Ok((choice, cost))
 }
 
--- a/crates/hawthornmill/src/routing/scheduler.rs
+++ b/crates/hawthornmill/src/routing/scheduler.rs
@@ -15,7 +15,7 @@
 use super::allowance;
 use super::budget::Budget;
 use super::digest::{self, DomainWork, Member, Members};
-use super::loads::{Loads, Work};
+use super::loads::{LoadTracker, Work};
 use super::memory::PrefixMemory;
 use super::news::{Lack, News};
 use super::place::{Ask, Choice, Homes, Place, Unplaced, View, choose, is_long};
@@ -64,7 +64,7 @@
     /// Servers.
     pub registry: Registry,
     /// Their work.
-    pub loads: Loads,
+    pub loads: LoadTracker,
     /// What they have read.
     pub memory: PrefixMemory,
     /// What accounts asked for and got.
@@ -92,7 +92,7 @@
     pub fn new(place: Place, budget: Budget) -> Self {
         Self {
             registry: Registry::default(),
-            loads: Loads::default(),
+            loads: LoadTracker::default(),
             memory: PrefixMemory::default(),
             usage: Usage::default(),
             budget,
@@ -246,10 +246,11 @@
         if let Some(time) = time.filter(|_| choice.ahead > 0) {
             let times = self.times.entry(service).or_default();
             times.observe(choice.ahead, time.saturating_sub(choice.way), now);
-            self.loads.observe(choice.server, choice.usual, time, now);
+            self.loads
+                .observe_latency(choice.server, choice.usual, time, now);
         }
         let read = Work {
-            unread: choice.work.unread,
+            pending_prefill: choice.work.pending_prefill,
             ..Work::default()
         };
         self.loads.end(choice.server, read);
@@ -259,7 +260,7 @@
     pub fn finish(&mut self, choice: &Choice, began: bool) {
         let mut work = choice.work;
         if began {
-            work.unread = 0;
+            work.pending_prefill = 0;
         }
         self.loads.end(choice.server, work);
     }
@@ -423,7 +424,7 @@
 
     /// Takes what another instance tells.
     pub fn apply_report(&mut self, from: InstanceId, news: &News, now: Instant) {
-        self.loads.hear(from, news.work.clone(), now);
+        self.loads.apply_peer_report(from, news.work.clone(), now);
         self.usage.hear(from, news.usage.clone(), now);
         for (family, server) in &news.strays {
             self.memory.hear(*server, *family, now);
@@ -473,7 +474,7 @@
         if told.part == 0 {
             self.usage.hear(teller, told.usage, now);
         }
-        self.loads.hear(teller, told.work, now);
+        self.loads.apply_peer_report(teller, told.work, now);
     }
 
     /// Tells whether a request can't get to the head of the line while it may wait.
--- a/tests/testsuite/routing/digest.rs
+++ b/tests/testsuite/routing/digest.rs
@@ -5,7 +5,7 @@
 
 use hawthornmill::ident::{AccountId, DomainId, Incarnation, InstanceId, ServerId};
 use hawthornmill::routing::digest::{DomainWork, Member};
-use hawthornmill::routing::loads::{Loads, Work};
+use hawthornmill::routing::loads::{LoadTracker, Work};
 use hawthornmill::routing::news::{Mate, Mates, News, Reading};
 use hawthornmill::routing::usage::Sums;
 use hawthornmill::wire::frame::DATAGRAM_LIMIT;
@@ -16,9 +16,9 @@
 
 const ONE: Work = Work {
     running: 1,
-    unread: 500,
-    held: 700,
-    sent: 500,
+    pending_prefill: 500,
+    kv_tokens: 700,
+    total_prefill: 500,
 };
 
 fn address(number: u16) -> SocketAddr {
@@ -217,22 +217,22 @@
 fn a_sum_that_falls_brings_no_new_backlog() {
     let now = Instant::now();
     let (peer, server) = (InstanceId::of("b"), ServerId::of("s"));
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     let told = |sent| {
         let unread = 9_000;
         vec![(
             server,
             Work {
-                sent,
-                unread,
+                total_prefill: sent,
+                pending_prefill: unread,
                 ..ONE
             },
         )]
     };
 
-    loads.hear(peer, told(50_000), now);
+    loads.apply_peer_report(peer, told(50_000), now);
     let first = loads.backlog(server, now);
-    loads.hear(peer, told(20_000), now);
+    loads.apply_peer_report(peer, told(20_000), now);
 
     assert_eq!(loads.backlog(server, now), first);
 }
@@ -244,9 +244,9 @@
         .map(|n| {
             let work = Work {
                 running: 30,
-                unread: 60_000,
-                held: 300_000,
-                sent: u32::MAX,
+                pending_prefill: 60_000,
+                kv_tokens: 300_000,
+                total_prefill: u32::MAX,
             };
             (ServerId::of(&format!("s{n}")), work)
         })
--- a/tests/testsuite/routing/many.rs
+++ b/tests/testsuite/routing/many.rs
@@ -84,7 +84,7 @@
     fn decided(&mut self, entry: usize, account: &'static str, decided: Decided, now: Instant) {
         let Ok(choice) = decided else { return };
         let free = self.free.entry(choice.server).or_insert(now);
-        *free = (*free).max(now) + millis((f64::from(choice.work.unread) / READ) as u64);
+        *free = (*free).max(now) + millis((f64::from(choice.work.pending_prefill) / READ) as u64);
         self.due.push(Due {
             at: *free + TIMES[0],
             entry,
@@ -132,7 +132,7 @@
             domain: DomainId::of("a"),
         };
         let news = |scheduler: &mut Scheduler| News {
-            work: scheduler.loads.own(),
+            work: scheduler.loads.local(),
             usage: scheduler.usage.own(now),
             strays: scheduler.told_strays(now),
             short: scheduler.told_short(now),
--- a/tests/testsuite/routing/place.rs
+++ b/tests/testsuite/routing/place.rs
@@ -99,7 +99,7 @@
         request.objective = millis(60_000);
         let choice = sent(scheduler.submit(&request, now));
         scheduler.finish(&choice, false);
-        choice.work.unread
+        choice.work.pending_prefill
     };
 
     let (short, long) = (alone(4_000), alone(40_000));
@@ -119,7 +119,7 @@
     for _ in 0..8 {
         scheduler
             .loads
-            .judge(ServerId::of("a1"), loads::Verdict::Failed, now);
+            .record_outcome(ServerId::of("a1"), loads::ServerOutcome::Failed, now);
     }
 
     for family in 0..10 {
--- a/tests/testsuite/routing/scheduler.rs
+++ b/tests/testsuite/routing/scheduler.rs
@@ -63,12 +63,12 @@
         panic!("{verdict:?}")
     };
     let none = scheduler.dispatch_queued(now + millis(10));
-    let work = scheduler.loads.own()[0].1;
+    let work = scheduler.loads.local()[0].1;
     let one = hawthornmill::routing::loads::Work {
         running: 1,
-        unread: work.unread / 8,
-        held: work.held / 8,
-        sent: 0,
+        pending_prefill: work.pending_prefill / 8,
+        kv_tokens: work.kv_tokens / 8,
+        total_prefill: 0,
     };
     scheduler
         .loads
@@ -322,9 +322,12 @@
     scheduler.apply_change(super::change("a1", 90, Some(anew)), now);
     let unknown = sent(scheduler.submit(&request("lab", shape(1, 300, 200), now), now));
 
-    assert_eq!(known.work.unread, 0);
+    assert_eq!(known.work.pending_prefill, 0);
     let own = shape(1, 300, 200).effort(200);
-    assert_eq!(unknown.work.unread, own, "its own part must be read again");
+    assert_eq!(
+        unknown.work.pending_prefill, own,
+        "its own part must be read again"
+    );
 }
 
 /// The same, told by a whole list: of the store after it lost its history, or of another instance.
@@ -342,7 +345,10 @@
     let unknown = sent(scheduler.submit(&request("lab", shape(1, 300, 200), now), now));
 
     let own = shape(1, 300, 200).effort(200);
-    assert_eq!(unknown.work.unread, own, "its own part must be read again");
+    assert_eq!(
+        unknown.work.pending_prefill, own,
+        "its own part must be read again"
+    );
 }
 
 /// A scheduler before six servers that knows `flood` to be beyond its share.
