--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -18,7 +18,7 @@
 use hawthornmill::routing::leaving::{Leavers, Leaving, Source};
 use hawthornmill::routing::news::{Mates, Reading};
 use hawthornmill::routing::parts::RecentAnswers;
-use hawthornmill::routing::place::{Choice, Place};
+use hawthornmill::routing::placement::{Location, Placement};
 use hawthornmill::routing::registry::{Change, List};
 use hawthornmill::routing::request::{Cause, Refusal, Request, Ticket, Verdict};
 use hawthornmill::routing::scheduler::Scheduler;
@@ -112,7 +112,7 @@
     /// The others should hear of this instance's work before its next news.
     pub stir: Notify,
     phase: watch::Sender<Phase>,
-    waiters: RefCell<SecondaryMap<Ticket, oneshot::Sender<Result<Choice, Refusal>>>>,
+    waiters: RefCell<SecondaryMap<Ticket, oneshot::Sender<Result<Placement, Refusal>>>>,
 }
 
 impl Gateway {
@@ -124,7 +124,7 @@
         incarnation: Incarnation,
     ) -> Rc<Self> {
         let now = clock.now();
-        let place = Place {
+        let place = Location {
             domain: settings.domain,
             region: settings.region,
         };
@@ -304,7 +304,7 @@
     ///
     /// # Errors
     /// Why it is turned away, and when its caller may come back.
-    pub async fn place(&self, request: &Request) -> Result<Choice, Refusal> {
+    pub async fn place(&self, request: &Request) -> Result<Placement, Refusal> {
         let verdict = self.scheduler.borrow_mut().submit(request, self.now());
         self.tell_work();
         let decided = match verdict {
@@ -319,7 +319,7 @@
         }))
     }
 
-    async fn wait(&self, ticket: Ticket) -> Option<Result<Choice, Refusal>> {
+    async fn wait(&self, ticket: Ticket) -> Option<Result<Placement, Refusal>> {
         let (sender, decided) = oneshot::channel();
         self.waiters.borrow_mut().insert(ticket, sender);
         let mut waiting = Waiting {
@@ -354,7 +354,7 @@
     }
 
     /// A request is no longer under way at its server.
-    pub fn release(&self, choice: &Choice, began: bool) {
+    pub fn release(&self, choice: &Placement, began: bool) {
         self.scheduler.borrow_mut().finish(choice, began);
         self.nudge.notify_one();
     }
@@ -404,7 +404,7 @@
 struct Waiting<'a> {
     gateway: &'a Gateway,
     ticket: Ticket,
-    decided: oneshot::Receiver<Result<Choice, Refusal>>,
+    decided: oneshot::Receiver<Result<Placement, Refusal>>,
 }
 
 impl Drop for Waiting<'_> {
--- a/crates/hawthornmill-gateway/src/mates.rs
+++ b/crates/hawthornmill-gateway/src/mates.rs
@@ -170,7 +170,7 @@
         revision: scheduler.registry.latest(),
         work,
         usage,
-        strays: scheduler.told_strays(now),
+        strays: scheduler.spilled_prefixes(now),
         short: scheduler.told_short(now),
         others: gateway.mates.borrow().named(round, now),
     }
--- a/crates/hawthornmill-gateway/src/trip/mod.rs
+++ b/crates/hawthornmill-gateway/src/trip/mod.rs
@@ -25,7 +25,7 @@
 use hawthornmill::codes::Code;
 use hawthornmill::ident::ServerId;
 use hawthornmill::routing::loads;
-use hawthornmill::routing::place::Choice;
+use hawthornmill::routing::placement::Placement;
 use hawthornmill::routing::request::{Cause, Refusal};
 use serde_json::json;
 use tokio::net::tcp::OwnedWriteHalf;
@@ -100,7 +100,7 @@
 pub struct Held<'a> {
     gateway: &'a Gateway,
     admitted: &'a Admitted,
-    choice: Choice,
+    choice: Placement,
     sent: Instant,
     began: bool,
 }
@@ -197,7 +197,7 @@
     way: Way<'_>,
     admitted: &Admitted,
     trip: &mut Trip,
-    choice: Choice,
+    choice: Placement,
     fallback: &mut Option<Answer>,
     out: &mut OwnedWriteHalf,
 ) -> Result<End, Next> {
--- a/crates/hawthornmill-gateway/src/trip/send.rs
+++ b/crates/hawthornmill-gateway/src/trip/send.rs
@@ -10,7 +10,7 @@
 use bytes::BytesMut;
 use hawthornmill::ident::ServerId;
 use hawthornmill::routing::catalog::Repeat;
-use hawthornmill::routing::place::Choice;
+use hawthornmill::routing::placement::Placement;
 use tokio::net::TcpStream;
 
 use super::admit::Admitted;
@@ -73,7 +73,7 @@
     call: &Call,
     admitted: &Admitted,
     trip: &mut Trip,
-    choice: &Choice,
+    choice: &Placement,
 ) -> Sent {
     let server = choice.server;
     let target = {
@@ -117,8 +117,8 @@
 }
 
 /// Time for which a server may be silent before another one gets the request.
-fn patience(admitted: &Admitted, choice: &Choice) -> Duration {
-    admitted.request.objective.mul_f64(GIVEN_UP) + choice.expected * 2
+fn patience(admitted: &Admitted, choice: &Placement) -> Duration {
+    admitted.request.objective.mul_f64(GIVEN_UP) + choice.expected_ttft * 2
 }
 
 /// The request as the server gets it.
--- a/crates/hawthornmill-gateway/src/trip/settle.rs
+++ b/crates/hawthornmill-gateway/src/trip/settle.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use hawthornmill::codes::Code;
-use hawthornmill::routing::place::Choice;
+use hawthornmill::routing::placement::Placement;
 use hawthornmill::routing::request::{Refusal, Request};
 use serde_json::json;
 
@@ -67,7 +67,7 @@
         self.admitted = Some((admitted.route.clone(), admitted.service_name.clone()));
         let fields = json!({
             "route": admitted.route, "service": admitted.service_name, "account": admitted.account,
-            "prompt_tokens": admitted.request.shape.prompt, "body_bytes": call.body.len(),
+            "prompt_tokens": admitted.request.shape.prompt_tokens, "body_bytes": call.body.len(),
             "body_ms": call.came.duration_since(call.began).as_millis() as u64,
             "time_left_ms": admitted.request.ends.duration_since(call.came).as_millis() as u64,
         });
@@ -75,12 +75,12 @@
     }
 
     /// The request goes to a server.
-    pub fn sending(&mut self, gateway: &Gateway, call: &Call, choice: &Choice) {
+    pub fn sending(&mut self, gateway: &Gateway, call: &Call, choice: &Placement) {
         let name = gateway.server_name(choice.server);
         let waited = gateway.now().duration_since(call.came);
         let fields = json!({
             "server": name, "waited_ms": waited.as_millis() as u64, "send": self.arrivals + 1,
-            "tokens_before_first": choice.ahead, "tokens_again": choice.again, "stray": choice.stray, "expected_ms": choice.expected.as_millis() as u64,
+            "tokens_before_first": choice.queued_prefill, "tokens_again": choice.duplicate_prefill, "stray": choice.spilled, "expected_ms": choice.expected_ttft.as_millis() as u64,
             "catalog": gateway.version(), "lag_ms": lag_ms(gateway), "registrations": gateway.scheduler.borrow().registry.latest(),
         });
         journal::step("sent", &call.attempt, fields);
--- a/crates/hawthornmill/src/routing/mod.rs
+++ b/crates/hawthornmill/src/routing/mod.rs
@@ -10,10 +10,10 @@
 //! | [`registry`] | servers as they registered themselves |
 //! | [`leaving`] | servers that leave, told at once |
 //! | [`shape`] | what a request will cost an engine |
-//! | [`loads`], [`memory`] | what is under way at each server, and what it has read |
-//! | [`reading`] | how long engines take to a first token |
+//! | [`loads`], [`prefix_index`] | what is under way at each server, and what it has read |
+//! | [`ttft`] | how long engines take to a first token |
 //! | [`request`] | a request that wants a server, and what can become of it |
-//! | [`place`] | the server for a request |
+//! | [`placement`] | the server for a request |
 //! | [`usage`] | what accounts asked for and got, and their max-min shares |
 //! | [`allowance`] | how much of a server an account's requests may take |
 //! | [`budget`] | second sends over the fleet |
@@ -31,15 +31,15 @@
 pub mod lag;
 pub mod leaving;
 pub mod loads;
-pub mod memory;
 pub mod news;
 pub mod parts;
-pub mod place;
-pub mod reading;
+pub mod placement;
+pub mod prefix_index;
 pub mod registry;
 pub mod request;
 pub mod scheduler;
 pub mod shape;
 pub mod shortage;
 pub mod table;
+pub mod ttft;
 pub mod usage;
--- a/crates/hawthornmill/src/routing/place.rs
+++ b/crates/hawthornmill/src/routing/placement.rs
@@ -15,10 +15,10 @@
 
 use super::catalog::Engine;
 use super::loads::{LoadTracker, Work};
-use super::memory::{Keepers, PrefixMemory};
-use super::reading::ReadTimes;
+use super::prefix_index::{PrefixHits, PrefixIndex};
 use super::registry::Registry;
 use super::shape::Shape;
+use super::ttft::TtftModel;
 use crate::ident::{DomainId, RegionId, ServerId, ServiceId, mix};
 
 /// Shared tokens from which a family has one home in the whole fleet: reading them costs more than the way.
@@ -59,7 +59,7 @@
 
 /// Where this instance stands.
 #[derive(Debug, Clone, Copy)]
-pub struct Place {
+pub struct Location {
     /// Its failure domain.
     pub domain: DomainId,
     /// Its region.
@@ -68,22 +68,22 @@
 
 /// What a choice looks at.
 #[derive(Debug)]
-pub struct View<'a> {
+pub struct PlacementView<'a> {
     /// Servers.
     pub registry: &'a Registry,
     /// Their work.
     pub loads: &'a LoadTracker,
     /// What they have read.
-    pub memory: &'a PrefixMemory,
+    pub prefix_index: &'a PrefixIndex,
     /// Where this instance stands.
-    pub place: Place,
+    pub location: Location,
     /// Region of each failure domain.
     pub regions: &'a [(DomainId, RegionId)],
 }
 
 /// A request that needs a server.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct PlacementRequest<'a> {
     /// Service that serves it.
     pub service: ServiceId,
     /// Set where model engines serve it.
@@ -91,57 +91,57 @@
     /// Its size.
     pub shape: &'a Shape,
     /// Servers that had it before.
-    pub avoid: &'a [ServerId],
+    pub excluded: &'a [ServerId],
     /// Servers for which others wait that go before it.
-    pub kept: &'a [ServerId],
+    pub reserved: &'a [ServerId],
     /// How long the service's engines take to a first token.
-    pub times: ReadTimes,
+    pub ttft: TtftModel,
     /// Time that is left of the objective.
-    pub objective: Duration,
+    pub time_left: Duration,
     /// The whole objective.
-    pub promised: Duration,
+    pub full_objective: Duration,
     /// Part of a server's room and of the objective that the request may take.
-    pub part: f64,
+    pub capacity_fraction: f64,
     /// Servers of its family, in their order, to which it may go though a long shared part may have to be
     /// read again there.
-    pub copies: usize,
+    pub max_copies: usize,
 }
 
 /// The server chosen.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Choice {
+pub struct Placement {
     /// The server.
     pub server: ServerId,
     /// What the request adds to the server's work.
     pub work: Work,
     /// Effort of the reading before its first token, its own included, in tokens.
-    pub ahead: u32,
+    pub queued_prefill: u32,
     /// Round trip to the server.
-    pub way: Duration,
+    pub round_trip: Duration,
     /// Time to the first token if the server is as fast as the others.
-    pub usual: Duration,
+    pub baseline_ttft: Duration,
     /// Expected time to the first token.
-    pub expected: Duration,
+    pub expected_ttft: Duration,
     /// The same if nothing were before it there.
-    pub alone: Duration,
+    pub unloaded_ttft: Duration,
     /// Tokens of shared parts that the server must read though another one keeps them.
-    pub again: u32,
+    pub duplicate_prefill: u32,
     /// It goes to another server than the one that keeps its shared prefix.
-    pub stray: bool,
+    pub spilled: bool,
 }
 
 /// Servers for which a request waits.
-pub type Homes = SmallVec<[ServerId; 2]>;
+pub type HomeServers = SmallVec<[ServerId; 2]>;
 
 /// Why no server was chosen.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Unplaced {
+pub enum PlacementError {
     /// The service has no server that could ever take it.
     NoServer,
     /// All servers that could take it are full.
     AllFull,
     /// The few servers that may read its shared prefix are full, and it goes to no other.
-    HomesFull(Homes),
+    HomesFull(HomeServers),
     /// It would be late even if nothing were before it.
     TooLong,
 }
@@ -149,7 +149,7 @@
 /// What is the same for all candidates of one request.
 struct Known {
     homes: Vec<ServerId>,
-    keepers: Keepers,
+    keepers: PrefixHits,
     shared: u32,
 }
 
@@ -162,19 +162,23 @@
 /// Chooses the server with the least expected time to the first token.
 ///
 /// # Errors
-/// [`Unplaced`] says whether waiting can help.
-pub fn choose(view: &View<'_>, ask: &Ask<'_>, now: Instant) -> Result<Choice, Unplaced> {
+/// [`PlacementError`] says whether waiting can help.
+pub fn choose_server(
+    view: &PlacementView<'_>,
+    ask: &PlacementRequest<'_>,
+    now: Instant,
+) -> Result<Placement, PlacementError> {
     let candidates = candidates(view, ask, now);
     if candidates.is_empty() {
-        return Err(Unplaced::NoServer);
+        return Err(PlacementError::NoServer);
     }
     let known = Known {
         homes: homes(&candidates, ask.shape),
-        keepers: view.memory.keepers(ask.shape, now),
-        shared: ask.shape.shared(),
+        keepers: view.prefix_index.lookup(ask.shape, now),
+        shared: ask.shape.shared_tokens(),
     };
-    let mut best: Option<(Choice, f64)> = None;
-    let mut full = Homes::new();
+    let mut best: Option<(Placement, f64)> = None;
+    let mut full = HomeServers::new();
     let mut kept_out = false;
     for candidate in &candidates {
         match weigh(view, ask, candidate, &known, now) {
@@ -186,14 +190,18 @@
     }
     match best {
         Some((choice, _)) => Ok(choice),
-        None if full.is_empty() => Err(Unplaced::TooLong),
-        None if kept_out => Err(Unplaced::HomesFull(full)),
-        None => Err(Unplaced::AllFull),
+        None if full.is_empty() => Err(PlacementError::TooLong),
+        None if kept_out => Err(PlacementError::HomesFull(full)),
+        None => Err(PlacementError::AllFull),
     }
 }
 
-fn candidates(view: &View<'_>, ask: &Ask<'_>, now: Instant) -> Vec<Candidate> {
-    let usable = |id: &ServerId| !ask.avoid.contains(id) && !view.loads.is_down(*id, now);
+fn candidates(
+    view: &PlacementView<'_>,
+    ask: &PlacementRequest<'_>,
+    now: Instant,
+) -> Vec<Candidate> {
+    let usable = |id: &ServerId| !ask.excluded.contains(id) && !view.loads.is_down(*id, now);
     view.registry
         .entries()
         .filter(|(id, known)| {
@@ -207,12 +215,12 @@
         .collect()
 }
 
-fn tier(view: &View<'_>, domain: DomainId) -> usize {
-    if domain == view.place.domain {
+fn tier(view: &PlacementView<'_>, domain: DomainId) -> usize {
+    if domain == view.location.domain {
         return 0;
     }
     let region = view.regions.iter().find(|(d, _)| *d == domain);
-    if region.is_some_and(|(_, r)| *r == view.place.region) {
+    if region.is_some_and(|(_, r)| *r == view.location.region) {
         1
     } else {
         2
@@ -224,11 +232,11 @@
 /// The first one is its home. When that is full, all instances go on to the same second one, which
 /// therefore keeps the prefix too; so a family has as many copies as its load needs.
 fn homes(candidates: &[Candidate], shape: &Shape) -> Vec<ServerId> {
-    let Some(family) = shape.family() else {
+    let Some(family) = shape.shared_prefix() else {
         return Vec::new();
     };
     let nearest = candidates.iter().map(|c| c.tier).min().unwrap_or(0);
-    let reach = if shape.shared() >= FLEET_WIDE {
+    let reach = if shape.shared_tokens() >= FLEET_WIDE {
         2
     } else {
         nearest
@@ -255,55 +263,60 @@
 
 /// The choice of one candidate and its cost in seconds.
 fn weigh(
-    view: &View<'_>,
-    ask: &Ask<'_>,
+    view: &PlacementView<'_>,
+    ask: &PlacementRequest<'_>,
     candidate: &Candidate,
     known: &Known,
     now: Instant,
-) -> Result<(Choice, f64), Unfit> {
+) -> Result<(Placement, f64), Unfit> {
     let homes = &known.homes;
     let home = homes.first().copied();
     let read = to_read(ask, known, candidate.server);
-    let unique = ask.shape.prompt.saturating_sub(known.shared);
+    let unique = ask.shape.prompt_tokens.saturating_sub(known.shared);
     let again = read.saturating_sub(unique);
     let rank = homes.iter().position(|h| *h == candidate.server);
     let rank = rank.unwrap_or(homes.len());
-    if again >= LONG_SHARED && rank >= ask.copies {
+    if again >= LONG_SHARED && rank >= ask.max_copies {
         return Err(Unfit::Copies);
     }
-    if ask.kept.contains(&candidate.server) {
+    if ask.reserved.contains(&candidate.server) {
         return Err(Unfit::Full);
     }
     let glance = view.loads.snapshot(candidate.server, now);
     let total = glance.total;
     let room = room(ask, candidate);
-    if f64::from(total.running) + 1.0 > (room * ask.part).max(1.0) {
+    if f64::from(total.running) + 1.0 > (room * ask.capacity_fraction).max(1.0) {
         return Err(Unfit::Full);
     }
     let held = held(ask.shape, read);
     if let Some(engine) = ask.engine
         && total.running > 0
-        && f64::from(total.kv_tokens + held) > f64::from(engine.memory) * MEMORY_PART * ask.part
+        && f64::from(total.kv_tokens + held)
+            > f64::from(engine.memory) * MEMORY_PART * ask.capacity_fraction
     {
         return Err(Unfit::Full);
     }
-    let effort = ask.shape.effort(read);
+    let effort = ask.shape.prefill_cost(read);
     let ahead = glance.backlog + effort;
     let pace = glance.slowdown.max(1.0);
-    let first = ask.engine.map_or(Duration::ZERO, |_| ask.times.first());
+    let first = ask
+        .engine
+        .map_or(Duration::ZERO, |_| ask.ttft.base_latency());
     let way = ROUND_TRIPS[candidate.tier];
-    let usual = first + ask.times.reading(ahead) + way;
+    let usual = first + ask.ttft.prefill_time(ahead) + way;
     let expected = usual.mul_f64(pace);
-    let alone = (first + ask.times.reading(effort)).mul_f64(pace) + way;
-    let allowed = ask.objective.mul_f64(ask.part);
-    if ask.part < 1.0 && expected > allowed {
-        return Err(if alone > ask.promised.mul_f64(ask.part) {
-            Unfit::TooLong
-        } else {
-            Unfit::Full
-        });
+    let alone = (first + ask.ttft.prefill_time(effort)).mul_f64(pace) + way;
+    let allowed = ask.time_left.mul_f64(ask.capacity_fraction);
+    if ask.capacity_fraction < 1.0 && expected > allowed {
+        return Err(
+            if alone > ask.full_objective.mul_f64(ask.capacity_fraction) {
+                Unfit::TooLong
+            } else {
+                Unfit::Full
+            },
+        );
     }
-    let choice = Choice {
+    let choice = Placement {
         server: candidate.server,
         work: Work {
             running: 1,
@@ -311,16 +324,16 @@
             kv_tokens: held,
             total_prefill: 0,
         },
-        ahead,
-        way,
-        usual,
-        expected,
-        alone,
-        again,
-        stray: home.is_some_and(|h| h != candidate.server),
+        queued_prefill: ahead,
+        round_trip: way,
+        baseline_ttft: usual,
+        expected_ttft: expected,
+        unloaded_ttft: alone,
+        duplicate_prefill: again,
+        spilled: home.is_some_and(|h| h != candidate.server),
     };
     let full = f64::from(total.running) / room;
-    let cost = cost(&choice, ask.objective, rank, full, glance.failure_rate);
+    let cost = cost(&choice, ask.time_left, rank, full, glance.failure_rate);
     Ok((choice, cost))
 }
 
@@ -328,10 +341,12 @@
 ///
 /// `rank` is the server's place among the family's, `full` the part of its room that is taken, `failing` that of
 /// its answers that fail.
-fn cost(choice: &Choice, objective: Duration, rank: usize, full: f64, failing: f64) -> f64 {
-    let risk = choice.expected.saturating_sub(objective.mul_f64(AT_RISK));
-    choice.expected.as_secs_f64()
-        + REREAD * f64::from(choice.again)
+fn cost(choice: &Placement, objective: Duration, rank: usize, full: f64, failing: f64) -> f64 {
+    let risk = choice
+        .expected_ttft
+        .saturating_sub(objective.mul_f64(AT_RISK));
+    choice.expected_ttft.as_secs_f64()
+        + REREAD * f64::from(choice.duplicate_prefill)
         + RISK * risk.as_secs_f64()
         + CROWDED.as_secs_f64() * full * full
         + RANK.as_secs_f64() * rank as f64
@@ -342,13 +357,13 @@
 ///
 /// A prompt can be so long that its reading alone takes most of the time. It delays several others, so it is served
 /// only while nothing else waits.
-pub fn is_long(choice: &Choice, time: Duration) -> bool {
-    let wait = choice.expected.saturating_sub(choice.alone);
-    choice.alone > time.mul_f64(LONG) && wait <= time.mul_f64(LONG_WAIT)
+pub fn is_prefill_bound(choice: &Placement, time: Duration) -> bool {
+    let wait = choice.expected_ttft.saturating_sub(choice.unloaded_ttft);
+    choice.unloaded_ttft > time.mul_f64(LONG) && wait <= time.mul_f64(LONG_WAIT)
 }
 
 /// Requests that the server may have at once.
-fn room(ask: &Ask<'_>, candidate: &Candidate) -> f64 {
+fn room(ask: &PlacementRequest<'_>, candidate: &Candidate) -> f64 {
     let own = f64::from(candidate.slots.max(1));
     match ask.engine {
         Some(engine) => own.min(f64::from(engine.slots)),
@@ -357,7 +372,7 @@
 }
 
 /// Prompt tokens that the server must read.
-fn to_read(ask: &Ask<'_>, known: &Known, server: ServerId) -> u32 {
+fn to_read(ask: &PlacementRequest<'_>, known: &Known, server: ServerId) -> u32 {
     let seen = known.keepers.iter().find(|(id, _)| *id == server);
     let seen = seen.map_or(0, |(_, tokens)| *tokens);
     let kept = if known.homes.first() == Some(&server) {
@@ -365,10 +380,10 @@
     } else {
         seen
     };
-    ask.shape.prompt.saturating_sub(kept)
+    ask.shape.prompt_tokens.saturating_sub(kept)
 }
 
 /// Tokens that the request takes in the engine's memory besides what is kept there already.
 fn held(shape: &Shape, read: u32) -> u32 {
-    read + shape.expected()
+    read + shape.expected_output()
 }
--- a/crates/hawthornmill/src/routing/memory.rs
+++ b/crates/hawthornmill/src/routing/prefix_index.rs
@@ -15,19 +15,19 @@
 const MOST: usize = 20_000;
 
 /// Servers and the tokens of one prompt that each keeps.
-pub type Keepers = SmallVec<[(ServerId, u32); 8]>;
+pub type PrefixHits = SmallVec<[(ServerId, u32); 8]>;
 
 /// Prefixes that servers have read.
 #[derive(Debug, Clone, Default)]
-pub struct PrefixMemory {
+pub struct PrefixIndex {
     used: BTreeMap<(PrefixKey, ServerId), Instant>,
 }
 
-impl PrefixMemory {
+impl PrefixIndex {
     /// `server` reads the prompt of `shape`.
-    pub fn note(&mut self, server: ServerId, shape: &Shape, now: Instant) {
+    pub fn record(&mut self, server: ServerId, shape: &Shape, now: Instant) {
         if self.used.len() >= MOST {
-            self.sweep(now);
+            self.evict_expired(now);
         }
         if self.used.len() >= MOST {
             return;
@@ -38,7 +38,7 @@
     }
 
     /// Another instance says that `server` has read the prefix `key`.
-    pub fn hear(&mut self, server: ServerId, key: PrefixKey, now: Instant) {
+    pub fn record_remote(&mut self, server: ServerId, key: PrefixKey, now: Instant) {
         if self.used.len() < MOST {
             self.used.insert((key, server), now);
         }
@@ -47,8 +47,8 @@
     /// Servers that need not read all of the prompt, with the tokens that each one keeps.
     ///
     /// One search for each prefix finds all of them, however many servers there are.
-    pub fn keepers(&self, shape: &Shape, now: Instant) -> Keepers {
-        let mut keepers = Keepers::new();
+    pub fn lookup(&self, shape: &Shape, now: Instant) -> PrefixHits {
+        let mut keepers = PrefixHits::new();
         for (key, tokens) in shape.prefixes() {
             let all = self
                 .used
@@ -65,12 +65,12 @@
     }
 
     /// Forgets what servers will have given up.
-    pub fn sweep(&mut self, now: Instant) {
+    pub fn evict_expired(&mut self, now: Instant) {
         self.used.retain(|_, at| now.duration_since(*at) < KEPT);
     }
 
     /// Forgets everything of a server that is gone or has started anew.
-    pub fn forget(&mut self, server: ServerId) {
+    pub fn remove_server(&mut self, server: ServerId) {
         self.used.retain(|(_, s), _| *s != server);
     }
 }
--- a/crates/hawthornmill/src/routing/request.rs
+++ b/crates/hawthornmill/src/routing/request.rs
@@ -6,7 +6,7 @@
 use smallvec::SmallVec;
 
 use super::catalog::Engine;
-use super::place::Choice;
+use super::placement::Placement;
 use super::shape::Shape;
 use super::usage::{Share, Sums};
 use crate::codes::Code;
@@ -91,7 +91,7 @@
 
 /// The server for a request, where its work is counted from then on, or why it is turned away; it has
 /// not run then.
-pub type Decided = Result<Choice, Refusal>;
+pub type Decided = Result<Placement, Refusal>;
 
 /// What becomes of a request that comes.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/hawthornmill/src/routing/scheduler.rs
+++ b/crates/hawthornmill/src/routing/scheduler.rs
@@ -16,14 +16,17 @@
 use super::budget::Budget;
 use super::digest::{self, DomainWork, Member, Members};
 use super::loads::{LoadTracker, Work};
-use super::memory::PrefixMemory;
 use super::news::{Lack, News};
-use super::place::{Ask, Choice, Homes, Place, Unplaced, View, choose, is_long};
-use super::reading::ReadTimes;
+use super::placement::{
+    HomeServers, Location, Placement, PlacementError, PlacementRequest, PlacementView,
+    choose_server, is_prefill_bound,
+};
+use super::prefix_index::PrefixIndex;
 use super::registry::{Change, List, Registry};
 use super::request::{Cause, Decided, Outlook, Refusal, Request, Ticket, Verdict};
 use super::shape::PrefixKey;
 use super::shortage::{Shortages, TOLD, shuts_out};
+use super::ttft::TtftModel;
 use super::usage::{FADE, Share, Standing, Sums, Usage, standings};
 use crate::codes::Code;
 use crate::ident::{AccountId, DomainId, InstanceId, RegionId, ServerId, ServiceId};
@@ -47,7 +50,7 @@
 struct InLine {
     request: Request,
     /// The only servers that it waits for; empty when any server will do.
-    homes: Homes,
+    homes: HomeServers,
 }
 
 /// What those further back in the line may not take, since others that go before wait for it.
@@ -55,7 +58,7 @@
 struct Taken {
     /// Services of which any server would do.
     services: SmallVec<[ServiceId; 4]>,
-    servers: Homes,
+    servers: HomeServers,
 }
 
 /// Everything that decides where requests go.
@@ -66,7 +69,7 @@
     /// Their work.
     pub loads: LoadTracker,
     /// What they have read.
-    pub memory: PrefixMemory,
+    pub prefix_index: PrefixIndex,
     /// What accounts asked for and got.
     pub usage: Usage,
     /// Second sends.
@@ -75,8 +78,8 @@
     pub regions: Vec<(DomainId, RegionId)>,
     /// Tokens a second of all engines; 0 when unknown.
     pub token_rate: f64,
-    place: Place,
-    times: BTreeMap<ServiceId, ReadTimes>,
+    place: Location,
+    times: BTreeMap<ServiceId, TtftModel>,
     paces: BTreeMap<ServiceId, Pace>,
     line: SlotMap<Ticket, InLine>,
     fleet: BTreeMap<AccountId, Sums>,
@@ -89,11 +92,11 @@
 
 impl Scheduler {
     /// A scheduler that knows no server.
-    pub fn new(place: Place, budget: Budget) -> Self {
+    pub fn new(place: Location, budget: Budget) -> Self {
         Self {
             registry: Registry::default(),
             loads: LoadTracker::default(),
-            memory: PrefixMemory::default(),
+            prefix_index: PrefixIndex::default(),
             usage: Usage::default(),
             budget,
             regions: Vec::new(),
@@ -121,18 +124,18 @@
         self.count(request, now);
         self.work_out(now);
         let blocked = self.is_blocked(request, now);
-        let mut homes = Homes::new();
+        let mut homes = HomeServers::new();
         if let Some(kept) = self.kept_for_better(request)
             && !blocked
         {
             match self.place(request, &kept, now) {
                 Ok(choice) => return Verdict::Decided(Ok(choice)),
-                Err(Unplaced::NoServer) => return Verdict::Decided(Err(NO_SERVER)),
-                Err(Unplaced::TooLong) => {
+                Err(PlacementError::NoServer) => return Verdict::Decided(Err(NO_SERVER)),
+                Err(PlacementError::TooLong) => {
                     return Verdict::Decided(Err(self.refuse(request, Cause::TooLong, now)));
                 }
-                Err(Unplaced::AllFull) => {}
-                Err(Unplaced::HomesFull(full)) => homes = full,
+                Err(PlacementError::AllFull) => {}
+                Err(PlacementError::HomesFull(full)) => homes = full,
             }
         }
         let (standing, cost) = (self.standing(request), request.shape.cost());
@@ -190,15 +193,15 @@
         }
         match self.place(&request, &taken.servers, now) {
             Ok(choice) => Some(Ok(choice)),
-            Err(Unplaced::NoServer) => Some(Err(NO_SERVER)),
-            Err(Unplaced::TooLong) => Some(Err(self.refuse(&request, Cause::TooLong, now))),
+            Err(PlacementError::NoServer) => Some(Err(NO_SERVER)),
+            Err(PlacementError::TooLong) => Some(Err(self.refuse(&request, Cause::TooLong, now))),
             Err(_full) if over => Some(Err(self.refuse(&request, Cause::Waited, now))),
-            Err(Unplaced::AllFull) => {
+            Err(PlacementError::AllFull) => {
                 taken.services.push(request.service);
                 self.line[ticket].homes.clear();
                 None
             }
-            Err(Unplaced::HomesFull(homes)) => {
+            Err(PlacementError::HomesFull(homes)) => {
                 taken.servers.extend_from_slice(&homes);
                 self.line[ticket].homes = homes;
                 None
@@ -229,7 +232,7 @@
     /// Taken for the run before, such a server would draw prompts whose beginnings it no longer keeps.
     fn forget_lost(&mut self) {
         for server in self.registry.take_lost() {
-            self.memory.forget(server);
+            self.prefix_index.remove_server(server);
         }
     }
 
@@ -239,15 +242,19 @@
     pub fn record_first_token(
         &mut self,
         service: ServiceId,
-        choice: &Choice,
+        choice: &Placement,
         time: Option<Duration>,
         now: Instant,
     ) {
-        if let Some(time) = time.filter(|_| choice.ahead > 0) {
+        if let Some(time) = time.filter(|_| choice.queued_prefill > 0) {
             let times = self.times.entry(service).or_default();
-            times.observe(choice.ahead, time.saturating_sub(choice.way), now);
+            times.observe(
+                choice.queued_prefill,
+                time.saturating_sub(choice.round_trip),
+                now,
+            );
             self.loads
-                .observe_latency(choice.server, choice.usual, time, now);
+                .observe_latency(choice.server, choice.baseline_ttft, time, now);
         }
         let read = Work {
             pending_prefill: choice.work.pending_prefill,
@@ -257,7 +264,7 @@
     }
 
     /// The request is no longer under way; `began` says whether [`Self::began`] was called for it.
-    pub fn finish(&mut self, choice: &Choice, began: bool) {
+    pub fn finish(&mut self, choice: &Placement, began: bool) {
         let mut work = choice.work;
         if began {
             work.pending_prefill = 0;
@@ -301,49 +308,52 @@
         request: &Request,
         kept: &[ServerId],
         now: Instant,
-    ) -> Result<Choice, Unplaced> {
+    ) -> Result<Placement, PlacementError> {
         let calm = self.better(request, now).places == 0;
         let share = self.share_of(request);
-        let view = View {
+        let view = PlacementView {
             registry: &self.registry,
             loads: &self.loads,
-            memory: &self.memory,
-            place: self.place,
+            prefix_index: &self.prefix_index,
+            location: self.place,
             regions: &self.regions,
         };
-        let ask = Ask {
+        let ask = PlacementRequest {
             service: request.service,
             engine: request.engine,
             shape: &request.shape,
-            avoid: &request.tried,
-            kept,
-            times: self
+            excluded: &request.tried,
+            reserved: kept,
+            ttft: self
                 .times
                 .get(&request.service)
                 .copied()
                 .unwrap_or_default()
-                .at(now),
-            objective: (request.came + request.objective).saturating_duration_since(now),
-            promised: request.objective,
-            part: allowance::part(share, calm),
-            copies: allowance::copies(share.standing),
+                .decayed(now),
+            time_left: (request.came + request.objective).saturating_duration_since(now),
+            full_objective: request.objective,
+            capacity_fraction: allowance::part(share, calm),
+            max_copies: allowance::copies(share.standing),
         };
-        let choice = choose(&view, &ask, now)?;
+        let choice = choose_server(&view, &ask, now)?;
         // Elsewhere it would begin sooner at the price of reading its shared part again, which is
         // what servers have no time for when this one is late.
-        let timely = choice.expected <= ask.objective;
-        if request.tried.is_empty() && !timely && !(calm && is_long(&choice, ask.objective)) {
+        let timely = choice.expected_ttft <= ask.time_left;
+        if request.tried.is_empty()
+            && !timely
+            && !(calm && is_prefill_bound(&choice, ask.time_left))
+        {
             // What would be late on idle servers too tells of no shortage.
-            return Err(if choice.alone > ask.objective {
-                Unplaced::TooLong
+            return Err(if choice.unloaded_ttft > ask.time_left {
+                PlacementError::TooLong
             } else {
-                Unplaced::AllFull
+                PlacementError::AllFull
             });
         }
         self.loads
-            .begin(choice.server, choice.work, ask.times.per_second(), now);
-        self.memory.note(choice.server, &request.shape, now);
-        if let (true, Some(family)) = (choice.stray, request.shape.family()) {
+            .begin(choice.server, choice.work, ask.ttft.prefill_rate(), now);
+        self.prefix_index.record(choice.server, &request.shape, now);
+        if let (true, Some(family)) = (choice.spilled, request.shape.shared_prefix()) {
             push_stray(&mut self.strays, family, choice.server, now);
         }
         if let Some(account) = request.account
@@ -355,9 +365,9 @@
     }
 
     /// The servers for which others wait that go before `request`; none when some of those wait for any server.
-    fn kept_for_better(&self, request: &Request) -> Option<Homes> {
+    fn kept_for_better(&self, request: &Request) -> Option<HomeServers> {
         let rank = self.rank(request);
-        let mut kept = Homes::new();
+        let mut kept = HomeServers::new();
         for waiting in self.same(request.service) {
             if self.rank(&waiting.request) >= rank {
                 continue;
@@ -416,7 +426,7 @@
     }
 
     /// Prefixes that were sent to other servers than their homes lately, for the others.
-    pub fn told_strays(&mut self, now: Instant) -> Vec<(PrefixKey, ServerId)> {
+    pub fn spilled_prefixes(&mut self, now: Instant) -> Vec<(PrefixKey, ServerId)> {
         self.strays
             .retain(|(_, _, at)| now.duration_since(*at) < TOLD);
         self.strays.iter().map(|(f, s, _)| (*f, *s)).collect()
@@ -427,7 +437,7 @@
         self.loads.apply_peer_report(from, news.work.clone(), now);
         self.usage.hear(from, news.usage.clone(), now);
         for (family, server) in &news.strays {
-            self.memory.hear(*server, *family, now);
+            self.prefix_index.record_remote(*server, *family, now);
         }
         self.shortages.hear(from, &news.short, now);
         for (family, server) in &news.strays {
@@ -464,7 +474,7 @@
         let teller = digest::teller(members.domain, 0);
         self.shortages.hear(teller, &members.short, now);
         for (family, server) in &members.strays {
-            self.memory.hear(*server, *family, now);
+            self.prefix_index.record_remote(*server, *family, now);
         }
     }
 
--- a/crates/hawthornmill/src/routing/shape.rs
+++ b/crates/hawthornmill/src/routing/shape.rs
@@ -30,32 +30,33 @@
     /// Parts in order; the last one belongs to the request or its session alone.
     pub parts: SmallVec<[PromptPart; 4]>,
     /// Tokens of the whole prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Tokens that will be generated at most.
-    pub most: u32,
+    pub max_output: u32,
     /// The caller's guess of the tokens that will be generated, right at the median only.
-    pub hint: Option<u32>,
+    pub output_hint: Option<u32>,
 }
 
 impl Shape {
     /// Tokens that will be generated, as far as can be told.
-    pub fn expected(&self) -> u32 {
-        self.hint.map_or(self.most, |hint| hint.min(self.most))
+    pub fn expected_output(&self) -> u32 {
+        self.output_hint
+            .map_or(self.max_output, |hint| hint.min(self.max_output))
     }
 
     /// Tokens read and generated, a generated one counted twice.
     pub fn cost(&self) -> f64 {
-        f64::from(self.prompt) + 2.0 * f64::from(self.expected())
+        f64::from(self.prompt_tokens) + 2.0 * f64::from(self.expected_output())
     }
 
     /// What reading the last `read` tokens of the prompt takes, in tokens at the begin of a prompt.
-    pub fn effort(&self, read: u32) -> u32 {
-        let before = f64::from(self.prompt.saturating_sub(read)) + f64::from(read) / 2.0;
+    pub fn prefill_cost(&self, read: u32) -> u32 {
+        let before = f64::from(self.prompt_tokens.saturating_sub(read)) + f64::from(read) / 2.0;
         (f64::from(read) * (1.0 + before / ATTENTION)) as u32
     }
 
     /// Tokens of the parts that other requests share.
-    pub fn shared(&self) -> u32 {
+    pub fn shared_tokens(&self) -> u32 {
         let all = self.parts.len().saturating_sub(1);
         self.parts[..all].iter().map(|p| p.tokens).sum()
     }
@@ -75,7 +76,7 @@
     }
 
     /// Identity of the shared parts together; none where nothing is shared.
-    pub fn family(&self) -> Option<PrefixKey> {
+    pub fn shared_prefix(&self) -> Option<PrefixKey> {
         let shared = self.parts.len().checked_sub(2)?;
         self.prefixes().get(shared).map(|(key, _)| *key)
     }
--- a/crates/hawthornmill/src/routing/reading.rs
+++ b/crates/hawthornmill/src/routing/ttft.rs
@@ -28,7 +28,7 @@
 
 /// Weighted sums over answers: tokens before the first one, and milliseconds to it.
 #[derive(Debug, Clone, Copy)]
-pub struct ReadTimes {
+pub struct TtftModel {
     weight: f64,
     tokens: f64,
     millis: f64,
@@ -37,7 +37,7 @@
     last: Option<Instant>,
 }
 
-impl Default for ReadTimes {
+impl Default for TtftModel {
     fn default() -> Self {
         let mut times = Self {
             weight: 0.0,
@@ -58,10 +58,10 @@
     }
 }
 
-impl ReadTimes {
+impl TtftModel {
     /// The first token came `time` after `tokens` were before it, its own prompt included; above 0.
     pub fn observe(&mut self, tokens: u32, time: Duration, now: Instant) {
-        *self = self.at(now);
+        *self = self.decayed(now);
         self.last = Some(now);
         self.keep(1.0 - FADE);
         self.add(1.0, f64::from(tokens), time.as_secs_f64() * 1000.0);
@@ -69,7 +69,7 @@
 
     /// What it says at `now`: the longer no answer came, the more of what was assumed first.
     #[must_use]
-    pub fn at(self, now: Instant) -> Self {
+    pub fn decayed(self, now: Instant) -> Self {
         let silence = self.last.map_or(Duration::ZERO, |last| {
             now.saturating_duration_since(last).saturating_sub(SILENT)
         });
@@ -119,17 +119,17 @@
     }
 
     /// Tokens that are read in a second.
-    pub fn per_second(self) -> f64 {
+    pub fn prefill_rate(self) -> f64 {
         self.rate() * 1000.0
     }
 
     /// Time in which `tokens` are read.
-    pub fn reading(self, tokens: u32) -> Duration {
-        Duration::from_secs_f64(f64::from(tokens) / self.per_second())
+    pub fn prefill_time(self, tokens: u32) -> Duration {
+        Duration::from_secs_f64(f64::from(tokens) / self.prefill_rate())
     }
 
     /// Time to a first token besides the reading.
-    pub fn first(self) -> Duration {
+    pub fn base_latency(self) -> Duration {
         let millis = (self.millis - self.tokens / self.rate()) / self.weight;
         Duration::from_secs_f64(millis.max(0.0) / 1000.0)
     }
--- a/tests/testsuite/gateway/translation.rs
+++ b/tests/testsuite/gateway/translation.rs
@@ -122,18 +122,22 @@
 
     let (shape, other) = (shape.expect("a size"), other.expect("a size"));
     assert_eq!(
-        (shape.prompt, shape.shared(), shape.expected()),
+        (
+            shape.prompt_tokens,
+            shape.shared_tokens(),
+            shape.expected_output()
+        ),
         (1_460, 1_210, 33)
     );
-    assert_eq!(other.expected(), 80);
+    assert_eq!(other.expected_output(), 80);
     assert_ne!(
-        shape.family(),
-        other.family(),
+        shape.shared_prefix(),
+        other.shared_prefix(),
         "prompts of two models share nothing"
     );
     assert!(shape_of("Token-Usage: x\r\n").is_none());
     assert!(shape_of("Token-Usage: 1,2\r\nPrompt-Prefix: zz\r\n").is_none());
-    assert_eq!(shape_of("A: b\r\n").map(|s| s.prompt), Some(0));
+    assert_eq!(shape_of("A: b\r\n").map(|s| s.prompt_tokens), Some(0));
 }
 
 #[test]
--- a/tests/testsuite/routing/many.rs
+++ b/tests/testsuite/routing/many.rs
@@ -5,7 +5,7 @@
 
 use hawthornmill::ident::{DomainId, InstanceId, ServerId};
 use hawthornmill::routing::news::{Mate, News};
-use hawthornmill::routing::place::Choice;
+use hawthornmill::routing::placement::Placement;
 use hawthornmill::routing::request::{Decided, Request, Ticket, Verdict};
 use hawthornmill::routing::scheduler::Scheduler;
 use hawthornmill_test_support::news::news_of;
@@ -40,7 +40,7 @@
 struct Due {
     at: Instant,
     entry: usize,
-    choice: Choice,
+    choice: Placement,
     sent: Instant,
     account: &'static str,
     began: bool,
@@ -134,7 +134,7 @@
         let news = |scheduler: &mut Scheduler| News {
             work: scheduler.loads.local(),
             usage: scheduler.usage.own(now),
-            strays: scheduler.told_strays(now),
+            strays: scheduler.spilled_prefixes(now),
             short: scheduler.told_short(now),
             ..news_of(mate)
         };
--- a/tests/testsuite/routing/mod.rs
+++ b/tests/testsuite/routing/mod.rs
@@ -10,13 +10,13 @@
 mod mates;
 mod parts;
 mod patience;
-mod place;
-mod reading;
+mod placement;
 mod registry;
 mod scheduler;
 mod shares;
 mod shortage;
 mod table;
+mod ttft;
 
 use std::time::{Duration, Instant};
 
@@ -25,7 +25,7 @@
 use hawthornmill::routing::catalog::{
     Account, Catalog, Engine, Limits, Repeat, Route, Service, Target, TokenDigest,
 };
-use hawthornmill::routing::place::{Choice, Place};
+use hawthornmill::routing::placement::{Location, Placement};
 use hawthornmill::routing::registry::{Change, List, Registration};
 use hawthornmill::routing::request::{Request, Verdict};
 use hawthornmill::routing::scheduler::Scheduler;
@@ -125,7 +125,7 @@
         extra: 50.0,
         window: Duration::from_secs(10),
     };
-    let place = Place {
+    let place = Location {
         domain: DomainId::of("a"),
         region: RegionId::of("north"),
     };
@@ -154,9 +154,9 @@
                 tokens: own
             },
         ],
-        prompt: shared + own,
-        most: 100,
-        hint: None,
+        prompt_tokens: shared + own,
+        max_output: 100,
+        output_hint: None,
     }
 }
 
@@ -174,7 +174,7 @@
     }
 }
 
-fn sent(verdict: Verdict) -> Choice {
+fn sent(verdict: Verdict) -> Placement {
     match verdict {
         Verdict::Decided(Ok(choice)) => choice,
         other => panic!("the request was not sent: {other:?}"),
--- a/tests/testsuite/routing/place.rs
+++ b/tests/testsuite/routing/placement.rs
@@ -78,7 +78,7 @@
             servers.push(choice.server);
         }
     }
-    let strays = scheduler.told_strays(now);
+    let strays = scheduler.spilled_prefixes(now);
 
     servers.sort_unstable();
     servers.dedup();
--- a/tests/testsuite/routing/scheduler.rs
+++ b/tests/testsuite/routing/scheduler.rs
@@ -323,7 +323,7 @@
     let unknown = sent(scheduler.submit(&request("lab", shape(1, 300, 200), now), now));
 
     assert_eq!(known.work.pending_prefill, 0);
-    let own = shape(1, 300, 200).effort(200);
+    let own = shape(1, 300, 200).prefill_cost(200);
     assert_eq!(
         unknown.work.pending_prefill, own,
         "its own part must be read again"
@@ -344,7 +344,7 @@
     scheduler.replace_registrations(super::list(anew, 90, false), now);
     let unknown = sent(scheduler.submit(&request("lab", shape(1, 300, 200), now), now));
 
-    let own = shape(1, 300, 200).effort(200);
+    let own = shape(1, 300, 200).prefill_cost(200);
     assert_eq!(
         unknown.work.pending_prefill, own,
         "its own part must be read again"
--- a/tests/testsuite/routing/reading.rs
+++ b/tests/testsuite/routing/ttft.rs
@@ -2,13 +2,13 @@
 
 use std::time::{Duration, Instant};
 
-use hawthornmill::routing::reading::ReadTimes;
+use hawthornmill::routing::ttft::TtftModel;
 
 use super::millis;
 
 /// Answers that take `fixed` and a millisecond for each 100 tokens.
-fn learnt(fixed: Duration) -> ReadTimes {
-    let mut times = ReadTimes::default();
+fn learnt(fixed: Duration) -> TtftModel {
+    let mut times = TtftModel::default();
     let now = Instant::now();
     for number in 0..2_000_u32 {
         let tokens = 200 + number * 997 % 20_000;
@@ -23,10 +23,13 @@
     let times = learnt(millis(90));
 
     assert!(
-        (times.per_second() - 100_000.0).abs() < 1_000.0,
+        (times.prefill_rate() - 100_000.0).abs() < 1_000.0,
+        "{times:?}"
+    );
+    assert!(
+        times.base_latency().abs_diff(millis(90)) < millis(2),
         "{times:?}"
     );
-    assert!(times.first().abs_diff(millis(90)) < millis(2), "{times:?}");
 }
 
 /// Failure: answers that reach an instance late by its full link make all engines look slow.
@@ -35,7 +38,7 @@
     let times = learnt(millis(600));
 
     assert!(
-        (times.per_second() - 100_000.0).abs() < 1_000.0,
+        (times.prefill_rate() - 100_000.0).abs() < 1_000.0,
         "{times:?}"
     );
 }
@@ -43,13 +46,13 @@
 /// Failure: requests of one length tell nothing of the slope, and a division by nothing follows.
 #[test]
 fn requests_of_one_length_leave_plausible_figures() {
-    let mut times = ReadTimes::default();
+    let mut times = TtftModel::default();
     let now = Instant::now();
     for _ in 0..5_000 {
         times.observe(3_000, millis(200), now);
     }
 
-    let expected = times.first() + times.reading(3_000);
+    let expected = times.base_latency() + times.prefill_time(3_000);
     assert!(expected.abs_diff(millis(200)) < millis(5), "{times:?}");
-    assert!(times.per_second() >= 5_000.0 && times.per_second() <= 400_000.0);
+    assert!(times.prefill_rate() >= 5_000.0 && times.prefill_rate() <= 400_000.0);
 }
