--- a/crates/hawthornmill-gateway/src/trip/again.rs
+++ b/crates/hawthornmill-gateway/src/trip/again.rs
@@ -5,7 +5,7 @@
 //! to run again.
 
 use hawthornmill::ident::ServerId;
-use hawthornmill::routing::loads::Verdict;
+use hawthornmill::routing::loads::ServerOutcome;
 use serde_json::json;
 
 use super::admit::Admitted;
@@ -35,9 +35,13 @@
 }
 
 /// Notes how a request to `server` ended.
-pub fn judge(gateway: &Gateway, server: ServerId, verdict: Verdict) {
+pub fn judge(gateway: &Gateway, server: ServerId, verdict: ServerOutcome) {
     let now = gateway.now();
-    gateway.desk.borrow_mut().loads.judge(server, verdict, now);
+    gateway
+        .scheduler
+        .borrow_mut()
+        .loads
+        .record_outcome(server, verdict, now);
 }
 
 /// Takes a second send for a request that may have run.
@@ -56,7 +60,7 @@
     }
     let service = admitted.request.service;
     let taken = gateway
-        .desk
+        .scheduler
         .borrow_mut()
         .budget
         .take(service, gateway.now());
@@ -86,7 +90,7 @@
     let fields = json!({"server": gateway.server_name(server), "why": why});
     journal::trouble("server_unreached", &call.attempt, fields);
     gateway.pool.drop_idle(server);
-    judge(gateway, server, Verdict::Unreachable);
+    judge(gateway, server, ServerOutcome::Unreachable);
     trip.unreached += 1;
     if trip.unreached <= MOST_UNREACHED {
         Next::Again
@@ -105,9 +109,9 @@
 ) -> Next {
     if moved {
         gateway.pool.drop_idle(server);
-        judge(gateway, server, Verdict::Unreachable);
+        judge(gateway, server, ServerOutcome::Unreachable);
     } else {
-        judge(gateway, server, Verdict::Full);
+        judge(gateway, server, ServerOutcome::Full);
     }
     trip.not_run();
     if take(gateway, admitted, trip) {
@@ -124,7 +128,7 @@
     trip: &mut Trip,
     server: ServerId,
 ) -> Next {
-    judge(gateway, server, Verdict::Failed);
+    judge(gateway, server, ServerOutcome::Failed);
     if may(gateway, admitted, trip) {
         Next::Again
     } else {
--- a/crates/hawthornmill-gateway/src/trip/mod.rs
+++ b/crates/hawthornmill-gateway/src/trip/mod.rs
@@ -4,7 +4,7 @@
 //! |---|---|---|
 //! | [`read`] | bytes of a caller | a [`read::Call`] |
 //! | [`admit`] | a call and the catalog | an [`admit::Admitted`], or a [`reply::Reply`] |
-//! | wait | an admitted call | a server, from the desk |
+//! | wait | an admitted call | a server, from the scheduler |
 //! | [`mod@send`] | a call and its server | a [`send::Sent`] |
 //! | [`mod@deliver`], [`events`] | a server's answer | bytes to the caller |
 //! | [`settle`] | how it ended | log line, counters |
@@ -25,7 +25,7 @@
 use hawthornmill::codes::Code;
 use hawthornmill::ident::ServerId;
 use hawthornmill::routing::loads;
-use hawthornmill::routing::place::Choice;
+use hawthornmill::routing::placement::Placement;
 use hawthornmill::routing::request::{Cause, Refusal};
 use serde_json::json;
 use tokio::net::tcp::OwnedWriteHalf;
@@ -100,7 +100,7 @@
 pub struct Held<'a> {
     gateway: &'a Gateway,
     admitted: &'a Admitted,
-    choice: Choice,
+    choice: Placement,
     sent: Instant,
     began: bool,
 }
@@ -116,7 +116,11 @@
         let silent = self.admitted.request.objective.mul_f64(SILENT);
         let time = self.gateway.now().duration_since(self.sent);
         if !self.began && time > silent {
-            again::judge(self.gateway, self.choice.server, loads::Verdict::Failed);
+            again::judge(
+                self.gateway,
+                self.choice.server,
+                loads::ServerOutcome::Failed,
+            );
         }
         self.gateway.release(&self.choice, self.began);
     }
@@ -131,10 +135,12 @@
         let now = self.gateway.now();
         let request = &self.admitted.request;
         let time = (!self.gateway.is_behind()).then(|| now.duration_since(self.sent));
-        self.gateway
-            .desk
-            .borrow_mut()
-            .began(request.service, &self.choice, time, now);
+        self.gateway.scheduler.borrow_mut().record_first_token(
+            request.service,
+            &self.choice,
+            time,
+            now,
+        );
         self.gateway.tell_work();
         let whole = now.duration_since(request.came);
         self.gateway
@@ -191,7 +197,7 @@
     way: Way<'_>,
     admitted: &Admitted,
     trip: &mut Trip,
-    choice: Choice,
+    choice: Placement,
     fallback: &mut Option<Answer>,
     out: &mut OwnedWriteHalf,
 ) -> Result<End, Next> {
@@ -208,7 +214,7 @@
         Sent::Answer(answer)
             if again::is_failure(&answer) && again::may(gateway, admitted, trip) =>
         {
-            again::judge(gateway, server, loads::Verdict::Failed);
+            again::judge(gateway, server, loads::ServerOutcome::Failed);
             if let Some(answer) = deliver::collect(answer).await {
                 *fallback = Some(answer);
             }
--- a/crates/hawthornmill-gateway/src/trip/settle.rs
+++ b/crates/hawthornmill-gateway/src/trip/settle.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use hawthornmill::codes::Code;
-use hawthornmill::routing::place::Choice;
+use hawthornmill::routing::placement::Placement;
 use hawthornmill::routing::request::{Refusal, Request};
 use serde_json::json;
 
@@ -14,11 +14,11 @@
 use crate::gateway::Gateway;
 use crate::journal;
 
-/// Writes why the desk turned a request away.
+/// Writes why the scheduler turned a request away.
 pub fn note_refusal(way: Way<'_>, request: &Request, refusal: &Refusal) {
     let (gateway, now) = (way.gateway, way.gateway.now());
-    let desk = gateway.desk.borrow();
-    let outlook = desk.outlook(request, now);
+    let scheduler = gateway.scheduler.borrow();
+    let outlook = scheduler.decision_context(request, now);
     let fields = json!({
         "code": refusal.code.number(), "cause": format!("{:?}", refusal.cause),
         "again_ms": refusal.again.as_millis() as u64,
@@ -26,7 +26,7 @@
         "servers": outlook.servers, "draining": outlook.draining, "down": outlook.down,
         "full": outlook.full, "waiting": outlook.waiting, "short_at": outlook.short,
         "lack": outlook.lack, "standing": format!("{:?}", outlook.share.standing), "lead": outlook.share.lead,
-        "asked": outlook.sums.asked, "got": outlook.sums.got, "registrations": desk.registry.latest(),
+        "asked": outlook.sums.asked, "got": outlook.sums.got, "registrations": scheduler.registry.latest(),
         "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
         "link_wait_ms": gateway.link.borrow().wait(now).as_millis() as u64,
     });
@@ -67,7 +67,7 @@
         self.admitted = Some((admitted.route.clone(), admitted.service_name.clone()));
         let fields = json!({
             "route": admitted.route, "service": admitted.service_name, "account": admitted.account,
-            "prompt_tokens": admitted.request.shape.prompt, "body_bytes": call.body.len(),
+            "prompt_tokens": admitted.request.shape.prompt_tokens, "body_bytes": call.body.len(),
             "body_ms": call.came.duration_since(call.began).as_millis() as u64,
             "time_left_ms": admitted.request.ends.duration_since(call.came).as_millis() as u64,
         });
@@ -75,13 +75,13 @@
     }
 
     /// The request goes to a server.
-    pub fn sending(&mut self, gateway: &Gateway, call: &Call, choice: &Choice) {
+    pub fn sending(&mut self, gateway: &Gateway, call: &Call, choice: &Placement) {
         let name = gateway.server_name(choice.server);
         let waited = gateway.now().duration_since(call.came);
         let fields = json!({
             "server": name, "waited_ms": waited.as_millis() as u64, "send": self.arrivals + 1,
-            "tokens_before_first": choice.ahead, "tokens_again": choice.again, "stray": choice.stray, "expected_ms": choice.expected.as_millis() as u64,
-            "catalog": gateway.version(), "lag_ms": lag_ms(gateway), "registrations": gateway.desk.borrow().registry.latest(),
+            "tokens_before_first": choice.queued_prefill, "tokens_again": choice.duplicate_prefill, "stray": choice.spilled, "expected_ms": choice.expected_ttft.as_millis() as u64,
+            "catalog": gateway.version(), "lag_ms": lag_ms(gateway), "registrations": gateway.scheduler.borrow().registry.latest(),
         });
         journal::step("sent", &call.attempt, fields);
         self.servers.push(name);
--- a/crates/hawthornmill/src/routing/desk.rs
+++ b/crates/hawthornmill/src/routing/scheduler.rs
@@ -15,15 +15,18 @@
 use super::allowance;
 use super::budget::Budget;
 use super::digest::{self, DomainWork, Member, Members};
-use super::loads::{Loads, Work};
-use super::memory::PrefixMemory;
+use super::loads::{LoadTracker, Work};
 use super::news::{Lack, News};
-use super::place::{Ask, Choice, Homes, Place, Unplaced, View, choose, is_long};
-use super::reading::ReadTimes;
+use super::placement::{
+    HomeServers, Location, Placement, PlacementError, PlacementRequest, PlacementView,
+    choose_server, is_prefill_bound,
+};
+use super::prefix_index::PrefixIndex;
 use super::registry::{Change, List, Registry};
 use super::request::{Cause, Decided, Outlook, Refusal, Request, Ticket, Verdict};
 use super::shape::PrefixKey;
 use super::shortage::{Shortages, TOLD, shuts_out};
+use super::ttft::TtftModel;
 use super::usage::{FADE, Share, Standing, Sums, Usage, standings};
 use crate::codes::Code;
 use crate::ident::{AccountId, DomainId, InstanceId, RegionId, ServerId, ServiceId};
@@ -47,7 +50,7 @@
 struct InLine {
     request: Request,
     /// The only servers that it waits for; empty when any server will do.
-    homes: Homes,
+    homes: HomeServers,
 }
 
 /// What those further back in the line may not take, since others that go before wait for it.
@@ -55,18 +58,18 @@
 struct Taken {
     /// Services of which any server would do.
     services: SmallVec<[ServiceId; 4]>,
-    servers: Homes,
+    servers: HomeServers,
 }
 
 /// Everything that decides where requests go.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Scheduler {
     /// Servers.
     pub registry: Registry,
     /// Their work.
-    pub loads: Loads,
+    pub loads: LoadTracker,
     /// What they have read.
-    pub memory: PrefixMemory,
+    pub prefix_index: PrefixIndex,
     /// What accounts asked for and got.
     pub usage: Usage,
     /// Second sends.
@@ -75,8 +78,8 @@
     pub regions: Vec<(DomainId, RegionId)>,
     /// Tokens a second of all engines; 0 when unknown.
     pub token_rate: f64,
-    place: Place,
-    times: BTreeMap<ServiceId, ReadTimes>,
+    place: Location,
+    times: BTreeMap<ServiceId, TtftModel>,
     paces: BTreeMap<ServiceId, Pace>,
     line: SlotMap<Ticket, InLine>,
     fleet: BTreeMap<AccountId, Sums>,
@@ -87,13 +90,13 @@
     shared: Option<Instant>,
 }
 
-impl Desk {
-    /// A desk that knows no server.
-    pub fn new(place: Place, budget: Budget) -> Self {
+impl Scheduler {
+    /// A scheduler that knows no server.
+    pub fn new(place: Location, budget: Budget) -> Self {
         Self {
             registry: Registry::default(),
-            loads: Loads::default(),
-            memory: PrefixMemory::default(),
+            loads: LoadTracker::default(),
+            prefix_index: PrefixIndex::default(),
             usage: Usage::default(),
             budget,
             regions: Vec::new(),
@@ -112,27 +115,27 @@
     }
 
     /// Requests that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn queue_len(&self) -> usize {
         self.line.len()
     }
 
     /// Decides on a request that came, or that its server did not run.
-    pub fn ask(&mut self, request: &Request, now: Instant) -> Verdict {
+    pub fn submit(&mut self, request: &Request, now: Instant) -> Verdict {
         self.count(request, now);
         self.work_out(now);
         let blocked = self.is_blocked(request, now);
-        let mut homes = Homes::new();
+        let mut homes = HomeServers::new();
         if let Some(kept) = self.kept_for_better(request)
             && !blocked
         {
             match self.place(request, &kept, now) {
                 Ok(choice) => return Verdict::Decided(Ok(choice)),
-                Err(Unplaced::NoServer) => return Verdict::Decided(Err(NO_SERVER)),
-                Err(Unplaced::TooLong) => {
+                Err(PlacementError::NoServer) => return Verdict::Decided(Err(NO_SERVER)),
+                Err(PlacementError::TooLong) => {
                     return Verdict::Decided(Err(self.refuse(request, Cause::TooLong, now)));
                 }
-                Err(Unplaced::AllFull) => {}
-                Err(Unplaced::HomesFull(full)) => homes = full,
+                Err(PlacementError::AllFull) => {}
+                Err(PlacementError::HomesFull(full)) => homes = full,
             }
         }
         let (standing, cost) = (self.standing(request), request.shape.cost());
@@ -163,7 +166,7 @@
     /// Nobody passes one of the same service that goes before and finds no room: a long prompt would
     /// never be placed while short ones keep taking what comes free. One that waits for few servers keeps
     /// the others from just these.
-    pub fn turn(&mut self, now: Instant) -> Vec<(Ticket, Decided)> {
+    pub fn dispatch_queued(&mut self, now: Instant) -> Vec<(Ticket, Decided)> {
         self.work_out(now);
         let mut order: Vec<Ticket> = self.line.keys().collect();
         order.sort_by_key(|t| self.rank(&self.line[*t].request));
@@ -190,15 +193,15 @@
         }
         match self.place(&request, &taken.servers, now) {
             Ok(choice) => Some(Ok(choice)),
-            Err(Unplaced::NoServer) => Some(Err(NO_SERVER)),
-            Err(Unplaced::TooLong) => Some(Err(self.refuse(&request, Cause::TooLong, now))),
+            Err(PlacementError::NoServer) => Some(Err(NO_SERVER)),
+            Err(PlacementError::TooLong) => Some(Err(self.refuse(&request, Cause::TooLong, now))),
             Err(_full) if over => Some(Err(self.refuse(&request, Cause::Waited, now))),
-            Err(Unplaced::AllFull) => {
+            Err(PlacementError::AllFull) => {
                 taken.services.push(request.service);
                 self.line[ticket].homes.clear();
                 None
             }
-            Err(Unplaced::HomesFull(homes)) => {
+            Err(PlacementError::HomesFull(homes)) => {
                 taken.servers.extend_from_slice(&homes);
                 self.line[ticket].homes = homes;
                 None
@@ -207,19 +210,19 @@
     }
 
     /// A request that waited is no longer wanted by its caller.
-    pub fn leave(&mut self, ticket: Ticket) {
+    pub fn cancel(&mut self, ticket: Ticket) {
         self.line.remove(ticket);
     }
 
     /// Takes one change of a registration; false when it is older than what is known.
-    pub fn register(&mut self, change: Change, now: Instant) -> bool {
+    pub fn apply_change(&mut self, change: Change, now: Instant) -> bool {
         let taken = self.registry.take(change, now);
         self.forget_lost();
         taken
     }
 
     /// Takes a whole list of registrations, as [`Registry::replace`] does.
-    pub fn list(&mut self, list: List, now: Instant) {
+    pub fn replace_registrations(&mut self, list: List, now: Instant) {
         self.registry.replace(list, now);
         self.forget_lost();
     }
@@ -229,43 +232,48 @@
     /// Taken for the run before, such a server would draw prompts whose beginnings it no longer keeps.
     fn forget_lost(&mut self) {
         for server in self.registry.take_lost() {
-            self.memory.forget(server);
+            self.prefix_index.remove_server(server);
         }
     }
 
     /// The first token, or the whole answer, came `time` after a request was sent.
     ///
     /// None when this process was behind with its work: the time would tell of that, and not of the server.
-    pub fn began(
+    pub fn record_first_token(
         &mut self,
         service: ServiceId,
-        choice: &Choice,
+        choice: &Placement,
         time: Option<Duration>,
         now: Instant,
     ) {
-        if let Some(time) = time.filter(|_| choice.ahead > 0) {
+        if let Some(time) = time.filter(|_| choice.queued_prefill > 0) {
             let times = self.times.entry(service).or_default();
-            times.observe(choice.ahead, time.saturating_sub(choice.way), now);
-            self.loads.observe(choice.server, choice.usual, time, now);
+            times.observe(
+                choice.queued_prefill,
+                time.saturating_sub(choice.round_trip),
+                now,
+            );
+            self.loads
+                .observe_latency(choice.server, choice.baseline_ttft, time, now);
         }
         let read = Work {
-            unread: choice.work.unread,
+            pending_prefill: choice.work.pending_prefill,
             ..Work::default()
         };
         self.loads.end(choice.server, read);
     }
 
     /// The request is no longer under way; `began` says whether [`Self::began`] was called for it.
-    pub fn ended(&mut self, choice: &Choice, began: bool) {
+    pub fn finish(&mut self, choice: &Placement, began: bool) {
         let mut work = choice.work;
         if began {
-            work.unread = 0;
+            work.pending_prefill = 0;
         }
         self.loads.end(choice.server, work);
     }
 
     /// What a decision on `request` rests on now.
-    pub fn outlook(&self, request: &Request, now: Instant) -> Outlook {
+    pub fn decision_context(&self, request: &Request, now: Instant) -> Outlook {
         let entries = self.registry.entries();
         let lack = self.better(request, now);
         let mut outlook = Outlook {
@@ -300,49 +308,52 @@
         request: &Request,
         kept: &[ServerId],
         now: Instant,
-    ) -> Result<Choice, Unplaced> {
+    ) -> Result<Placement, PlacementError> {
         let calm = self.better(request, now).places == 0;
         let share = self.share_of(request);
-        let view = View {
+        let view = PlacementView {
             registry: &self.registry,
             loads: &self.loads,
-            memory: &self.memory,
-            place: self.place,
+            prefix_index: &self.prefix_index,
+            location: self.place,
             regions: &self.regions,
         };
-        let ask = Ask {
+        let ask = PlacementRequest {
             service: request.service,
             engine: request.engine,
             shape: &request.shape,
-            avoid: &request.tried,
-            kept,
-            times: self
+            excluded: &request.tried,
+            reserved: kept,
+            ttft: self
                 .times
                 .get(&request.service)
                 .copied()
                 .unwrap_or_default()
-                .at(now),
-            objective: (request.came + request.objective).saturating_duration_since(now),
-            promised: request.objective,
-            part: allowance::part(share, calm),
-            copies: allowance::copies(share.standing),
+                .decayed(now),
+            time_left: (request.came + request.objective).saturating_duration_since(now),
+            full_objective: request.objective,
+            capacity_fraction: allowance::part(share, calm),
+            max_copies: allowance::copies(share.standing),
         };
-        let choice = choose(&view, &ask, now)?;
+        let choice = choose_server(&view, &ask, now)?;
         // Elsewhere it would begin sooner at the price of reading its shared part again, which is
         // what servers have no time for when this one is late.
-        let timely = choice.expected <= ask.objective;
-        if request.tried.is_empty() && !timely && !(calm && is_long(&choice, ask.objective)) {
+        let timely = choice.expected_ttft <= ask.time_left;
+        if request.tried.is_empty()
+            && !timely
+            && !(calm && is_prefill_bound(&choice, ask.time_left))
+        {
             // What would be late on idle servers too tells of no shortage.
-            return Err(if choice.alone > ask.objective {
-                Unplaced::TooLong
+            return Err(if choice.unloaded_ttft > ask.time_left {
+                PlacementError::TooLong
             } else {
-                Unplaced::AllFull
+                PlacementError::AllFull
             });
         }
         self.loads
-            .begin(choice.server, choice.work, ask.times.per_second(), now);
-        self.memory.note(choice.server, &request.shape, now);
-        if let (true, Some(family)) = (choice.stray, request.shape.family()) {
+            .begin(choice.server, choice.work, ask.ttft.prefill_rate(), now);
+        self.prefix_index.record(choice.server, &request.shape, now);
+        if let (true, Some(family)) = (choice.spilled, request.shape.shared_prefix()) {
             push_stray(&mut self.strays, family, choice.server, now);
         }
         if let Some(account) = request.account
@@ -354,9 +365,9 @@
     }
 
     /// The servers for which others wait that go before `request`; none when some of those wait for any server.
-    fn kept_for_better(&self, request: &Request) -> Option<Homes> {
+    fn kept_for_better(&self, request: &Request) -> Option<HomeServers> {
         let rank = self.rank(request);
-        let mut kept = Homes::new();
+        let mut kept = HomeServers::new();
         for waiting in self.same(request.service) {
             if self.rank(&waiting.request) >= rank {
                 continue;
@@ -415,18 +426,18 @@
     }
 
     /// Prefixes that were sent to other servers than their homes lately, for the others.
-    pub fn told_strays(&mut self, now: Instant) -> Vec<(PrefixKey, ServerId)> {
+    pub fn spilled_prefixes(&mut self, now: Instant) -> Vec<(PrefixKey, ServerId)> {
         self.strays
             .retain(|(_, _, at)| now.duration_since(*at) < TOLD);
         self.strays.iter().map(|(f, s, _)| (*f, *s)).collect()
     }
 
     /// Takes what another instance tells.
-    pub fn hear(&mut self, from: InstanceId, news: &News, now: Instant) {
-        self.loads.hear(from, news.work.clone(), now);
+    pub fn apply_report(&mut self, from: InstanceId, news: &News, now: Instant) {
+        self.loads.apply_peer_report(from, news.work.clone(), now);
         self.usage.hear(from, news.usage.clone(), now);
         for (family, server) in &news.strays {
-            self.memory.hear(*server, *family, now);
+            self.prefix_index.record_remote(*server, *family, now);
         }
         self.shortages.hear(from, &news.short, now);
         for (family, server) in &news.strays {
@@ -435,7 +446,12 @@
     }
 
     /// What the own failure domain tells the others: `members` are its live instances, this one among them.
-    pub fn members(&mut self, domain: DomainId, members: Vec<Member>, now: Instant) -> Members {
+    pub fn domain_members(
+        &mut self,
+        domain: DomainId,
+        members: Vec<Member>,
+        now: Instant,
+    ) -> Members {
         let ids: Vec<InstanceId> = members.iter().map(|m| m.id).collect();
         let short = self.shortages.sum(&ids, now);
         let fresh = |at: &Instant| now.duration_since(*at) < TOLD;
@@ -454,21 +470,21 @@
     }
 
     /// Takes what another failure domain tells of itself.
-    pub fn hear_members(&mut self, members: &Members, now: Instant) {
+    pub fn apply_domain_members(&mut self, members: &Members, now: Instant) {
         let teller = digest::teller(members.domain, 0);
         self.shortages.hear(teller, &members.short, now);
         for (family, server) in &members.strays {
-            self.memory.hear(*server, *family, now);
+            self.prefix_index.record_remote(*server, *family, now);
         }
     }
 
     /// Takes what another failure domain has under way.
-    pub fn hear_work(&mut self, told: DomainWork, now: Instant) {
+    pub fn apply_domain_work(&mut self, told: DomainWork, now: Instant) {
         let teller = told.teller();
         if told.part == 0 {
             self.usage.hear(teller, told.usage, now);
         }
-        self.loads.hear(teller, told.work, now);
+        self.loads.apply_peer_report(teller, told.work, now);
     }
 
     /// Tells whether a request can't get to the head of the line while it may wait.
--- a/tests/testsuite/routing/digest.rs
+++ b/tests/testsuite/routing/digest.rs
@@ -5,20 +5,20 @@
 
 use hawthornmill::ident::{AccountId, DomainId, Incarnation, InstanceId, ServerId};
 use hawthornmill::routing::digest::{DomainWork, Member};
-use hawthornmill::routing::loads::{Loads, Work};
+use hawthornmill::routing::loads::{LoadTracker, Work};
 use hawthornmill::routing::news::{Mate, Mates, News, Reading};
 use hawthornmill::routing::usage::Sums;
 use hawthornmill::wire::frame::DATAGRAM_LIMIT;
 use hawthornmill::wire::{Message, Sealer};
 use hawthornmill_test_support::news::news_of;
 
-use super::{desk, millis};
+use super::{millis, scheduler};
 
 const ONE: Work = Work {
     running: 1,
-    unread: 500,
-    held: 700,
-    sent: 500,
+    pending_prefill: 500,
+    kv_tokens: 700,
+    total_prefill: 500,
 };
 
 fn address(number: u16) -> SocketAddr {
@@ -188,7 +188,7 @@
 fn a_domain_counts_as_one_teller() {
     let now = Instant::now();
     let server = ServerId::of("s");
-    let mut desk = desk(&[("s", "a")], now);
+    let mut scheduler = scheduler(&[("s", "a")], now);
     let usage = vec![(
         AccountId::of("lab"),
         Sums {
@@ -200,12 +200,15 @@
 
     for _ in 0..3 {
         for part in &told {
-            desk.hear_work(part.clone(), now);
+            scheduler.apply_domain_work(part.clone(), now);
         }
     }
 
-    assert_eq!(desk.loads.total(server, now).running, 1);
-    assert_eq!(desk.usage.fleet(now)[&AccountId::of("lab")], usage[0].1);
+    assert_eq!(scheduler.loads.total(server, now).running, 1);
+    assert_eq!(
+        scheduler.usage.fleet(now)[&AccountId::of("lab")],
+        usage[0].1
+    );
 }
 
 /// A domain's sum falls when one of its relays has not heard of a member yet. Taken for a count that
@@ -214,22 +217,22 @@
 fn a_sum_that_falls_brings_no_new_backlog() {
     let now = Instant::now();
     let (peer, server) = (InstanceId::of("b"), ServerId::of("s"));
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     let told = |sent| {
         let unread = 9_000;
         vec![(
             server,
             Work {
-                sent,
-                unread,
+                total_prefill: sent,
+                pending_prefill: unread,
                 ..ONE
             },
         )]
     };
 
-    loads.hear(peer, told(50_000), now);
+    loads.apply_peer_report(peer, told(50_000), now);
     let first = loads.backlog(server, now);
-    loads.hear(peer, told(20_000), now);
+    loads.apply_peer_report(peer, told(20_000), now);
 
     assert_eq!(loads.backlog(server, now), first);
 }
@@ -241,9 +244,9 @@
         .map(|n| {
             let work = Work {
                 running: 30,
-                unread: 60_000,
-                held: 300_000,
-                sent: u32::MAX,
+                pending_prefill: 60_000,
+                kv_tokens: 300_000,
+                total_prefill: u32::MAX,
             };
             (ServerId::of(&format!("s{n}")), work)
         })
--- a/tests/testsuite/routing/mod.rs
+++ b/tests/testsuite/routing/mod.rs
@@ -1,7 +1,6 @@
 //! Decisions of the gateway in a fixed order, with a clock moved by hand and no socket.
 
 mod budget;
-mod desk;
 mod digest;
 mod lag;
 mod leaving;
@@ -11,12 +10,13 @@
 mod mates;
 mod parts;
 mod patience;
-mod place;
-mod reading;
+mod placement;
 mod registry;
+mod scheduler;
 mod shares;
 mod shortage;
 mod table;
+mod ttft;
 
 use std::time::{Duration, Instant};
 
@@ -25,10 +25,10 @@
 use hawthornmill::routing::catalog::{
     Account, Catalog, Engine, Limits, Repeat, Route, Service, Target, TokenDigest,
 };
-use hawthornmill::routing::desk::Desk;
-use hawthornmill::routing::place::{Choice, Place};
+use hawthornmill::routing::placement::{Location, Placement};
 use hawthornmill::routing::registry::{Change, List, Registration};
 use hawthornmill::routing::request::{Request, Verdict};
+use hawthornmill::routing::scheduler::Scheduler;
 use hawthornmill::routing::shape::{PromptPart, Shape};
 use smallvec::{SmallVec, smallvec};
 
@@ -118,27 +118,27 @@
     }
 }
 
-/// A desk in domain `a` of region `north` before `servers` in the domains named with them.
-fn desk(servers: &[(&str, &str)], now: Instant) -> Desk {
+/// A scheduler in domain `a` of region `north` before `servers` in the domains named with them.
+fn scheduler(servers: &[(&str, &str)], now: Instant) -> Scheduler {
     let terms = Terms {
         ratio: 0.2,
         extra: 50.0,
         window: Duration::from_secs(10),
     };
-    let place = Place {
+    let place = Location {
         domain: DomainId::of("a"),
         region: RegionId::of("north"),
     };
-    let mut desk = Desk::new(place, Budget::new(terms, now));
+    let mut scheduler = Scheduler::new(place, Budget::new(terms, now));
     let regions = [("a", "north"), ("b", "north"), ("c", "south")];
-    desk.regions = regions
+    scheduler.regions = regions
         .map(|(d, r)| (DomainId::of(d), RegionId::of(r)))
         .to_vec();
     for (number, (name, domain)) in servers.iter().enumerate() {
         let change = change(name, number as u64 + 1, Some(entry(name, domain)));
-        assert!(desk.registry.take(change, now));
+        assert!(scheduler.registry.take(change, now));
     }
-    desk
+    scheduler
 }
 
 /// A prompt of `own` tokens behind a shared part of `shared` tokens that `family` names.
@@ -154,9 +154,9 @@
                 tokens: own
             },
         ],
-        prompt: shared + own,
-        most: 100,
-        hint: None,
+        prompt_tokens: shared + own,
+        max_output: 100,
+        output_hint: None,
     }
 }
 
@@ -174,7 +174,7 @@
     }
 }
 
-fn sent(verdict: Verdict) -> Choice {
+fn sent(verdict: Verdict) -> Placement {
     match verdict {
         Verdict::Decided(Ok(choice)) => choice,
         other => panic!("the request was not sent: {other:?}"),
