--- a/crates/hawthornmill-lab/src/slopes/fixture.rs
+++ b/crates/hawthornmill-lab/src/slopes/fixture.rs
@@ -11,7 +11,9 @@
 use hawthornmill::membership::Sign;
 use hawthornmill::pools::{self, entry::Arrival};
 use hawthornmill::wire::frame::payload_len;
-use hawthornmill::wire::message::{Contact, Demand, Done, Grant, GrantId, Grants, Message, Want};
+use hawthornmill::wire::message::{
+    AccountTotal, Contact, Demand, Grant, GrantId, Grants, Message, SlotRelease,
+};
 use smallvec::SmallVec;
 
 /// Accounts for which an entry tells more waiting calls than are granted.
@@ -240,7 +242,7 @@
             maker: self.board.incarnation.0 as u32,
             seq: grant.seq,
         };
-        let done = Done {
+        let done = SlotRelease {
             grant: id,
             cost: COST,
             failed: false,
@@ -254,7 +256,7 @@
     /// When no slot is granted, which is a fault of the fixture.
     pub fn message_bytes(&mut self) -> [usize; 2] {
         let (_, grant) = *self.granted.front().expect("slots are granted");
-        let done = Done {
+        let done = SlotRelease {
             grant: GrantId {
                 maker: self.board.incarnation.0 as u32,
                 seq: grant.seq,
@@ -262,7 +264,7 @@
             cost: COST,
             failed: false,
         };
-        let want = Want {
+        let want = AccountTotal {
             account: grant.account,
             wanted: grant.seq,
         };
@@ -282,13 +284,13 @@
         &mut self,
         entry: InstanceId,
         account: AccountId,
-        done: SmallVec<[Done; 2]>,
+        done: SmallVec<[SlotRelease; 2]>,
     ) -> Duration {
         let received = self.received.entry((entry, account)).or_default();
         let wanted = *received + WANTED;
         let demand = Demand {
             pool: self.pool,
-            wants: SmallVec::from_iter([Want { account, wanted }]),
+            wants: SmallVec::from_iter([AccountTotal { account, wanted }]),
             done,
         };
         let message = Message::Demand(demand);
--- a/crates/hawthornmill-net/src/platform.rs
+++ b/crates/hawthornmill-net/src/platform.rs
@@ -8,7 +8,7 @@
 use hawthornmill::codes::Code;
 use hawthornmill::config::accept::{Manifest, VALUE_LIMIT, Values};
 use hawthornmill::membership::place;
-use hawthornmill::wire::message::{Contact, Listed};
+use hawthornmill::wire::message::{Contact, RosterEntry};
 use serde::Deserialize;
 
 use crate::fleet::Fleet;
@@ -73,7 +73,7 @@
     leaving: bool,
 }
 
-impl From<ListedJson> for Listed {
+impl From<ListedJson> for RosterEntry {
     fn from(json: ListedJson) -> Self {
         Self {
             contact: json.contact,
@@ -265,7 +265,7 @@
     fleet.feed(|board, now| {
         if board
             .roster
-            .replace(list.into_iter().map(Listed::from).collect())
+            .replace(list.into_iter().map(RosterEntry::from).collect())
         {
             board.members.follow_roster(&board.roster, now);
         }
--- a/crates/hawthornmill-test-support/src/steps.rs
+++ b/crates/hawthornmill-test-support/src/steps.rs
@@ -451,7 +451,7 @@
     match message {
         Message::Demand(_) => "demand",
         Message::Grants(_) => "grants",
-        Message::Holding(_) => "holding",
+        Message::EntryState(_) => "holding",
         Message::Sync { .. } => "sync",
         Message::Reports(_) => "reports",
         Message::Handover(_) => "handover",
--- a/crates/hawthornmill/src/fairness/ledger.rs
+++ b/crates/hawthornmill/src/fairness/ledger.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ident::{AccountId, Incarnation, InstanceId, ServiceId};
-use crate::wire::message::{Counters, Standing};
+use crate::wire::message::{LedgerSnapshot, OwnerCounters};
 
 /// Weight of the newest call in an account's average cost.
 const AVERAGE_WEIGHT: f64 = 0.1;
@@ -100,19 +100,19 @@
     }
 
     /// Everything that this instance knows, for one that starts.
-    pub fn standing(&self, me: InstanceId, incarnation: Incarnation) -> Standing {
+    pub fn standing(&self, me: InstanceId, incarnation: Incarnation) -> LedgerSnapshot {
         let list = |map: &BTreeMap<CostKey, f64>| map.iter().map(|(k, v)| (*k, *v)).collect();
-        let others = self.heard.iter().map(|(id, heard)| Counters {
+        let others = self.heard.iter().map(|(id, heard)| OwnerCounters {
             origin: *id,
             incarnation: heard.incarnation,
             values: list(&heard.counters),
         });
-        let own = Counters {
+        let own = OwnerCounters {
             origin: me,
             incarnation,
             values: list(&self.own),
         };
-        Standing {
+        LedgerSnapshot {
             retired: list(&self.retired),
             counters: others.chain([own]).collect(),
         }
@@ -122,7 +122,7 @@
     ///
     /// Totals alone would not do: a counter that is heard for the first time afterwards would be
     /// added to a total that has it already. With each owner's counter the sum stays exact.
-    pub fn adopt(&mut self, me: InstanceId, incarnation: Incarnation, standing: &Standing) {
+    pub fn adopt(&mut self, me: InstanceId, incarnation: Incarnation, standing: &LedgerSnapshot) {
         if self.settled {
             return;
         }
@@ -136,7 +136,7 @@
         self.sum_up();
     }
 
-    fn adopt_counters(&mut self, me: InstanceId, incarnation: Incarnation, told: &Counters) {
+    fn adopt_counters(&mut self, me: InstanceId, incarnation: Incarnation, told: &OwnerCounters) {
         let known = if told.origin == me {
             incarnation
         } else {
--- a/crates/hawthornmill/src/fairness/standing.rs
+++ b/crates/hawthornmill/src/fairness/standing.rs
@@ -6,7 +6,7 @@
 
 use crate::board::Board;
 use crate::ident::InstanceId;
-use crate::wire::message::{Message, Standing};
+use crate::wire::message::{LedgerSnapshot, Message};
 
 /// Peers that are asked, one with each report, before an instance starts from zero.
 const TRIES: u32 = 8;
@@ -31,19 +31,19 @@
         .collect();
     peers.sort_unstable();
     let (_, _, peer) = peers.get(turn % peers.len().max(1))?;
-    Some((*peer, Message::StandingPull))
+    Some((*peer, Message::LedgerPull))
 }
 
 /// Answers a peer that starts; an instance that has yet to learn the counters itself says nothing.
 pub fn answer(board: &mut Board, peer: InstanceId) {
     if board.ledger.settled() {
         let standing = board.ledger.standing(board.me(), board.incarnation);
-        board.outbox.push((peer, Message::Standing(standing)));
+        board.outbox.push((peer, Message::LedgerSnapshot(standing)));
     }
 }
 
 /// Takes a peer's answer.
-pub fn take(board: &mut Board, standing: &Standing) {
+pub fn take(board: &mut Board, standing: &LedgerSnapshot) {
     let (me, incarnation) = (board.me(), board.incarnation);
     board.ledger.adopt(me, incarnation, standing);
 }
--- a/crates/hawthornmill/src/membership/roster.rs
+++ b/crates/hawthornmill/src/membership/roster.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 
 use crate::ident::InstanceId;
-use crate::wire::message::{Listed, RosterDelta};
+use crate::wire::message::{RosterDelta, RosterEntry};
 
 /// The list by instance.
-type Entries = BTreeMap<InstanceId, Listed>;
+type Entries = BTreeMap<InstanceId, RosterEntry>;
 
 /// The instance list, and the one before it.
 #[derive(Debug, Clone, Default)]
@@ -32,17 +32,17 @@
     }
 
     /// Entries of the list.
-    pub fn entries(&self) -> impl Iterator<Item = (InstanceId, &Listed)> {
+    pub fn entries(&self) -> impl Iterator<Item = (InstanceId, &RosterEntry)> {
         self.entries.iter().map(|(id, listed)| (*id, listed))
     }
 
     /// The entry of `id`.
-    pub fn get(&self, id: InstanceId) -> Option<&Listed> {
+    pub fn get(&self, id: InstanceId) -> Option<&RosterEntry> {
         self.entries.get(&id)
     }
 
     /// Takes a whole list; true when it differs from the one held.
-    pub fn replace(&mut self, list: Vec<Listed>) -> bool {
+    pub fn replace(&mut self, list: Vec<RosterEntry>) -> bool {
         let entries = list
             .into_iter()
             .map(|l| (InstanceId::of(&l.contact.name), l))
--- a/crates/hawthornmill/src/pools/entry.rs
+++ b/crates/hawthornmill/src/pools/entry.rs
@@ -13,7 +13,9 @@
 use super::regions;
 use crate::board::{Board, Dispatch};
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId, ServiceId};
-use crate::wire::message::{Demand, Done, Grant, GrantId, Grants, Held, Holding, Message, Want};
+use crate::wire::message::{
+    AccountTotal, Demand, EntryState, Grant, GrantId, GrantedSlot, Grants, Message, SlotRelease,
+};
 
 /// Waiting requests of one account that one owner is told of at most.
 ///
@@ -67,11 +69,11 @@
     /// Wants as last told.
     pub told: BTreeMap<AccountId, u32>,
     /// Slots to give back.
-    pub done: SmallVec<[Done; 2]>,
+    pub done: SmallVec<[SlotRelease; 2]>,
     /// Costs of calls that ended in kept slots while the owner was silent.
-    pub late: Vec<Done>,
+    pub late: Vec<SlotRelease>,
     /// Wants to tell.
-    pub wants: SmallVec<[Want; 2]>,
+    pub wants: SmallVec<[AccountTotal; 2]>,
     /// Slots held.
     pub held: BTreeMap<GrantId, Slot>,
     /// The owner must be told everything.
@@ -284,7 +286,7 @@
     if let Some(link) = board.links.get_mut(&pool)
         && link.held.remove(&grant).is_some()
     {
-        link.done.push(Done {
+        link.done.push(SlotRelease {
             grant,
             cost: cost as f32,
             failed,
@@ -293,7 +295,7 @@
 }
 
 fn give_back_to(board: &mut Board, owner: InstanceId, pool: PoolId, grant: GrantId) {
-    let done = Done {
+    let done = SlotRelease {
         grant,
         cost: 0.0,
         failed: false,
@@ -405,7 +407,7 @@
     let held = link
         .held
         .iter()
-        .map(|(grant, slot)| Held {
+        .map(|(grant, slot)| GrantedSlot {
             grant: *grant,
             account: slot.account,
             server: slot.server,
@@ -413,13 +415,13 @@
         .collect();
     let list = |map: &BTreeMap<AccountId, u32>| {
         map.iter()
-            .map(|(account, wanted)| Want {
+            .map(|(account, wanted)| AccountTotal {
                 account: *account,
                 wanted: *wanted,
             })
             .collect()
     };
-    let message = Holding {
+    let message = EntryState {
         pool,
         owner: run,
         ack: link.ack(),
@@ -430,7 +432,7 @@
         settled: link.settled,
     };
     link.wants.clear();
-    Message::Holding(message)
+    Message::EntryState(message)
 }
 
 fn update_wants(board: &mut Board, service: ServiceId, account: AccountId) {
@@ -457,6 +459,6 @@
         }
         link.told.insert(account, wanted);
         link.wants.retain(|w| w.account != account);
-        link.wants.push(Want { account, wanted });
+        link.wants.push(AccountTotal { account, wanted });
     }
 }
--- a/crates/hawthornmill/src/pools/kept.rs
+++ b/crates/hawthornmill/src/pools/kept.rs
@@ -11,7 +11,7 @@
 use crate::board::Board;
 use crate::fairness::CostKey;
 use crate::ident::{AccountId, PoolId, ServiceId};
-use crate::wire::message::{Done, GrantId};
+use crate::wire::message::{GrantId, SlotRelease};
 
 /// Notes the cost of a call that ended while its owner was silent.
 ///
@@ -22,7 +22,7 @@
     if let Some(link) = board.links.get_mut(&pool)
         && !link.late.iter().any(|d| d.grant == grant)
     {
-        link.late.push(Done {
+        link.late.push(SlotRelease {
             grant,
             cost: cost as f32,
             failed: false,
--- a/crates/hawthornmill/src/pools/mod.rs
+++ b/crates/hawthornmill/src/pools/mod.rs
@@ -95,13 +95,13 @@
     match message {
         Message::Demand(demand) => owner::on_demand(board, from, incarnation, &demand, now),
         Message::Grants(grants) => entry::on_grants(board, from, incarnation, &grants, now),
-        Message::Holding(holding) => owner::on_holding(board, from, incarnation, &holding, now),
+        Message::EntryState(holding) => owner::on_holding(board, from, incarnation, &holding, now),
         Message::Handover(handover) => ownership::on_handover(board, &handover, now),
         Message::Sync { pool, last, ready } => {
             entry::on_sync(board, from, incarnation, pool, last, ready);
         }
-        Message::StandingPull => standing::answer(board, from),
-        Message::Standing(told) => standing::take(board, &told),
+        Message::LedgerPull => standing::answer(board, from),
+        Message::LedgerSnapshot(told) => standing::take(board, &told),
         _ => {}
     }
 }
--- a/crates/hawthornmill/src/pools/owner.rs
+++ b/crates/hawthornmill/src/pools/owner.rs
@@ -6,7 +6,9 @@
 use crate::board::{Board, Policy};
 use crate::fairness::CostKey;
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId, ServiceId};
-use crate::wire::message::{Demand, Done, GrantId, Held, Holding, Message, Want};
+use crate::wire::message::{
+    AccountTotal, Demand, EntryState, GrantId, GrantedSlot, Message, SlotRelease,
+};
 
 /// Part of a new load reading in the owner's trust: readings over this are foreign work.
 const FOREIGN_READINGS: u8 = 2;
@@ -274,7 +276,7 @@
     }
 
     /// Books a slot that an entry holds.
-    pub fn add_held(&mut self, entry: InstanceId, held: &Held, charged: Option<f64>) {
+    pub fn add_held(&mut self, entry: InstanceId, held: &GrantedSlot, charged: Option<f64>) {
         if self.held.contains_key(&(entry, held.grant)) {
             return;
         }
@@ -344,7 +346,7 @@
     pool: PoolId,
     service: ServiceId,
     from: InstanceId,
-    done: &Done,
+    done: &SlotRelease,
     now: Instant,
 ) {
     let penalty = now + board.tuning.penalty;
@@ -383,7 +385,7 @@
     board: &mut Board,
     from: InstanceId,
     incarnation: Incarnation,
-    holding: &Holding,
+    holding: &EntryState,
     now: Instant,
 ) {
     if holding.owner != board.incarnation {
@@ -441,7 +443,7 @@
 /// so those that it dropped meanwhile would count as on their way for good and their slots idle.
 /// Messages keep their order: what it says after this number has arrived is the whole truth. One
 /// that turns here late must also learn that grants are made already.
-fn settle_flight(board: &mut Board, from: InstanceId, holding: &Holding, now: Instant) {
+fn settle_flight(board: &mut Board, from: InstanceId, holding: &EntryState, now: Instant) {
     let pool = holding.pool;
     let Some(owned) = board.owned.get(&pool).filter(|o| o.active) else {
         return;
@@ -478,7 +480,12 @@
     }
 }
 
-fn reset_wants(owned: &mut Owned, from: InstanceId, received: &[Want], flying: &[AccountId]) {
+fn reset_wants(
+    owned: &mut Owned,
+    from: InstanceId,
+    received: &[AccountTotal],
+    flying: &[AccountId],
+) {
     let known: Vec<AccountId> = owned
         .accounts
         .iter()
--- a/crates/hawthornmill/src/pools/ownership.rs
+++ b/crates/hawthornmill/src/pools/ownership.rs
@@ -11,7 +11,7 @@
 use crate::notes::Note;
 use crate::pools::entry;
 use crate::pools::owner::Owned;
-use crate::wire::message::{Handover, Held, HeldBy, Message};
+use crate::wire::message::{EntrySlot, GrantedSlot, Handover, Message};
 
 /// Time for which a handover is good that came before this instance took itself for the owner.
 const HANDED: Duration = Duration::from_secs(1);
@@ -96,12 +96,12 @@
 /// What the next owner of a pool must know to grant at once.
 fn handover(pool: PoolId, book: &Owned, ledger: &Ledger, config: &FleetConfig) -> Handover {
     let held = book.held.iter().filter_map(|((entry, grant), slot)| {
-        let held = Held {
+        let held = GrantedSlot {
             grant: *grant,
             account: slot.account,
             server: slot.server,
         };
-        Some(HeldBy {
+        Some(EntrySlot {
             entry: *entry,
             incarnation: *book.entries.get(entry)?,
             held,
--- a/crates/hawthornmill/src/wire/message.rs
+++ b/crates/hawthornmill/src/wire/message.rs
@@ -23,7 +23,7 @@
 
 /// How much work of one account waits at an entry for one pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
+pub struct AccountTotal {
     /// The account.
     pub account: AccountId,
     /// Grants received from this owner so far plus requests that wait now (bounded).
@@ -32,7 +32,7 @@
 
 /// A slot that an entry gives back.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Done {
+pub struct SlotRelease {
     /// The grant that gave it.
     pub grant: GrantId,
     /// Cost of the call in the service's unit; 0 for a grant that was not used.
@@ -47,9 +47,9 @@
     /// Pool that this is about.
     pub pool: PoolId,
     /// Accounts whose want changed.
-    pub wants: SmallVec<[Want; 2]>,
+    pub wants: SmallVec<[AccountTotal; 2]>,
     /// Slots given back.
-    pub done: SmallVec<[Done; 2]>,
+    pub done: SmallVec<[SlotRelease; 2]>,
 }
 
 /// The right to have one request on one server.
@@ -74,7 +74,7 @@
 
 /// A slot that an entry holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct GrantedSlot {
     /// The grant that gave it, maybe of an earlier owner.
     pub grant: GrantId,
     /// Account that it serves.
@@ -85,7 +85,7 @@
 
 /// Entry to owner: everything that the entry holds and wants of a pool.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Holding {
+pub struct EntryState {
     /// Pool that this is about.
     pub pool: PoolId,
     /// Owner incarnation from whose grants `ack` and `received` count.
@@ -93,13 +93,13 @@
     /// Grants up to this number have arrived or never will.
     pub ack: u32,
     /// Slots held.
-    pub held: Vec<Held>,
+    pub held: Vec<GrantedSlot>,
     /// Grants received per account.
-    pub received: Vec<Want>,
+    pub received: Vec<AccountTotal>,
     /// Wants of every account that waits.
-    pub wants: Vec<Want>,
+    pub wants: Vec<AccountTotal>,
     /// Costs of calls that ended since the owner was last told.
-    pub done: Vec<Done>,
+    pub done: Vec<SlotRelease>,
     /// The entry knows that the owner grants; until then it keeps slots that come free.
     pub settled: bool,
 }
@@ -138,7 +138,7 @@
 
 /// Cumulative counters of one owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Counters {
+pub struct OwnerCounters {
     /// The owner.
     pub origin: InstanceId,
     /// Its process run.
@@ -149,11 +149,11 @@
 
 /// What a peer knows of normalised service, for an instance that starts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
-pub struct Standing {
+pub struct LedgerSnapshot {
     /// Sums over earlier runs of owners.
     pub retired: Vec<(CostKey, f64)>,
     /// Counters of each owner's latest run, the teller's among them.
-    pub counters: Vec<Counters>,
+    pub counters: Vec<OwnerCounters>,
 }
 
 /// Asks a peer for a newer configuration.
@@ -219,7 +219,7 @@
 
 /// An instance in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct RosterEntry {
     /// How to reach it.
     pub contact: Contact,
     /// It is about to go.
@@ -241,20 +241,20 @@
     /// Digest of the list that this starts from; 0 for the empty one.
     pub base: u32,
     /// Entries that are new or different.
-    pub changed: Vec<Listed>,
+    pub changed: Vec<RosterEntry>,
     /// Instances that are listed no longer.
     pub gone: Vec<InstanceId>,
 }
 
 /// A slot that an entry holds, as the old owner knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct HeldBy {
+pub struct EntrySlot {
     /// The entry.
     pub entry: InstanceId,
     /// Its process run.
     pub incarnation: Incarnation,
     /// The slot.
-    pub held: Held,
+    pub held: GrantedSlot,
     /// Normalised service that was charged for it; none where an earlier owner charged it.
     pub charged: Option<f64>,
 }
@@ -269,7 +269,7 @@
     /// Totals of two instances can't be compared, since each counts from what it heard first.
     pub lags: Vec<(AccountId, f64)>,
     /// Slots held.
-    pub held: Vec<HeldBy>,
+    pub held: Vec<EntrySlot>,
 }
 
 /// A message between instances.
@@ -288,7 +288,7 @@
     /// Owner to entry.
     Grants(Grants),
     /// Entry to owner.
-    Holding(Holding),
+    EntryState(EntryState),
     /// Owner to entry after a new link: grants up to this number arrived or never will.
     Sync {
         /// Pool that this is about.
@@ -298,10 +298,10 @@
         /// The owner has heard enough to grant.
         ready: bool,
     },
-    /// Asks for a [`Message::Standing`].
-    StandingPull,
+    /// Asks for a [`Message::LedgerSnapshot`].
+    LedgerPull,
     /// What a peer knows, for an instance that starts.
-    Standing(Standing),
+    LedgerSnapshot(LedgerSnapshot),
     /// Asks for a newer configuration.
     ConfigPull(ConfigPull),
     /// Answers with a newer configuration.
--- a/crates/hawthornmill/src/wire/mod.rs
+++ b/crates/hawthornmill/src/wire/mod.rs
@@ -9,7 +9,7 @@
 
 pub use frame::{Frame, FrameError, Opener, Sealer};
 pub use message::{
-    ConfigPull, ConfigValues, Demand, Done, Grant, GrantId, Grants, Handover, Heartbeat, Held,
-    HeldBy, Holding, Listed, Message, PoolState, ProbeAck, Report, RosterDelta, RosterPull,
-    Standing, Want,
+    AccountTotal, ConfigPull, ConfigValues, Demand, EntrySlot, EntryState, Grant, GrantId,
+    GrantedSlot, Grants, Handover, Heartbeat, LedgerSnapshot, Message, PoolState, ProbeAck, Report,
+    RosterDelta, RosterEntry, RosterPull, SlotRelease,
 };
--- a/tests/testsuite/frames.rs
+++ b/tests/testsuite/frames.rs
@@ -91,7 +91,7 @@
 proptest! {
     #[test]
     fn any_changed_byte_is_noticed(at in 0_usize..60, bit in 0_u8..8) {
-        let mut frame = sealer(0).seal(&Message::StandingPull).expect("it fits");
+        let mut frame = sealer(0).seal(&Message::LedgerPull).expect("it fits");
         let at = at % frame.len();
         frame[at] ^= 1 << bit;
 
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -6,7 +6,7 @@
 use hawthornmill::ident::{Incarnation, InstanceId, ServerId};
 use hawthornmill::membership::Sign;
 use hawthornmill::pools::{entry, owner};
-use hawthornmill::wire::message::Listed;
+use hawthornmill::wire::message::RosterEntry;
 use hawthornmill_lab::demo::site::Site;
 use hawthornmill_lab::standin::platform::Mode;
 use hawthornmill_test_support::fleet::FleetText;
@@ -124,7 +124,7 @@
     let id = InstanceId::of("i1");
     let list = |leaving, board: &mut Board| {
         let contact = other.clone();
-        board.roster.replace(vec![Listed { contact, leaving }]);
+        board.roster.replace(vec![RosterEntry { contact, leaving }]);
         board.members.follow_roster(&board.roster, now);
     };
     let sign = |run, millis: u64| Sign {
