--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -130,11 +130,11 @@
         version: 1,
         leaving: false,
         revision: 1,
-        steady: u8::MAX,
+        steady_tenths: u8::MAX,
         pools: vec![PoolState {
             pool: PoolId(1),
             idle: 0,
-            level: 1.0,
+            min_service: 1.0,
         }],
         costs: (0..costs)
             .map(|n| {
--- a/crates/hawthornmill-lab/src/slopes/fixture.rs
+++ b/crates/hawthornmill-lab/src/slopes/fixture.rs
@@ -239,7 +239,7 @@
     pub fn step(&mut self) -> Duration {
         let (entry, grant) = self.granted.pop_front().expect("slots are granted");
         let id = GrantId {
-            maker: self.board.incarnation.0 as u32,
+            owner_run: self.board.incarnation.0 as u32,
             seq: grant.seq,
         };
         let done = SlotRelease {
@@ -258,7 +258,7 @@
         let (_, grant) = *self.granted.front().expect("slots are granted");
         let done = SlotRelease {
             grant: GrantId {
-                maker: self.board.incarnation.0 as u32,
+                owner_run: self.board.incarnation.0 as u32,
                 seq: grant.seq,
             },
             cost: COST,
@@ -266,12 +266,12 @@
         };
         let want = AccountTotal {
             account: grant.account,
-            wanted: grant.seq,
+            total: grant.seq,
         };
         let demand = Message::Demand(Demand {
             pool: self.pool,
-            wants: SmallVec::from_iter([want]),
-            done: SmallVec::from_iter([done]),
+            requested: SmallVec::from_iter([want]),
+            released: SmallVec::from_iter([done]),
         });
         let grants = Message::Grants(Grants {
             pool: self.pool,
@@ -290,8 +290,11 @@
         let wanted = *received + WANTED;
         let demand = Demand {
             pool: self.pool,
-            wants: SmallVec::from_iter([AccountTotal { account, wanted }]),
-            done,
+            requested: SmallVec::from_iter([AccountTotal {
+                account,
+                total: wanted,
+            }]),
+            released: done,
         };
         let message = Message::Demand(demand);
         pools::receive(&mut self.board, entry, Incarnation(1), message, self.now);
--- a/crates/hawthornmill-lab/src/slopes/measure.rs
+++ b/crates/hawthornmill-lab/src/slopes/measure.rs
@@ -200,11 +200,11 @@
         version,
         leaving: false,
         revision: 1,
-        steady: u8::MAX,
+        steady_tenths: u8::MAX,
         pools: vec![PoolState {
             pool: PoolId(origin as u64),
             idle: 0,
-            level: 1.0,
+            min_service: 1.0,
         }],
         costs: (0..costs)
             .map(|n| {
@@ -287,10 +287,10 @@
         Message::Heartbeat(Heartbeat {
             leaving: false,
             revision: 9700,
-            interval: 100,
-            steady: u8::MAX,
-            platform: true,
-            roster: u32::MAX,
+            interval_ms: 100,
+            steady_tenths: u8::MAX,
+            platform_reachable: true,
+            roster_digest: u32::MAX,
             contact,
         })
     };
--- a/crates/hawthornmill-net/src/peers/inbox.rs
+++ b/crates/hawthornmill-net/src/peers/inbox.rs
@@ -63,8 +63,8 @@
         incarnation,
         leaving: heartbeat.leaving,
         revision: heartbeat.revision,
-        interval: Duration::from_millis(heartbeat.interval.into()),
-        steady: heartbeat.steady,
+        interval: Duration::from_millis(heartbeat.interval_ms.into()),
+        steady: heartbeat.steady_tenths,
         direct: true,
     };
     let (follows, list) = fleet.feed(|board, now| {
@@ -72,7 +72,7 @@
             board.members.learn(*contact, now);
         }
         board.members.hear(sign, now);
-        let follows = follows(board, from) && heartbeat.platform;
+        let follows = follows(board, from) && heartbeat.platform_reachable;
         (follows, follows || !board.roster.is_known())
     });
     if follows {
@@ -80,7 +80,7 @@
     }
     if list {
         let have = fleet.view(|board| board.roster.digest());
-        if have != heartbeat.roster {
+        if have != heartbeat.roster_digest {
             let pull = Message::RosterPull(RosterPull { have });
             fleet.outgoing.send(from, pull);
         }
--- a/crates/hawthornmill-net/src/peers/udp.rs
+++ b/crates/hawthornmill-net/src/peers/udp.rs
@@ -142,7 +142,7 @@
             ..beat.clone()
         };
         if now.duration_since(partner.needed) > LINGER {
-            beat.interval = 0;
+            beat.interval_ms = 0;
             partner.last -= 1;
         }
         fleet.outgoing.send(*to, Message::Heartbeat(beat));
@@ -156,10 +156,10 @@
     Heartbeat {
         leaving: sign.leaving,
         revision: sign.revision,
-        interval: interval.as_millis() as u16,
-        steady: sign.steady,
-        platform,
-        roster: board.roster.digest(),
+        interval_ms: interval.as_millis() as u16,
+        steady_tenths: sign.steady,
+        platform_reachable: platform,
+        roster_digest: board.roster.digest(),
         contact: None,
     }
 }
--- a/crates/hawthornmill/src/membership/reports.rs
+++ b/crates/hawthornmill/src/membership/reports.rs
@@ -121,7 +121,7 @@
         origin.version = report.version;
         origin.leaving = report.leaving;
         origin.revision = report.revision;
-        origin.steady = report.steady;
+        origin.steady = report.steady_tenths;
         origin.pools = report.pools;
         origin.from = Some(from);
         members.hear(
@@ -131,7 +131,7 @@
                 leaving: report.leaving,
                 revision: report.revision,
                 interval: interval * KEEPALIVE,
-                steady: report.steady,
+                steady: report.steady_tenths,
                 direct: false,
             },
             now,
@@ -245,7 +245,7 @@
             version: origin.version,
             leaving: origin.leaving,
             revision: origin.revision,
-            steady: origin.steady,
+            steady_tenths: origin.steady,
             pools: origin.pools.clone(),
             costs,
         })
--- a/crates/hawthornmill/src/membership/roster.rs
+++ b/crates/hawthornmill/src/membership/roster.rs
@@ -76,7 +76,7 @@
             digest: self.digest,
             base,
             changed,
-            gone,
+            removed: gone,
         })
     }
 
@@ -87,7 +87,7 @@
             base if base == self.digest => self.entries.clone(),
             _ => return false,
         };
-        for id in &delta.gone {
+        for id in &delta.removed {
             entries.remove(id);
         }
         for listed in delta.changed {
--- a/crates/hawthornmill/src/pools/entry.rs
+++ b/crates/hawthornmill/src/pools/entry.rs
@@ -133,7 +133,7 @@
 ) {
     for grant in &grants.grants {
         let id = GrantId {
-            maker: maker(incarnation),
+            owner_run: maker(incarnation),
             seq: grant.seq,
         };
         if !accept(board, from, incarnation, grants.pool, grant, now) {
@@ -168,7 +168,7 @@
     link.settled = true;
     *link.received.entry(grant.account).or_default() += 1;
     let id = GrantId {
-        maker: maker(incarnation),
+        owner_run: maker(incarnation),
         seq: grant.seq,
     };
     let slot = Slot {
@@ -302,8 +302,8 @@
     };
     let demand = Demand {
         pool,
-        wants: SmallVec::new(),
-        done: SmallVec::from_iter([done]),
+        requested: SmallVec::new(),
+        released: SmallVec::from_iter([done]),
     };
     board.outbox.push((owner, Message::Demand(demand)));
 }
@@ -343,7 +343,7 @@
     let syncs: Vec<Message> = owned
         .map(|(pool, o)| Message::Sync {
             pool: *pool,
-            last: o.last.get(&peer).copied().unwrap_or(0),
+            last_seq: o.last.get(&peer).copied().unwrap_or(0),
             ready: o.announced,
         })
         .collect();
@@ -380,8 +380,8 @@
     if !link.resync {
         return Message::Demand(Demand {
             pool,
-            wants: std::mem::take(&mut link.wants),
-            done: std::mem::take(&mut link.done),
+            requested: std::mem::take(&mut link.wants),
+            released: std::mem::take(&mut link.done),
         });
     }
     link.resync = false;
@@ -417,7 +417,7 @@
         map.iter()
             .map(|(account, wanted)| AccountTotal {
                 account: *account,
-                wanted: *wanted,
+                total: *wanted,
             })
             .collect()
     };
@@ -427,9 +427,9 @@
         ack: link.ack(),
         held,
         received: list(&link.received),
-        wants: list(&link.told),
-        done: link.late.drain(..).chain(link.done.drain(..)).collect(),
-        settled: link.settled,
+        requested: list(&link.told),
+        released: link.late.drain(..).chain(link.done.drain(..)).collect(),
+        owner_ready: link.settled,
     };
     link.wants.clear();
     Message::EntryState(message)
@@ -459,6 +459,9 @@
         }
         link.told.insert(account, wanted);
         link.wants.retain(|w| w.account != account);
-        link.wants.push(AccountTotal { account, wanted });
+        link.wants.push(AccountTotal {
+            account,
+            total: wanted,
+        });
     }
 }
--- a/crates/hawthornmill/src/pools/mod.rs
+++ b/crates/hawthornmill/src/pools/mod.rs
@@ -97,8 +97,12 @@
         Message::Grants(grants) => entry::on_grants(board, from, incarnation, &grants, now),
         Message::EntryState(holding) => owner::on_holding(board, from, incarnation, &holding, now),
         Message::Handover(handover) => ownership::on_handover(board, &handover, now),
-        Message::Sync { pool, last, ready } => {
-            entry::on_sync(board, from, incarnation, pool, last, ready);
+        Message::Sync {
+            pool,
+            last_seq,
+            ready,
+        } => {
+            entry::on_sync(board, from, incarnation, pool, last_seq, ready);
         }
         Message::LedgerPull => standing::answer(board, from),
         Message::LedgerSnapshot(told) => standing::take(board, &told),
--- a/crates/hawthornmill/src/pools/owner.rs
+++ b/crates/hawthornmill/src/pools/owner.rs
@@ -246,7 +246,10 @@
     }
 
     fn held_by(&self, entry: InstanceId) -> impl Iterator<Item = GrantId> {
-        let low = GrantId { maker: 0, seq: 0 };
+        let low = GrantId {
+            owner_run: 0,
+            seq: 0,
+        };
         self.held
             .range((entry, low)..)
             .take_while(move |((e, _), _)| *e == entry)
@@ -319,12 +322,12 @@
     if !owned.meet(from, incarnation) {
         return;
     }
-    for want in &demand.wants {
+    for want in &demand.requested {
         open_account(board, demand.pool, service, want.account);
         let owned = board.owned.entry(demand.pool).or_default();
-        owned.set_want(from, want.account, |w| w.wanted = want.wanted);
+        owned.set_want(from, want.account, |w| w.wanted = want.total);
     }
-    for done in &demand.done {
+    for done in &demand.released {
         settle(board, demand.pool, service, from, done, now);
     }
 }
@@ -400,13 +403,13 @@
         return;
     }
     // Costs come first: what is not held and not listed here was never run, and is refunded.
-    for done in &holding.done {
+    for done in &holding.released {
         settle(board, holding.pool, service, from, done, now);
     }
     let owned = board.owned.entry(holding.pool).or_default();
     let gone: Vec<GrantId> = owned
         .held_by(from)
-        .filter(|g| g.maker != made || g.seq <= holding.ack)
+        .filter(|g| g.owner_run != made || g.seq <= holding.ack)
         .filter(|g| !holding.held.iter().any(|h| h.grant == *g))
         .collect();
     let mut refunds = Vec::new();
@@ -420,7 +423,7 @@
     let flying: Vec<AccountId> = owned
         .held
         .iter()
-        .filter(|((e, g), _)| *e == from && g.maker == made && g.seq > holding.ack)
+        .filter(|((e, g), _)| *e == from && g.owner_run == made && g.seq > holding.ack)
         .map(|(_, slot)| slot.account)
         .collect();
     reset_wants(owned, from, &holding.received, &flying);
@@ -429,10 +432,10 @@
         let charged = slot.charged.unwrap_or(0.0);
         board.ledger.charge(CostKey { service, account }, -charged);
     }
-    for want in &holding.wants {
+    for want in &holding.requested {
         open_account(board, holding.pool, service, want.account);
         let owned = board.owned.entry(holding.pool).or_default();
-        owned.set_want(from, want.account, |w| w.wanted = want.wanted);
+        owned.set_want(from, want.account, |w| w.wanted = want.total);
     }
     settle_flight(board, from, holding, now);
 }
@@ -450,8 +453,12 @@
     };
     let last = owned.last.get(&from).copied().unwrap_or(0);
     let ready = owned.is_ready(now);
-    if (holding.ack == 0 && last > 0) || (ready && !holding.settled) {
-        let sync = Message::Sync { pool, last, ready };
+    if (holding.ack == 0 && last > 0) || (ready && !holding.owner_ready) {
+        let sync = Message::Sync {
+            pool,
+            last_seq: last,
+            ready,
+        };
         board.outbox.push((from, sync));
     }
 }
@@ -473,9 +480,14 @@
         for entry in &live {
             let last = owned.last.get(entry).copied().unwrap_or(0);
             let ready = true;
-            board
-                .outbox
-                .push((*entry, Message::Sync { pool, last, ready }));
+            board.outbox.push((
+                *entry,
+                Message::Sync {
+                    pool,
+                    last_seq: last,
+                    ready,
+                },
+            ));
         }
     }
 }
@@ -500,7 +512,7 @@
         let base = received
             .iter()
             .find(|w| w.account == account)
-            .map_or(0, |w| w.wanted);
+            .map_or(0, |w| w.total);
         let flying = flying.iter().filter(|a| **a == account).count() as u32;
         owned.set_want(from, account, |w| {
             w.granted = base.wrapping_add(flying);
--- a/crates/hawthornmill/src/pools/ownership.rs
+++ b/crates/hawthornmill/src/pools/ownership.rs
@@ -78,7 +78,7 @@
         for peer in peers.into_iter().filter(|p| *p != me) {
             let sync = Message::Sync {
                 pool,
-                last: 0,
+                last_seq: 0,
                 ready: false,
             };
             board.outbox.push((peer, sync));
@@ -130,7 +130,7 @@
     let owner = board.links.get(&pool).and_then(|l| l.owner);
     owner
         .and_then(|(id, _)| board.reports.pool(pool, id))
-        .map_or(0.0, |state| state.level)
+        .map_or(0.0, |state| state.min_service)
 }
 
 fn incarnation_of(board: &Board, id: InstanceId) -> Incarnation {
@@ -180,7 +180,7 @@
         let last = book.last.get(entry).copied().unwrap_or(0);
         let sync = Message::Sync {
             pool: handover.pool,
-            last,
+            last_seq: last,
             ready: false,
         };
         board.outbox.push((*entry, sync));
--- a/crates/hawthornmill/src/pools/regions.rs
+++ b/crates/hawthornmill/src/pools/regions.rs
@@ -118,7 +118,7 @@
         .sum();
     let margin = MARGIN_ROUNDS * slots * config.services[&service].estimate;
     let total = board.ledger.total(CostKey { service, account });
-    state.level > total + margin
+    state.min_service > total + margin
 }
 
 fn state(board: &Board, pool: PoolId) -> Option<PoolState> {
--- a/crates/hawthornmill/src/pools/schedule.rs
+++ b/crates/hawthornmill/src/pools/schedule.rs
@@ -234,9 +234,16 @@
         server,
         charged: Some(charged),
     };
-    owned
-        .held
-        .insert((entry, GrantId { maker: made, seq }), slot);
+    owned.held.insert(
+        (
+            entry,
+            GrantId {
+                owner_run: made,
+                seq,
+            },
+        ),
+        slot,
+    );
     owned.last.insert(entry, seq);
     if let Some(slots) = owned.servers.get_mut(&server) {
         slots.take();
--- a/crates/hawthornmill/src/pools/tick.rs
+++ b/crates/hawthornmill/src/pools/tick.rs
@@ -129,7 +129,7 @@
         .map(|(id, o)| PoolState {
             pool: *id,
             idle: o.idle(now),
-            level: o.level,
+            min_service: o.level,
         })
         .collect();
     let costs = board.ledger.take_changed();
--- a/crates/hawthornmill/src/wire/message.rs
+++ b/crates/hawthornmill/src/wire/message.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantId {
     /// Low half of the owner's incarnation.
-    pub maker: u32,
+    pub owner_run: u32,
     /// Number of the grant at that owner.
     pub seq: u32,
 }
@@ -27,7 +27,7 @@
     /// The account.
     pub account: AccountId,
     /// Grants received from this owner so far plus requests that wait now (bounded).
-    pub wanted: u32,
+    pub total: u32,
 }
 
 /// A slot that an entry gives back.
@@ -47,9 +47,9 @@
     /// Pool that this is about.
     pub pool: PoolId,
     /// Accounts whose want changed.
-    pub wants: SmallVec<[AccountTotal; 2]>,
+    pub requested: SmallVec<[AccountTotal; 2]>,
     /// Slots given back.
-    pub done: SmallVec<[SlotRelease; 2]>,
+    pub released: SmallVec<[SlotRelease; 2]>,
 }
 
 /// The right to have one request on one server.
@@ -97,11 +97,11 @@
     /// Grants received per account.
     pub received: Vec<AccountTotal>,
     /// Wants of every account that waits.
-    pub wants: Vec<AccountTotal>,
+    pub requested: Vec<AccountTotal>,
     /// Costs of calls that ended since the owner was last told.
-    pub done: Vec<SlotRelease>,
+    pub released: Vec<SlotRelease>,
     /// The entry knows that the owner grants; until then it keeps slots that come free.
-    pub settled: bool,
+    pub owner_ready: bool,
 }
 
 /// What an owner tells of a pool.
@@ -112,7 +112,7 @@
     /// Slots that nothing waits for.
     pub idle: u16,
     /// Least normalised service among the accounts that wait there.
-    pub level: f64,
+    pub min_service: f64,
 }
 
 /// What an instance tells of itself, passed on by relays; newest version wins.
@@ -129,7 +129,7 @@
     /// Configuration revision in force there.
     pub revision: u64,
     /// Tenths of a second for which it has been steady, as in a [`Heartbeat`].
-    pub steady: u8,
+    pub steady_tenths: u8,
     /// Pools that it owns.
     pub pools: Vec<PoolState>,
     /// Own cumulative counters that changed.
@@ -195,13 +195,13 @@
     /// Configuration revision in force there.
     pub revision: u64,
     /// Milliseconds until the next heartbeat is due; 0 when the receiver needs none any more.
-    pub interval: u16,
+    pub interval_ms: u16,
     /// Tenths of a second since the sender started, woke from a pause or was cut off; 255 at most.
-    pub steady: u8,
+    pub steady_tenths: u8,
     /// The platform answered the sender in the last seconds.
-    pub platform: bool,
+    pub platform_reachable: bool,
     /// Digest of the instance list that the sender holds.
-    pub roster: u32,
+    pub roster_digest: u32,
     /// How to reach the sender; sent now and then.
     pub contact: Option<Box<Contact>>,
 }
@@ -243,7 +243,7 @@
     /// Entries that are new or different.
     pub changed: Vec<RosterEntry>,
     /// Instances that are listed no longer.
-    pub gone: Vec<InstanceId>,
+    pub removed: Vec<InstanceId>,
 }
 
 /// A slot that an entry holds, as the old owner knows it.
@@ -294,7 +294,7 @@
         /// Pool that this is about.
         pool: PoolId,
         /// Last grant number made for the entry.
-        last: u32,
+        last_seq: u32,
         /// The owner has heard enough to grant.
         ready: bool,
     },
