--- a/crates/hawthornmill-gateway/src/daemon.rs
+++ b/crates/hawthornmill-gateway/src/daemon.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hawthornmill::clock::Clock;
-use hawthornmill::ini::Fault;
+use hawthornmill::ini::Diagnostic;
 use hawthornmill::wire::Sealer;
 use hawthornmill_process::run::incarnation;
 use hawthornmill_process::settings::{report, unbound};
@@ -59,7 +59,7 @@
     news: UdpSocket,
 }
 
-async fn bind(settings: &Settings) -> Result<Sockets, Vec<Fault>> {
+async fn bind(settings: &Settings) -> Result<Sockets, Vec<Diagnostic>> {
     let open = |address| sockets::listen(address).map_err(|e| unbound(&address.to_string(), &e));
     let listen = settings.listen;
     let mut sides = vec![
--- a/crates/hawthornmill-gateway/src/settings.rs
+++ b/crates/hawthornmill-gateway/src/settings.rs
@@ -6,7 +6,7 @@
 
 use hawthornmill::codes::Code;
 use hawthornmill::ident::{DomainId, RegionId};
-use hawthornmill::ini::{Fault, Reader, Section};
+use hawthornmill::ini::{Diagnostic, Reader, Section};
 use hawthornmill::routing::budget::Terms;
 
 const SECTIONS: &[&str] = &[
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     /// Every fault of the file.
-    pub fn load(path: &Path) -> Result<Self, Vec<Fault>> {
+    pub fn load(path: &Path) -> Result<Self, Vec<Diagnostic>> {
         hawthornmill_process::settings::load(path, Self::parse)
     }
 
@@ -87,17 +87,17 @@
     ///
     /// # Errors
     /// Every fault of the text.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Fault>> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Diagnostic>> {
         let (mut reader, sections) = Reader::open(file, text, SECTIONS)?;
-        let one = |kind: &str| Section::first(&sections, kind);
+        let one = |kind: &str| Section::first_or_empty(&sections, kind);
         let listen = listen(&mut reader, &one("listen"));
         let instance = one("instance");
-        reader.known_keys(&instance, &["name", "domain", "region"]);
-        let mut word = |key| reader.need(&instance, key).unwrap_or_default();
+        reader.reject_unknown_keys(&instance, &["name", "domain", "region"]);
+        let mut word = |key| reader.required(&instance, key).unwrap_or_default();
         let (name, domain, region) = (word("name"), word("domain"), word("region"));
         let domains: Vec<&Section> = sections.iter().filter(|s| &*s.kind == "domain").collect();
         let peers = one("peers");
-        reader.known_keys(&peers, &["seeds", "key", "news_ms"]);
+        reader.reject_unknown_keys(&peers, &["seeds", "key", "news_ms"]);
         let settings = Self {
             name,
             domain: DomainId::of(&domain),
@@ -119,7 +119,7 @@
 }
 
 fn listen(reader: &mut Reader<'_>, section: &Section) -> Listen {
-    reader.known_keys(section, &["front", "ready", "directory", "peer", "metrics"]);
+    reader.reject_unknown_keys(section, &["front", "ready", "directory", "peer", "metrics"]);
     let metrics = section.get("metrics").is_some();
     Listen {
         front: address(reader, section, "front"),
@@ -137,8 +137,8 @@
 }
 
 fn domain_region(reader: &mut Reader<'_>, section: &Section) -> (DomainId, RegionId) {
-    reader.known_keys(section, &["region"]);
-    let region = reader.need(section, "region").unwrap_or_default();
+    reader.reject_unknown_keys(section, &["region"]);
+    let region = reader.required(section, "region").unwrap_or_default();
     (DomainId::of(&section.name), RegionId::of(&region))
 }
 
@@ -158,7 +158,7 @@
             Ok(address) => seeds.push(SocketAddr::new(address.ip(), port)),
             Err(_unreadable) => {
                 let what = format!("`seeds` are IP:port, not `{word}`");
-                reader.fault(Code::BadValue, entry.line, 0, what);
+                reader.report(Code::BadValue, entry.line, 0, what);
             }
         }
     }
@@ -166,19 +166,19 @@
 }
 
 fn key(reader: &mut Reader<'_>, section: &Section) -> [u8; 32] {
-    if reader.need(section, "key").is_none() {
+    if reader.required(section, "key").is_none() {
         return [0; 32];
     }
-    reader.digits(section, "key").unwrap_or_default()
+    reader.hex_bytes(section, "key").unwrap_or_default()
 }
 
 fn store(reader: &mut Reader<'_>, section: &Section) -> SocketAddr {
-    reader.known_keys(section, &["address"]);
+    reader.reject_unknown_keys(section, &["address"]);
     address(reader, section, "address")
 }
 
 fn seconds(reader: &mut Reader<'_>, section: &Section, key: &str, default: f64) -> Duration {
-    Duration::from_secs_f64(reader.bounded(section, key, default, 0.01..=3_600.0))
+    Duration::from_secs_f64(reader.number_in(section, key, default, 0.01..=3_600.0))
 }
 
 fn promises(reader: &mut Reader<'_>, section: &Section) -> Promises {
@@ -190,26 +190,26 @@
         "resend_extra",
         "resend_window_s",
     ];
-    reader.known_keys(section, &known);
+    reader.reject_unknown_keys(section, &known);
     Promises {
         apply: reader.millis(section, "apply_ms", 3_000.0),
         grace: seconds(reader, section, "grace_s", 8.0),
         ttl: seconds(reader, section, "ttl_s", 1.0),
         resends: Terms {
-            ratio: reader.bounded(section, "resend_ratio", 0.1, 0.0..=1.0),
-            extra: reader.bounded(section, "resend_extra", 20.0, 0.0..=1e6),
+            ratio: reader.number_in(section, "resend_ratio", 0.1, 0.0..=1.0),
+            extra: reader.number_in(section, "resend_extra", 20.0, 0.0..=1e6),
             window: seconds(reader, section, "resend_window_s", 10.0),
         },
     }
 }
 
 fn level(reader: &mut Reader<'_>, section: &Section) -> log::LevelFilter {
-    reader.known_keys(section, &["level"]);
+    reader.reject_unknown_keys(section, &["level"]);
     let words = [
         ("info", log::LevelFilter::Info),
         ("warn", log::LevelFilter::Warn),
         ("error", log::LevelFilter::Error),
         ("debug", log::LevelFilter::Debug),
     ];
-    reader.word(section, "level", &words)
+    reader.choice(section, "level", &words)
 }
--- a/crates/hawthornmill-lab/src/demo/mod.rs
+++ b/crates/hawthornmill-lab/src/demo/mod.rs
@@ -100,7 +100,7 @@
     Ok(())
 }
 
-fn words(faults: &[hawthornmill::ini::Fault]) -> Box<str> {
+fn words(faults: &[hawthornmill::ini::Diagnostic]) -> Box<str> {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     lines.join("\n").into()
 }
--- a/crates/hawthornmill-lab/src/load/plan.rs
+++ b/crates/hawthornmill-lab/src/load/plan.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hawthornmill::ini::{Fault, Reader, Section, read};
+use hawthornmill::ini::{Diagnostic, Reader, Section, parse_sections};
 
 /// Calls of one client account to one service.
 #[derive(Debug, Clone, PartialEq)]
@@ -60,49 +60,49 @@
 ///
 /// # Errors
 /// Every fault of the text.
-pub fn parse(file: &str, text: &str) -> Result<Vec<Caller>, Vec<Fault>> {
-    let sections = read(file, text)?;
+pub fn parse(file: &str, text: &str) -> Result<Vec<Caller>, Vec<Diagnostic>> {
+    let sections = parse_sections(file, text)?;
     let mut reader = Reader::new(file);
     let mut callers = Vec::new();
     for section in &sections {
         if &*section.kind == "caller" {
             callers.push(caller(&mut reader, section));
         } else {
-            reader.unknown_section(section, &["caller"]);
+            reader.reject_unknown_section(section, &["caller"]);
         }
     }
-    if reader.faults.is_empty() {
+    if reader.diagnostics.is_empty() {
         Ok(callers)
     } else {
-        Err(reader.faults)
+        Err(reader.diagnostics)
     }
 }
 
 fn caller(reader: &mut Reader<'_>, section: &Section) -> Caller {
-    reader.known_keys(section, KEYS);
+    reader.reject_unknown_keys(section, KEYS);
     let text = |key: &str, default: &str| {
         section
             .get(key)
             .map_or_else(|| default.into(), |e| e.value.clone())
     };
     let regions: Box<str> = text("regions", "");
-    let deadline = reader.bounded(section, "deadline_ms", 5000.0, 1.0..=3_600_000.0);
+    let deadline = reader.number_in(section, "deadline_ms", 5000.0, 1.0..=3_600_000.0);
     Caller {
         account: text("account", &section.name),
         token: text("token", &format!("token-{}", section.name)),
-        service: reader.need(section, "service").unwrap_or_default(),
+        service: reader.required(section, "service").unwrap_or_default(),
         path: text("path", "/generate"),
-        rate: reader.bounded(section, "rate", 0.0, 0.0..=1e6),
-        workers: reader.bounded(section, "workers", 0.0, 0.0..=1e4) as usize,
-        tokens: reader.bounded(section, "tokens", 64.0, 1.0..=1e6),
+        rate: reader.number_in(section, "rate", 0.0, 0.0..=1e6),
+        workers: reader.number_in(section, "workers", 0.0, 0.0..=1e4) as usize,
+        tokens: reader.number_in(section, "tokens", 64.0, 1.0..=1e6),
         deadline: Duration::from_secs_f64(deadline / 1000.0),
-        keyed: reader.word(section, "keyed", &[("no", false), ("yes", true)]),
+        keyed: reader.choice(section, "keyed", &[("no", false), ("yes", true)]),
         regions: regions
             .split(',')
             .map(str::trim)
             .filter(|r| !r.is_empty())
             .map(Into::into)
             .collect(),
-        entries: reader.bounded(section, "entries", 0.0, 0.0..=1e4) as usize,
+        entries: reader.number_in(section, "entries", 0.0, 0.0..=1e4) as usize,
     }
 }
--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -7,7 +7,7 @@
 
 use hawthornmill::clock::Clock;
 use hawthornmill::ident::{PoolId, ServerId};
-use hawthornmill::ini::Fault;
+use hawthornmill::ini::Diagnostic;
 use hawthornmill::pools::{owner, tick};
 use hawthornmill_process::run::incarnation;
 use hawthornmill_process::settings::{report, unbound};
@@ -55,7 +55,7 @@
     udp: UdpSocket,
 }
 
-async fn bind(settings: &Settings) -> Result<Sockets, Vec<Fault>> {
+async fn bind(settings: &Settings) -> Result<Sockets, Vec<Diagnostic>> {
     let (http, peer) = (&*settings.contact.http, &*settings.contact.peer);
     Ok(Sockets {
         http: bind_http(http).map_err(|e| unbound(http, &e))?,
--- a/crates/hawthornmill-net/src/settings.rs
+++ b/crates/hawthornmill-net/src/settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hawthornmill::board::{Policy, Tuning};
-use hawthornmill::ini::{Fault, Reader, Section};
+use hawthornmill::ini::{Diagnostic, Reader, Section};
 use hawthornmill::wire::message::Contact;
 
 const SECTIONS: &[&str] = &[
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// Every fault of the file.
-    pub fn load(path: &Path) -> Result<Self, Vec<Fault>> {
+    pub fn load(path: &Path) -> Result<Self, Vec<Diagnostic>> {
         hawthornmill_process::settings::load(path, Self::parse)
     }
 
@@ -92,9 +92,9 @@
     ///
     /// # Errors
     /// Every fault of the text.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Fault>> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Diagnostic>> {
         let (mut reader, sections) = Reader::open(file, text, SECTIONS)?;
-        let pick = |kind: &str| Section::first(&sections, kind);
+        let pick = |kind: &str| Section::first_or_empty(&sections, kind);
         let settings = Self {
             contact: contact(&mut reader, &pick("instance")),
             platform: platform(&mut reader, &pick("platform")),
@@ -112,7 +112,7 @@
 }
 
 fn count(reader: &mut Reader<'_>, section: &Section, key: &str, default: f64) -> usize {
-    reader.bounded(section, key, default, 1.0..=MOST_COUNT) as usize
+    reader.number_in(section, key, default, 1.0..=MOST_COUNT) as usize
 }
 
 fn address(reader: &mut Reader<'_>, section: &Section, key: &str) -> Box<str> {
@@ -121,8 +121,8 @@
 }
 
 fn contact(reader: &mut Reader<'_>, section: &Section) -> Contact {
-    reader.known_keys(section, &["name", "domain", "region", "http", "peer"]);
-    let mut word = |key| reader.need(section, key).unwrap_or_default();
+    reader.reject_unknown_keys(section, &["name", "domain", "region", "http", "peer"]);
+    let mut word = |key| reader.required(section, key).unwrap_or_default();
     let (name, domain, region) = (word("name"), word("domain"), word("region"));
     Contact {
         name,
@@ -134,21 +134,21 @@
 }
 
 fn platform(reader: &mut Reader<'_>, section: &Section) -> Box<str> {
-    reader.known_keys(section, &["address"]);
+    reader.reject_unknown_keys(section, &["address"]);
     address(reader, section, "address")
 }
 
 fn key(reader: &mut Reader<'_>, section: &Section) -> [u8; 32] {
-    reader.known_keys(section, &["key", "heartbeat_ms"]);
-    if reader.need(section, "key").is_none() {
+    reader.reject_unknown_keys(section, &["key", "heartbeat_ms"]);
+    if reader.required(section, "key").is_none() {
         return [0; 32];
     }
-    reader.digits(section, "key").unwrap_or_default()
+    reader.hex_bytes(section, "key").unwrap_or_default()
 }
 
 fn operators(reader: &mut Reader<'_>, section: &Section) -> Option<[u8; 32]> {
-    reader.known_keys(section, &["token"]);
-    reader.digits(section, "token")
+    reader.reject_unknown_keys(section, &["token"]);
+    reader.hex_bytes(section, "token")
 }
 
 fn heartbeat(reader: &mut Reader<'_>, section: &Section) -> Duration {
@@ -167,10 +167,10 @@
         "lag_cap",
         "cross_bytes",
     ];
-    reader.known_keys(section, &known);
+    reader.reject_unknown_keys(section, &known);
     let base = Tuning::default();
     Tuning {
-        policy: reader.word(
+        policy: reader.choice(
             section,
             "policy",
             &[("pooled", Policy::Pooled), ("static", Policy::Static)],
@@ -182,8 +182,8 @@
         confirm: reader.millis(section, "confirm_ms", ms(base.confirm)),
         max_waiting: count(reader, limits, "max_waiting", base.max_waiting as f64),
         max_bytes: count(reader, limits, "max_bytes", base.max_bytes as f64),
-        lag_cap: reader.bounded(section, "lag_cap", base.lag_cap, 0.1..=1e6),
-        cross_bytes: reader.bounded(section, "cross_bytes", base.cross_bytes, 0.0..=1e12),
+        lag_cap: reader.number_in(section, "lag_cap", base.lag_cap, 0.1..=1e6),
+        cross_bytes: reader.number_in(section, "cross_bytes", base.cross_bytes, 0.0..=1e12),
     }
 }
 
@@ -200,7 +200,7 @@
         "keys",
         "kept_bytes",
     ];
-    reader.known_keys(section, &known);
+    reader.reject_unknown_keys(section, &known);
     Limits {
         body: count(reader, section, "body_bytes", 4_194_304.0),
         headers: count(reader, section, "header_bytes", 16_384.0),
@@ -210,7 +210,7 @@
 }
 
 fn discovery(reader: &mut Reader<'_>, section: &Section) -> Discovery {
-    reader.known_keys(section, &["ttl_ms", "key_ttl_ms", "drain_ms"]);
+    reader.reject_unknown_keys(section, &["ttl_ms", "key_ttl_ms", "drain_ms"]);
     Discovery {
         ttl: reader.millis(section, "ttl_ms", 3000.0),
         keys: reader.millis(section, "key_ttl_ms", 120_000.0),
@@ -219,10 +219,10 @@
 }
 
 fn telemetry(reader: &mut Reader<'_>, section: &Section) -> TelemetrySettings {
-    reader.known_keys(section, &["level", "spans", "metrics_ms"]);
+    reader.reject_unknown_keys(section, &["level", "spans", "metrics_ms"]);
     TelemetrySettings {
-        level: reader.value(section, "level", log::LevelFilter::Info),
-        spans: reader.bounded(section, "spans", 0.0, 0.0..=1.0),
+        level: reader.parse_or(section, "level", log::LevelFilter::Info),
+        spans: reader.number_in(section, "spans", 0.0, 0.0..=1.0),
         metrics: reader.millis(section, "metrics_ms", 10_000.0),
     }
 }
--- a/crates/hawthornmill-tools/src/check/catalog.rs
+++ b/crates/hawthornmill-tools/src/check/catalog.rs
@@ -5,20 +5,21 @@
 use std::path::Path;
 
 use hawthornmill::codes::Code;
-use hawthornmill::ini::Fault;
+use hawthornmill::ini::Diagnostic;
 use hawthornmill::routing::catalog::{Account, Catalog, Route, check};
 
 /// Reads and checks the catalog in `file`.
 ///
 /// # Errors
 /// The first fault of the file.
-pub fn read(file: &Path) -> Result<Catalog, Vec<Fault>> {
-    let bytes = std::fs::read(file).map_err(|e| vec![Fault::unreadable(file, &e.to_string())])?;
+pub fn read(file: &Path) -> Result<Catalog, Vec<Diagnostic>> {
+    let bytes =
+        std::fs::read(file).map_err(|e| vec![Diagnostic::unreadable(file, &e.to_string())])?;
     let fault = |code: Code, what: Box<str>| {
-        vec![Fault {
+        vec![Diagnostic {
             code,
-            what,
-            ..Fault::unreadable(file, "")
+            message: what,
+            ..Diagnostic::unreadable(file, "")
         }]
     };
     let catalog =
--- a/crates/hawthornmill-tools/src/check/mod.rs
+++ b/crates/hawthornmill-tools/src/check/mod.rs
@@ -12,7 +12,7 @@
 use hawthornmill::config::FleetConfig;
 use hawthornmill::config::accept::{Values, accept, manifest};
 use hawthornmill::config::compare::{compare, warnings};
-use hawthornmill::ini::Fault;
+use hawthornmill::ini::Diagnostic;
 use hawthornmill_gateway::settings::Settings as GatewaySettings;
 use hawthornmill_net::settings::Settings;
 
@@ -131,7 +131,7 @@
     }
 }
 
-fn check_catalog(args: &CatalogArgs) -> Result<Verdict, Vec<Fault>> {
+fn check_catalog(args: &CatalogArgs) -> Result<Verdict, Vec<Diagnostic>> {
     let candidate = catalog::read(&args.file)?;
     let mut text = catalog::describe(&candidate);
     if let Some(present) = &args.present {
@@ -143,7 +143,7 @@
     })
 }
 
-fn check_fleet(args: &FleetArgs) -> Result<Verdict, Vec<Fault>> {
+fn check_fleet(args: &FleetArgs) -> Result<Verdict, Vec<Diagnostic>> {
     let candidate = read_fleet(&args.files)?;
     let mut text = show::describe(&candidate);
     if !args.present.is_empty() {
@@ -161,7 +161,7 @@
 ///
 /// # Errors
 /// Every fault of every file.
-pub fn read_fleet(files: &[PathBuf]) -> Result<FleetConfig, Vec<Fault>> {
+pub fn read_fleet(files: &[PathBuf]) -> Result<FleetConfig, Vec<Diagnostic>> {
     let mut values = Values::new();
     let mut faults = Vec::new();
     for file in files {
@@ -170,12 +170,12 @@
             Ok(text) => {
                 values.insert(name.into(), text.into());
             }
-            Err(error) => faults.push(Fault {
+            Err(error) => faults.push(Diagnostic {
                 code: Code::FileUnreadable,
                 file: name.into(),
                 line: 0,
                 column: 0,
-                what: error.to_string().into(),
+                message: error.to_string().into(),
             }),
         }
     }
--- a/crates/hawthornmill-tools/src/explain/mod.rs
+++ b/crates/hawthornmill-tools/src/explain/mod.rs
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 
 use argh::FromArgs;
-use hawthornmill::ini::Fault;
+use hawthornmill::ini::Diagnostic;
 use hawthornmill::usage::explain::{Interval, Log, Missing, divide};
 use serde::Serialize;
 
@@ -87,10 +87,11 @@
     }
 }
 
-fn run(args: &ExplainArgs) -> Result<Explained, Fault> {
+fn run(args: &ExplainArgs) -> Result<Explained, Diagnostic> {
     let mut log = Log::default();
     for file in &args.files {
-        read::read_file(file, &mut log).map_err(|e| Fault::unreadable(file, &e.to_string()))?;
+        read::read_file(file, &mut log)
+            .map_err(|e| Diagnostic::unreadable(file, &e.to_string()))?;
     }
     let explained = Explained::new(&log, args.interval);
     if let Some(file) = &args.plot {
@@ -98,9 +99,9 @@
         let steps = divide(&log, 1000);
         std::fs::write(
             file,
-            plot::svg(&steps).map_err(|e| Fault::unreadable(file, &e))?,
+            plot::svg(&steps).map_err(|e| Diagnostic::unreadable(file, &e))?,
         )
-        .map_err(|e| Fault::unreadable(file, &e.to_string()))?;
+        .map_err(|e| Diagnostic::unreadable(file, &e.to_string()))?;
     }
     if args.json {
         println!("{}", serde_json::to_string(&explained).unwrap_or_default());
--- a/crates/hawthornmill-tools/src/request/mod.rs
+++ b/crates/hawthornmill-tools/src/request/mod.rs
@@ -9,7 +9,7 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-use hawthornmill::ini::Fault;
+use hawthornmill::ini::Diagnostic;
 use serde::Serialize;
 use serde_json::Value;
 
@@ -225,8 +225,8 @@
     u8::from(!whole)
 }
 
-fn read_file(file: &Path, request: &str) -> Result<Option<Part>, Fault> {
+fn read_file(file: &Path, request: &str) -> Result<Option<Part>, Diagnostic> {
     let name = file.display().to_string();
-    let bytes = std::fs::read(file).map_err(|e| Fault::unreadable(file, &e.to_string()))?;
+    let bytes = std::fs::read(file).map_err(|e| Diagnostic::unreadable(file, &e.to_string()))?;
     Ok(read(&name, &String::from_utf8_lossy(&bytes), request))
 }
--- a/crates/hawthornmill/src/config/accept.rs
+++ b/crates/hawthornmill/src/config/accept.rs
@@ -11,7 +11,7 @@
 use super::model::FleetConfig;
 use super::parse;
 use crate::codes::Code;
-use crate::ini::Fault;
+use crate::ini::Diagnostic;
 
 /// Bytes that one configuration value may have, as the platform bounds it.
 pub const VALUE_LIMIT: usize = 1_000_000;
@@ -58,8 +58,8 @@
 ///
 /// # Errors
 /// Every fault found; the caller keeps what was in force.
-pub fn accept(manifest: &Manifest, values: &Values) -> Result<FleetConfig, Vec<Fault>> {
-    let faults: Vec<Fault> = manifest
+pub fn accept(manifest: &Manifest, values: &Values) -> Result<FleetConfig, Vec<Diagnostic>> {
+    let faults: Vec<Diagnostic> = manifest
         .values
         .iter()
         .filter_map(|v| check_value(v, values))
@@ -75,14 +75,14 @@
     parse::parse(manifest.revision, &texts)
 }
 
-fn check_value(value: &ValueRef, values: &Values) -> Option<Fault> {
+fn check_value(value: &ValueRef, values: &Values) -> Option<Diagnostic> {
     let fault = |code, what: String| {
-        Some(Fault {
+        Some(Diagnostic {
             code,
             file: value.name.clone(),
             line: 0,
             column: 0,
-            what: what.into(),
+            message: what.into(),
         })
     };
     let Some(text) = values.get(&value.name) else {
--- a/crates/hawthornmill/src/config/intake.rs
+++ b/crates/hawthornmill/src/config/intake.rs
@@ -4,7 +4,7 @@
 
 use super::accept::Manifest;
 use crate::codes::Code;
-use crate::ini::Fault;
+use crate::ini::Diagnostic;
 
 /// Time after which a revision that was asked of a peer is asked again, of whoever names it then.
 const ASK_AGAIN: Duration = Duration::from_millis(500);
@@ -40,8 +40,8 @@
     /// The verdict on a whole revision never changes, so fetching it again would only load the
     /// platform. A value that is missing, or of another revision, is no verdict: the platform was
     /// read in the middle of a change, and the same manifest may be good a moment later.
-    pub fn refuse(&mut self, manifest: &Manifest, faults: &[Fault]) {
-        let partial = |f: &Fault| matches!(f.code, Code::ValueMissing | Code::DigestMismatch);
+    pub fn refuse(&mut self, manifest: &Manifest, faults: &[Diagnostic]) {
+        let partial = |f: &Diagnostic| matches!(f.code, Code::ValueMissing | Code::DigestMismatch);
         if !faults.iter().any(partial) {
             self.refused = Some(manifest.clone());
         }
--- a/crates/hawthornmill/src/config/parse.rs
+++ b/crates/hawthornmill/src/config/parse.rs
@@ -12,7 +12,7 @@
 use super::names::Names;
 use crate::codes::Code;
 use crate::ident::{AccountId, DomainId, PoolId, RegionId, ServerId, ServiceId};
-use crate::ini::{Fault, Reader, Section, read};
+use crate::ini::{Diagnostic, Reader, Section, parse_sections};
 use crate::labels::{Labels, Selector, parse_labels};
 
 const KINDS: &[&str] = &["domain", "account", "service", "server", "grant"];
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 /// Every fault of every text.
-pub fn parse(revision: u64, texts: &[(&str, &str)]) -> Result<FleetConfig, Vec<Fault>> {
+pub fn parse(revision: u64, texts: &[(&str, &str)]) -> Result<FleetConfig, Vec<Diagnostic>> {
     let mut faults = Vec::new();
     let mut config = FleetConfig {
         revision,
@@ -37,7 +37,7 @@
     };
     let mut parts = Vec::new();
     for (file, text) in texts {
-        match read(file, text) {
+        match parse_sections(file, text) {
             Ok(sections) => parts.extend(sections.into_iter().map(|s| (*file, s))),
             Err(found) => faults.extend(found),
         }
@@ -49,13 +49,13 @@
             let mut reader = Reader::new(file);
             claim_keys(&mut names, &mut reader, section);
             add_section(&mut config, &mut reader, section);
-            faults.extend(reader.faults);
+            faults.extend(reader.diagnostics);
         }
     }
     for (file, section) in parts.iter().filter(|(_, s)| !KINDS.contains(&&*s.kind)) {
         let mut reader = Reader::new(file);
-        reader.unknown_section(section, KINDS);
-        faults.extend(reader.faults);
+        reader.reject_unknown_section(section, KINDS);
+        faults.extend(reader.diagnostics);
     }
     if !faults.is_empty() {
         return Err(faults);
@@ -90,7 +90,7 @@
     for (kind, key, name) in keys {
         if let Some(other) = names.claim(kind, key, &name) {
             let what = format!("{kind}s `{other}` and `{name}` have one key; rename either");
-            reader.fault(Code::KeyCollision, section.line, 0, what);
+            reader.report(Code::KeyCollision, section.line, 0, what);
         }
     }
 }
@@ -98,7 +98,7 @@
 fn add_section(config: &mut FleetConfig, reader: &mut Reader<'_>, section: &Section) {
     if section.name.is_empty() {
         let what = format!("section [{}] needs a name", section.kind);
-        reader.fault(Code::MissingKey, section.line, 0, what);
+        reader.report(Code::MissingKey, section.line, 0, what);
         return;
     }
     match &*section.kind {
@@ -111,8 +111,8 @@
 }
 
 fn add_domain(config: &mut FleetConfig, reader: &mut Reader<'_>, section: &Section) {
-    reader.known_keys(section, &["region"]);
-    let Some(region) = reader.need(section, "region") else {
+    reader.reject_unknown_keys(section, &["region"]);
+    let Some(region) = reader.required(section, "region") else {
         return;
     };
     let id = DomainId::of(&section.name);
@@ -123,14 +123,14 @@
 }
 
 fn add_account(config: &mut FleetConfig, reader: &mut Reader<'_>, section: &Section) {
-    reader.known_keys(section, &["labels", "token", "max_queue", "max_bytes"]);
+    reader.reject_unknown_keys(section, &["labels", "token", "max_queue", "max_bytes"]);
     let labels = labels_of(reader, section);
-    let Some(token) = reader.need(section, "token") else {
+    let Some(token) = reader.required(section, "token") else {
         return;
     };
     let Ok(token) = blake3::Hash::from_hex(token.as_bytes()) else {
         let line = section.get("token").map_or(0, |e| e.line);
-        reader.fault(Code::BadValue, line, 0, "`token` is 64 hexadecimal digits");
+        reader.report(Code::BadValue, line, 0, "`token` is 64 hexadecimal digits");
         return;
     };
     let id = AccountId::of(&section.name);
@@ -138,12 +138,12 @@
         name: section.name.clone(),
         labels,
         token: *token.as_bytes(),
-        max_queue: reader.value(section, "max_queue", DEFAULT_QUEUE),
-        max_bytes: reader.value(section, "max_bytes", DEFAULT_QUEUE_BYTES),
+        max_queue: reader.parse_or(section, "max_queue", DEFAULT_QUEUE),
+        max_bytes: reader.parse_or(section, "max_bytes", DEFAULT_QUEUE_BYTES),
     };
     if config.tokens.insert(account.token, id).is_some() {
         let line = section.get("token").map_or(0, |e| e.line);
-        reader.fault(Code::Duplicate, line, 0, "another account has this token");
+        reader.report(Code::Duplicate, line, 0, "another account has this token");
     }
     let earlier = config.accounts.insert(id, account);
     once(reader, section, earlier.is_some());
@@ -159,21 +159,21 @@
         "resume",
         "stall_ms",
     ];
-    reader.known_keys(section, &known);
-    let timeout = reader.bounded(section, "timeout_ms", DEFAULT_TIMEOUT_MS, 1.0..=3_600_000.0);
+    reader.reject_unknown_keys(section, &known);
+    let timeout = reader.number_in(section, "timeout_ms", DEFAULT_TIMEOUT_MS, 1.0..=3_600_000.0);
     let service = Service {
         name: section.name.clone(),
-        repeat: reader.word(
+        repeat: reader.choice(
             section,
             "repeat",
             &[("allowed", Repeat::Allowed), ("never", Repeat::Never)],
         ),
-        cost: reader.word(
+        cost: reader.choice(
             section,
             "cost",
             &[("reported", CostKind::Reported), ("time", CostKind::Time)],
         ),
-        estimate: reader.bounded(section, "estimate", DEFAULT_ESTIMATE, 0.001..=1e9),
+        estimate: reader.number_in(section, "estimate", DEFAULT_ESTIMATE, 0.001..=1e9),
         timeout: Duration::from_secs_f64(timeout / 1000.0),
         answer: answer_rule(reader, section),
     };
@@ -184,9 +184,9 @@
 }
 
 fn answer_rule(reader: &mut Reader<'_>, section: &Section) -> AnswerRule {
-    let stall = reader.bounded(section, "stall_ms", DEFAULT_STALL_MS, 1.0..=3_600_000.0);
+    let stall = reader.number_in(section, "stall_ms", DEFAULT_STALL_MS, 1.0..=3_600_000.0);
     AnswerRule {
-        complete: reader.word(
+        complete: reader.choice(
             section,
             "complete",
             &[
@@ -194,19 +194,19 @@
                 ("done-line", Complete::DoneLine),
             ],
         ),
-        resume: reader.word(section, "resume", &[("no", false), ("from", true)]),
+        resume: reader.choice(section, "resume", &[("no", false), ("from", true)]),
         stall: Duration::from_secs_f64(stall / 1000.0),
     }
 }
 
 fn add_server(config: &mut FleetConfig, reader: &mut Reader<'_>, section: &Section) {
     let known = ["service", "domain", "address", "slots", "labels", "leaving"];
-    reader.known_keys(section, &known);
+    reader.reject_unknown_keys(section, &known);
     let mut labels = labels_of(reader, section);
     let needed = (
-        reader.need(section, "service"),
-        reader.need(section, "domain"),
-        reader.need(section, "address"),
+        reader.required(section, "service"),
+        reader.required(section, "domain"),
+        reader.required(section, "address"),
     );
     let (Some(service), Some(domain), Some(address)) = needed else {
         return;
@@ -220,7 +220,7 @@
     }
     if address.parse::<std::net::SocketAddr>().is_err() {
         let line = section.get("address").map_or(0, |e| e.line);
-        reader.fault(Code::BadValue, line, 0, "`address` is IP:port");
+        reader.report(Code::BadValue, line, 0, "`address` is IP:port");
     }
     if let Some(region) = config
         .domains
@@ -236,9 +236,9 @@
         service: ids.0,
         domain: ids.1,
         address,
-        slots: reader.bounded(section, "slots", DEFAULT_SLOTS, 1.0..=MOST_SLOTS) as u16,
+        slots: reader.number_in(section, "slots", DEFAULT_SLOTS, 1.0..=MOST_SLOTS) as u16,
         labels,
-        leaving: reader.word(section, "leaving", &[("no", false), ("yes", true)]),
+        leaving: reader.choice(section, "leaving", &[("no", false), ("yes", true)]),
         class: 0,
     };
     let earlier = config.servers.insert(ServerId::of(&section.name), server);
@@ -246,12 +246,12 @@
 }
 
 fn add_grant(config: &mut FleetConfig, reader: &mut Reader<'_>, section: &Section) {
-    reader.known_keys(section, &["accounts", "servers", "share"]);
+    reader.reject_unknown_keys(section, &["accounts", "servers", "share"]);
     let grant = Grant {
         name: section.name.clone(),
         accounts: selector_of(reader, section, "accounts"),
         servers: selector_of(reader, section, "servers"),
-        share: reader.bounded(section, "share", 1.0, 0.001..=MOST_SHARE),
+        share: reader.number_in(section, "share", 1.0, 0.001..=MOST_SHARE),
     };
     let twice = config.grants.iter().any(|g| g.name == grant.name);
     config.grants.push(grant);
@@ -265,7 +265,7 @@
             Ok(found) => labels = found,
             Err(e) => {
                 let column = entry.column + e.column - 1;
-                reader.fault(Code::BadSelector, entry.line, column, e.what);
+                reader.report(Code::BadSelector, entry.line, column, e.message);
             }
         }
     }
@@ -274,7 +274,7 @@
 }
 
 fn selector_of(reader: &mut Reader<'_>, section: &Section, key: &str) -> Selector {
-    if reader.need(section, key).is_none() {
+    if reader.required(section, key).is_none() {
         return Selector::default();
     }
     let Some(entry) = section.get(key) else {
@@ -284,7 +284,7 @@
         Ok(selector) => selector,
         Err(e) => {
             let column = entry.column + e.column - 1;
-            reader.fault(Code::BadSelector, entry.line, column, e.what);
+            reader.report(Code::BadSelector, entry.line, column, e.message);
             Selector::default()
         }
     }
@@ -293,13 +293,13 @@
 fn once(reader: &mut Reader<'_>, section: &Section, twice: bool) {
     if twice {
         let what = format!("[{} {}] stands twice", section.kind, section.name);
-        reader.fault(Code::Duplicate, section.line, 0, what);
+        reader.report(Code::Duplicate, section.line, 0, what);
     }
 }
 
 fn unknown(reader: &mut Reader<'_>, section: &Section, key: &str, name: &str) {
     let line = section.get(key).map_or(0, |e| e.line);
-    reader.fault(
+    reader.report(
         Code::UnknownReference,
         line,
         0,
--- a/crates/hawthornmill/src/ini.rs
+++ b/crates/hawthornmill/src/ini.rs
@@ -15,7 +15,7 @@
 
 /// One fault in an INI text: where it stands and what it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct Diagnostic {
     /// Numbered result.
     pub code: Code,
     /// File or value name.
@@ -25,10 +25,10 @@
     /// Column from 1; 0 where the fault belongs to the whole line.
     pub column: usize,
     /// What is wrong, in words.
-    pub what: Box<str>,
+    pub message: Box<str>,
 }
 
-impl Fault {
+impl Diagnostic {
     /// A file that can't be read, and why.
     pub fn unreadable(file: &Path, what: &str) -> Self {
         Self {
@@ -36,12 +36,12 @@
             file: file.display().to_string().into(),
             line: 0,
             column: 0,
-            what: what.into(),
+            message: what.into(),
         }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file)?;
         if self.line > 0 {
@@ -50,7 +50,7 @@
         if self.column > 0 {
             write!(f, ":{}", self.column)?;
         }
-        write!(f, ": error {}: {}", self.code.number(), self.what)
+        write!(f, ": error {}: {}", self.code.number(), self.message)
     }
 }
 
@@ -85,7 +85,7 @@
 
 impl Section {
     /// The first section of `kind`, or one without keys where there is none.
-    pub fn first(sections: &[Self], kind: &str) -> Self {
+    pub fn first_or_empty(sections: &[Self], kind: &str) -> Self {
         let found = sections.iter().find(|s| &*s.kind == kind).cloned();
         found.unwrap_or_else(|| Self {
             kind: kind.into(),
@@ -105,19 +105,19 @@
 ///
 /// # Errors
 /// Every fault of the text: syntax, keys outside a section, sections or keys that stand twice.
-pub fn read(file: &str, text: &str) -> Result<Vec<Section>, Vec<Fault>> {
+pub fn parse_sections(file: &str, text: &str) -> Result<Vec<Section>, Vec<Diagnostic>> {
     let option = ParseOption {
         enabled_quote: false,
         enabled_escape: false,
         ..ParseOption::default()
     };
     if let Err(error) = Ini::load_from_str_opt(text, option) {
-        return Err(vec![Fault {
+        return Err(vec![Diagnostic {
             code: Code::IniSyntax,
             file: file.into(),
             line: error.line,
             column: error.col,
-            what: error.msg.to_string().into(),
+            message: error.msg.to_string().into(),
         }]);
     }
     let (sections, mut faults) = locate(file, text);
@@ -129,7 +129,7 @@
     }
 }
 
-fn locate(file: &str, text: &str) -> (Vec<Section>, Vec<Fault>) {
+fn locate(file: &str, text: &str) -> (Vec<Section>, Vec<Diagnostic>) {
     let mut sections: Vec<Section> = Vec::new();
     let mut faults = Vec::new();
     for (index, raw) in text.lines().enumerate() {
@@ -175,17 +175,17 @@
     }
 }
 
-fn syntax(file: &str, line: usize, what: &str) -> Fault {
-    Fault {
+fn syntax(file: &str, line: usize, what: &str) -> Diagnostic {
+    Diagnostic {
         code: Code::IniSyntax,
         file: file.into(),
         line,
         column: 0,
-        what: what.into(),
+        message: what.into(),
     }
 }
 
-fn duplicates(file: &str, sections: &[Section]) -> Vec<Fault> {
+fn duplicates(file: &str, sections: &[Section]) -> Vec<Diagnostic> {
     let mut faults = Vec::new();
     let mut headers = std::collections::BTreeMap::new();
     for section in sections {
@@ -207,13 +207,13 @@
     faults
 }
 
-fn duplicate(file: &str, line: usize, what: String) -> Fault {
-    Fault {
+fn duplicate(file: &str, line: usize, what: String) -> Diagnostic {
+    Diagnostic {
         code: Code::Duplicate,
         file: file.into(),
         line,
         column: 0,
-        what: what.into(),
+        message: what.into(),
     }
 }
 
@@ -222,7 +222,7 @@
 pub struct Reader<'a> {
     file: &'a str,
     /// Faults found so far.
-    pub faults: Vec<Fault>,
+    pub diagnostics: Vec<Diagnostic>,
 }
 
 impl<'a> Reader<'a> {
@@ -234,11 +234,11 @@
         file: &'a str,
         text: &str,
         kinds: &[&str],
-    ) -> Result<(Self, Vec<Section>), Vec<Fault>> {
-        let sections = read(file, text)?;
+    ) -> Result<(Self, Vec<Section>), Vec<Diagnostic>> {
+        let sections = parse_sections(file, text)?;
         let mut reader = Self::new(file);
         for section in sections.iter().filter(|s| !kinds.contains(&&*s.kind)) {
-            reader.unknown_section(section, kinds);
+            reader.reject_unknown_section(section, kinds);
         }
         Ok((reader, sections))
     }
@@ -247,53 +247,58 @@
     pub fn new(file: &'a str) -> Self {
         Self {
             file,
-            faults: Vec::new(),
+            diagnostics: Vec::new(),
         }
     }
 
     /// Notes a fault.
-    pub fn fault(&mut self, code: Code, line: usize, column: usize, what: impl Into<Box<str>>) {
-        self.faults.push(Fault {
+    pub fn report(&mut self, code: Code, line: usize, column: usize, what: impl Into<Box<str>>) {
+        self.diagnostics.push(Diagnostic {
             code,
             file: self.file.into(),
             line,
             column,
-            what: what.into(),
+            message: what.into(),
         });
     }
 
     /// Refuses keys of `section` that are not in `known`, each with the nearest known key.
-    pub fn known_keys(&mut self, section: &Section, known: &[&str]) {
+    pub fn reject_unknown_keys(&mut self, section: &Section, known: &[&str]) {
         for entry in &section.entries {
             if !known.contains(&&*entry.key) {
                 let what = format!("unknown key `{}`{}", entry.key, nearest(&entry.key, known));
-                self.fault(Code::UnknownKey, entry.line, 0, what);
+                self.report(Code::UnknownKey, entry.line, 0, what);
             }
         }
     }
 
     /// Refuses a section of a kind that is not in `known`.
-    pub fn unknown_section(&mut self, section: &Section, known: &[&str]) {
+    pub fn reject_unknown_section(&mut self, section: &Section, known: &[&str]) {
         let what = format!(
             "unknown section [{}]{}",
             section.kind,
             nearest(&section.kind, known)
         );
-        self.fault(Code::UnknownSection, section.line, 0, what);
+        self.report(Code::UnknownSection, section.line, 0, what);
     }
 
     /// The value of `key`, or a fault where it is missing.
-    pub fn need(&mut self, section: &Section, key: &str) -> Option<Box<str>> {
+    pub fn required(&mut self, section: &Section, key: &str) -> Option<Box<str>> {
         let found = section.get(key).map(|e| e.value.clone());
         if found.is_none() {
             let what = format!("section [{} {}] needs `{key}`", section.kind, section.name);
-            self.fault(Code::MissingKey, section.line, 0, what);
+            self.report(Code::MissingKey, section.line, 0, what);
         }
         found
     }
 
     /// The value of `key` as a `T`, or `default` where the key is missing.
-    pub fn value<T: std::str::FromStr>(&mut self, section: &Section, key: &str, default: T) -> T {
+    pub fn parse_or<T: std::str::FromStr>(
+        &mut self,
+        section: &Section,
+        key: &str,
+        default: T,
+    ) -> T {
         let Some(entry) = section.get(key) else {
             return default;
         };
@@ -301,55 +306,55 @@
             return value;
         }
         let what = format!("`{key}` can't be `{}`", entry.value);
-        self.fault(Code::BadValue, entry.line, entry.column, what);
+        self.report(Code::BadValue, entry.line, entry.column, what);
         default
     }
 
     /// The value of `key` if it lies in `[least, most]`, else a fault and `default`.
-    pub fn bounded(
+    pub fn number_in(
         &mut self,
         section: &Section,
         key: &str,
         default: f64,
         bounds: std::ops::RangeInclusive<f64>,
     ) -> f64 {
-        let value: f64 = self.value(section, key, default);
+        let value: f64 = self.parse_or(section, key, default);
         if bounds.contains(&value) {
             return value;
         }
         let (line, column) = section.get(key).map_or((0, 0), |e| (e.line, e.column));
         let what = format!("`{key}` must lie in {} to {}", bounds.start(), bounds.end());
-        self.fault(Code::BadValue, line, column, what);
+        self.report(Code::BadValue, line, column, what);
         default
     }
 
     /// The value of `key` in milliseconds, from one to an hour.
     pub fn millis(&mut self, section: &Section, key: &str, default: f64) -> Duration {
-        let value = self.bounded(section, key, default, 1.0..=MOST_MS);
+        let value = self.number_in(section, key, default, 1.0..=MOST_MS);
         Duration::from_secs_f64(value / 1000.0)
     }
 
     /// The value of `key` as `IP:port`, or a fault where it is missing or something else.
     pub fn address(&mut self, section: &Section, key: &str) -> Option<SocketAddr> {
-        let value = self.need(section, key)?;
+        let value = self.required(section, key)?;
         let address = value.parse().ok();
         if address.is_none() {
             let line = section.get(key).map_or(0, |e| e.line);
             let what = format!("`{key}` is IP:port, not `{value}`");
-            self.fault(Code::BadValue, line, 0, what);
+            self.report(Code::BadValue, line, 0, what);
         }
         address
     }
 
     /// 32 bytes as hexadecimal digits, where `key` stands; a fault doesn't repeat them, since they may
     /// be secret.
-    pub fn digits(&mut self, section: &Section, key: &str) -> Option<[u8; 32]> {
+    pub fn hex_bytes(&mut self, section: &Section, key: &str) -> Option<[u8; 32]> {
         let entry = section.get(key)?;
         if let Ok(hash) = blake3::Hash::from_hex(entry.value.as_bytes()) {
             return Some(*hash.as_bytes());
         }
         let what = format!("`{key}` is 64 hexadecimal digits");
-        self.fault(Code::BadValue, entry.line, 0, what);
+        self.report(Code::BadValue, entry.line, 0, what);
         None
     }
 
@@ -357,16 +362,16 @@
     ///
     /// # Errors
     /// Every fault noted so far.
-    pub fn finish<T>(self, value: T) -> Result<T, Vec<Fault>> {
-        if self.faults.is_empty() {
+    pub fn finish<T>(self, value: T) -> Result<T, Vec<Diagnostic>> {
+        if self.diagnostics.is_empty() {
             Ok(value)
         } else {
-            Err(self.faults)
+            Err(self.diagnostics)
         }
     }
 
     /// The value of `key` as one of `words`, or the first word where the key is missing.
-    pub fn word<T: Copy>(&mut self, section: &Section, key: &str, words: &[(&str, T)]) -> T {
+    pub fn choice<T: Copy>(&mut self, section: &Section, key: &str, words: &[(&str, T)]) -> T {
         let Some(entry) = section.get(key) else {
             return words[0].1;
         };
@@ -375,7 +380,7 @@
         }
         let names: Vec<&str> = words.iter().map(|(w, _)| *w).collect();
         let what = format!("`{key}` must be one of: {}", names.join(", "));
-        self.fault(Code::BadValue, entry.line, entry.column, what);
+        self.report(Code::BadValue, entry.line, entry.column, what);
         words[0].1
     }
 }
--- a/crates/hawthornmill/src/labels.rs
+++ b/crates/hawthornmill/src/labels.rs
@@ -14,12 +14,12 @@
 
 /// Why a selector or a label list doesn't parse.
 #[derive(Debug, Snafu, PartialEq, Eq)]
-#[snafu(display("column {column}: {what}"))]
+#[snafu(display("column {column}: {message}"))]
 pub struct SelectorError {
     /// Column from 1 within the text.
     pub column: usize,
     /// What is wrong.
-    pub what: Box<str>,
+    pub message: Box<str>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -84,7 +84,7 @@
 fn error(column: usize, what: impl Into<Box<str>>) -> SelectorError {
     SelectorError {
         column: column + 1,
-        what: what.into(),
+        message: what.into(),
     }
 }
 
--- a/tests/testsuite/random_input.rs
+++ b/tests/testsuite/random_input.rs
@@ -1,7 +1,7 @@
 //! Readers of operators' texts, given random bytes and texts with a random change.
 
 use hawthornmill::config::parse::parse;
-use hawthornmill::ini::read;
+use hawthornmill::ini::parse_sections;
 use hawthornmill::labels::{Selector, parse_labels};
 use hawthornmill_test_support::procs::small_fleet;
 use proptest::prelude::*;
@@ -12,7 +12,7 @@
     fn random_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let text = String::from_utf8_lossy(&bytes);
 
-        if let Err(faults) = read("f", &text) {
+        if let Err(faults) = parse_sections("f", &text) {
             prop_assert!(!faults.is_empty());
             prop_assert!(faults.iter().all(|f| f.line <= text.split('\n').count()));
         }
--- a/tests/testsuite/settings.rs
+++ b/tests/testsuite/settings.rs
@@ -1,11 +1,11 @@
 //! Settings files and fleet configurations that are refused.
 
 use hawthornmill::config::accept::{Values, accept, manifest};
-use hawthornmill::ini::Fault;
+use hawthornmill::ini::Diagnostic;
 use hawthornmill_net::settings::Settings;
 use hawthornmill_test_support::procs::small_fleet;
 
-fn words(faults: &[Fault]) -> String {
+fn words(faults: &[Diagnostic]) -> String {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
