--- a/crates/hawthornmill-lab/src/slopes/fixture.rs
+++ b/crates/hawthornmill-lab/src/slopes/fixture.rs
@@ -11,7 +11,9 @@
 use hawthornmill::membership::Sign;
 use hawthornmill::pools::{self, entry::Arrival};
 use hawthornmill::wire::frame::payload_len;
-use hawthornmill::wire::message::{Contact, Demand, Done, Grant, GrantId, Grants, Message, Want};
+use hawthornmill::wire::message::{
+    AccountTotal, Contact, Demand, Grant, GrantId, Grants, Message, SlotRelease,
+};
 use smallvec::SmallVec;
 
 /// Accounts for which an entry tells more waiting calls than are granted.
@@ -237,10 +239,10 @@
     pub fn step(&mut self) -> Duration {
         let (entry, grant) = self.granted.pop_front().expect("slots are granted");
         let id = GrantId {
-            maker: self.board.incarnation.0 as u32,
+            owner_run: self.board.incarnation.0 as u32,
             seq: grant.seq,
         };
-        let done = Done {
+        let done = SlotRelease {
             grant: id,
             cost: COST,
             failed: false,
@@ -254,22 +256,22 @@
     /// When no slot is granted, which is a fault of the fixture.
     pub fn message_bytes(&mut self) -> [usize; 2] {
         let (_, grant) = *self.granted.front().expect("slots are granted");
-        let done = Done {
+        let done = SlotRelease {
             grant: GrantId {
-                maker: self.board.incarnation.0 as u32,
+                owner_run: self.board.incarnation.0 as u32,
                 seq: grant.seq,
             },
             cost: COST,
             failed: false,
         };
-        let want = Want {
+        let want = AccountTotal {
             account: grant.account,
-            wanted: grant.seq,
+            total: grant.seq,
         };
         let demand = Message::Demand(Demand {
             pool: self.pool,
-            wants: SmallVec::from_iter([want]),
-            done: SmallVec::from_iter([done]),
+            requested: SmallVec::from_iter([want]),
+            released: SmallVec::from_iter([done]),
         });
         let grants = Message::Grants(Grants {
             pool: self.pool,
@@ -282,14 +284,17 @@
         &mut self,
         entry: InstanceId,
         account: AccountId,
-        done: SmallVec<[Done; 2]>,
+        done: SmallVec<[SlotRelease; 2]>,
     ) -> Duration {
         let received = self.received.entry((entry, account)).or_default();
         let wanted = *received + WANTED;
         let demand = Demand {
             pool: self.pool,
-            wants: SmallVec::from_iter([Want { account, wanted }]),
-            done,
+            requested: SmallVec::from_iter([AccountTotal {
+                account,
+                total: wanted,
+            }]),
+            released: done,
         };
         let message = Message::Demand(demand);
         pools::receive(&mut self.board, entry, Incarnation(1), message, self.now);
--- a/crates/hawthornmill/src/pools/entry.rs
+++ b/crates/hawthornmill/src/pools/entry.rs
@@ -13,7 +13,9 @@
 use super::regions;
 use crate::board::{Board, Dispatch};
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId, ServiceId};
-use crate::wire::message::{Demand, Done, Grant, GrantId, Grants, Held, Holding, Message, Want};
+use crate::wire::message::{
+    AccountTotal, Demand, EntryState, Grant, GrantId, GrantedSlot, Grants, Message, SlotRelease,
+};
 
 /// Waiting requests of one account that one owner is told of at most.
 ///
@@ -67,11 +69,11 @@
     /// Wants as last told.
     pub told: BTreeMap<AccountId, u32>,
     /// Slots to give back.
-    pub done: SmallVec<[Done; 2]>,
+    pub done: SmallVec<[SlotRelease; 2]>,
     /// Costs of calls that ended in kept slots while the owner was silent.
-    pub late: Vec<Done>,
+    pub late: Vec<SlotRelease>,
     /// Wants to tell.
-    pub wants: SmallVec<[Want; 2]>,
+    pub wants: SmallVec<[AccountTotal; 2]>,
     /// Slots held.
     pub held: BTreeMap<GrantId, Slot>,
     /// The owner must be told everything.
@@ -131,7 +133,7 @@
 ) {
     for grant in &grants.grants {
         let id = GrantId {
-            maker: maker(incarnation),
+            owner_run: maker(incarnation),
             seq: grant.seq,
         };
         if !accept(board, from, incarnation, grants.pool, grant, now) {
@@ -166,7 +168,7 @@
     link.settled = true;
     *link.received.entry(grant.account).or_default() += 1;
     let id = GrantId {
-        maker: maker(incarnation),
+        owner_run: maker(incarnation),
         seq: grant.seq,
     };
     let slot = Slot {
@@ -284,7 +286,7 @@
     if let Some(link) = board.links.get_mut(&pool)
         && link.held.remove(&grant).is_some()
     {
-        link.done.push(Done {
+        link.done.push(SlotRelease {
             grant,
             cost: cost as f32,
             failed,
@@ -293,15 +295,15 @@
 }
 
 fn give_back_to(board: &mut Board, owner: InstanceId, pool: PoolId, grant: GrantId) {
-    let done = Done {
+    let done = SlotRelease {
         grant,
         cost: 0.0,
         failed: false,
     };
     let demand = Demand {
         pool,
-        wants: SmallVec::new(),
-        done: SmallVec::from_iter([done]),
+        requested: SmallVec::new(),
+        released: SmallVec::from_iter([done]),
     };
     board.outbox.push((owner, Message::Demand(demand)));
 }
@@ -341,7 +343,7 @@
     let syncs: Vec<Message> = owned
         .map(|(pool, o)| Message::Sync {
             pool: *pool,
-            last: o.last.get(&peer).copied().unwrap_or(0),
+            last_seq: o.last.get(&peer).copied().unwrap_or(0),
             ready: o.announced,
         })
         .collect();
@@ -378,8 +380,8 @@
     if !link.resync {
         return Message::Demand(Demand {
             pool,
-            wants: std::mem::take(&mut link.wants),
-            done: std::mem::take(&mut link.done),
+            requested: std::mem::take(&mut link.wants),
+            released: std::mem::take(&mut link.done),
         });
     }
     link.resync = false;
@@ -405,7 +407,7 @@
     let held = link
         .held
         .iter()
-        .map(|(grant, slot)| Held {
+        .map(|(grant, slot)| GrantedSlot {
             grant: *grant,
             account: slot.account,
             server: slot.server,
@@ -413,24 +415,24 @@
         .collect();
     let list = |map: &BTreeMap<AccountId, u32>| {
         map.iter()
-            .map(|(account, wanted)| Want {
+            .map(|(account, wanted)| AccountTotal {
                 account: *account,
-                wanted: *wanted,
+                total: *wanted,
             })
             .collect()
     };
-    let message = Holding {
+    let message = EntryState {
         pool,
         owner: run,
         ack: link.ack(),
         held,
         received: list(&link.received),
-        wants: list(&link.told),
-        done: link.late.drain(..).chain(link.done.drain(..)).collect(),
-        settled: link.settled,
+        requested: list(&link.told),
+        released: link.late.drain(..).chain(link.done.drain(..)).collect(),
+        owner_ready: link.settled,
     };
     link.wants.clear();
-    Message::Holding(message)
+    Message::EntryState(message)
 }
 
 fn update_wants(board: &mut Board, service: ServiceId, account: AccountId) {
@@ -457,6 +459,9 @@
         }
         link.told.insert(account, wanted);
         link.wants.retain(|w| w.account != account);
-        link.wants.push(Want { account, wanted });
+        link.wants.push(AccountTotal {
+            account,
+            total: wanted,
+        });
     }
 }
--- a/crates/hawthornmill/src/pools/owner.rs
+++ b/crates/hawthornmill/src/pools/owner.rs
@@ -6,7 +6,9 @@
 use crate::board::{Board, Policy};
 use crate::fairness::CostKey;
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId, ServiceId};
-use crate::wire::message::{Demand, Done, GrantId, Held, Holding, Message, Want};
+use crate::wire::message::{
+    AccountTotal, Demand, EntryState, GrantId, GrantedSlot, Message, SlotRelease,
+};
 
 /// Part of a new load reading in the owner's trust: readings over this are foreign work.
 const FOREIGN_READINGS: u8 = 2;
@@ -244,7 +246,10 @@
     }
 
     fn held_by(&self, entry: InstanceId) -> impl Iterator<Item = GrantId> {
-        let low = GrantId { maker: 0, seq: 0 };
+        let low = GrantId {
+            owner_run: 0,
+            seq: 0,
+        };
         self.held
             .range((entry, low)..)
             .take_while(move |((e, _), _)| *e == entry)
@@ -274,7 +279,7 @@
     }
 
     /// Books a slot that an entry holds.
-    pub fn add_held(&mut self, entry: InstanceId, held: &Held, charged: Option<f64>) {
+    pub fn add_held(&mut self, entry: InstanceId, held: &GrantedSlot, charged: Option<f64>) {
         if self.held.contains_key(&(entry, held.grant)) {
             return;
         }
@@ -317,12 +322,12 @@
     if !owned.meet(from, incarnation) {
         return;
     }
-    for want in &demand.wants {
+    for want in &demand.requested {
         open_account(board, demand.pool, service, want.account);
         let owned = board.owned.entry(demand.pool).or_default();
-        owned.set_want(from, want.account, |w| w.wanted = want.wanted);
+        owned.set_want(from, want.account, |w| w.wanted = want.total);
     }
-    for done in &demand.done {
+    for done in &demand.released {
         settle(board, demand.pool, service, from, done, now);
     }
 }
@@ -344,7 +349,7 @@
     pool: PoolId,
     service: ServiceId,
     from: InstanceId,
-    done: &Done,
+    done: &SlotRelease,
     now: Instant,
 ) {
     let penalty = now + board.tuning.penalty;
@@ -383,7 +388,7 @@
     board: &mut Board,
     from: InstanceId,
     incarnation: Incarnation,
-    holding: &Holding,
+    holding: &EntryState,
     now: Instant,
 ) {
     if holding.owner != board.incarnation {
@@ -398,13 +403,13 @@
         return;
     }
     // Costs come first: what is not held and not listed here was never run, and is refunded.
-    for done in &holding.done {
+    for done in &holding.released {
         settle(board, holding.pool, service, from, done, now);
     }
     let owned = board.owned.entry(holding.pool).or_default();
     let gone: Vec<GrantId> = owned
         .held_by(from)
-        .filter(|g| g.maker != made || g.seq <= holding.ack)
+        .filter(|g| g.owner_run != made || g.seq <= holding.ack)
         .filter(|g| !holding.held.iter().any(|h| h.grant == *g))
         .collect();
     let mut refunds = Vec::new();
@@ -418,7 +423,7 @@
     let flying: Vec<AccountId> = owned
         .held
         .iter()
-        .filter(|((e, g), _)| *e == from && g.maker == made && g.seq > holding.ack)
+        .filter(|((e, g), _)| *e == from && g.owner_run == made && g.seq > holding.ack)
         .map(|(_, slot)| slot.account)
         .collect();
     reset_wants(owned, from, &holding.received, &flying);
@@ -427,10 +432,10 @@
         let charged = slot.charged.unwrap_or(0.0);
         board.ledger.charge(CostKey { service, account }, -charged);
     }
-    for want in &holding.wants {
+    for want in &holding.requested {
         open_account(board, holding.pool, service, want.account);
         let owned = board.owned.entry(holding.pool).or_default();
-        owned.set_want(from, want.account, |w| w.wanted = want.wanted);
+        owned.set_want(from, want.account, |w| w.wanted = want.total);
     }
     settle_flight(board, from, holding, now);
 }
@@ -441,15 +446,19 @@
 /// so those that it dropped meanwhile would count as on their way for good and their slots idle.
 /// Messages keep their order: what it says after this number has arrived is the whole truth. One
 /// that turns here late must also learn that grants are made already.
-fn settle_flight(board: &mut Board, from: InstanceId, holding: &Holding, now: Instant) {
+fn settle_flight(board: &mut Board, from: InstanceId, holding: &EntryState, now: Instant) {
     let pool = holding.pool;
     let Some(owned) = board.owned.get(&pool).filter(|o| o.active) else {
         return;
     };
     let last = owned.last.get(&from).copied().unwrap_or(0);
     let ready = owned.is_ready(now);
-    if (holding.ack == 0 && last > 0) || (ready && !holding.settled) {
-        let sync = Message::Sync { pool, last, ready };
+    if (holding.ack == 0 && last > 0) || (ready && !holding.owner_ready) {
+        let sync = Message::Sync {
+            pool,
+            last_seq: last,
+            ready,
+        };
         board.outbox.push((from, sync));
     }
 }
@@ -471,14 +480,24 @@
         for entry in &live {
             let last = owned.last.get(entry).copied().unwrap_or(0);
             let ready = true;
-            board
-                .outbox
-                .push((*entry, Message::Sync { pool, last, ready }));
+            board.outbox.push((
+                *entry,
+                Message::Sync {
+                    pool,
+                    last_seq: last,
+                    ready,
+                },
+            ));
         }
     }
 }
 
-fn reset_wants(owned: &mut Owned, from: InstanceId, received: &[Want], flying: &[AccountId]) {
+fn reset_wants(
+    owned: &mut Owned,
+    from: InstanceId,
+    received: &[AccountTotal],
+    flying: &[AccountId],
+) {
     let known: Vec<AccountId> = owned
         .accounts
         .iter()
@@ -493,7 +512,7 @@
         let base = received
             .iter()
             .find(|w| w.account == account)
-            .map_or(0, |w| w.wanted);
+            .map_or(0, |w| w.total);
         let flying = flying.iter().filter(|a| **a == account).count() as u32;
         owned.set_want(from, account, |w| {
             w.granted = base.wrapping_add(flying);
--- a/crates/hawthornmill/src/pools/ownership.rs
+++ b/crates/hawthornmill/src/pools/ownership.rs
@@ -11,7 +11,7 @@
 use crate::notes::Note;
 use crate::pools::entry;
 use crate::pools::owner::Owned;
-use crate::wire::message::{Handover, Held, HeldBy, Message};
+use crate::wire::message::{EntrySlot, GrantedSlot, Handover, Message};
 
 /// Time for which a handover is good that came before this instance took itself for the owner.
 const HANDED: Duration = Duration::from_secs(1);
@@ -78,7 +78,7 @@
         for peer in peers.into_iter().filter(|p| *p != me) {
             let sync = Message::Sync {
                 pool,
-                last: 0,
+                last_seq: 0,
                 ready: false,
             };
             board.outbox.push((peer, sync));
@@ -96,12 +96,12 @@
 /// What the next owner of a pool must know to grant at once.
 fn handover(pool: PoolId, book: &Owned, ledger: &Ledger, config: &FleetConfig) -> Handover {
     let held = book.held.iter().filter_map(|((entry, grant), slot)| {
-        let held = Held {
+        let held = GrantedSlot {
             grant: *grant,
             account: slot.account,
             server: slot.server,
         };
-        Some(HeldBy {
+        Some(EntrySlot {
             entry: *entry,
             incarnation: *book.entries.get(entry)?,
             held,
@@ -130,7 +130,7 @@
     let owner = board.links.get(&pool).and_then(|l| l.owner);
     owner
         .and_then(|(id, _)| board.reports.pool(pool, id))
-        .map_or(0.0, |state| state.level)
+        .map_or(0.0, |state| state.min_service)
 }
 
 fn incarnation_of(board: &Board, id: InstanceId) -> Incarnation {
@@ -180,7 +180,7 @@
         let last = book.last.get(entry).copied().unwrap_or(0);
         let sync = Message::Sync {
             pool: handover.pool,
-            last,
+            last_seq: last,
             ready: false,
         };
         board.outbox.push((*entry, sync));
