--- a/crates/hawthornmill/src/ini.rs
+++ b/crates/hawthornmill/src/ini.rs
@@ -229,7 +229,7 @@
     /// Reads `text` into sections and notes those of a kind that is not in `kinds`.
     ///
     /// # Errors
-    /// As [`read`].
+    /// As [`parse_sections`].
     pub fn open(
         file: &'a str,
         text: &str,
--- a/crates/hawthornmill/src/routing/scheduler.rs
+++ b/crates/hawthornmill/src/routing/scheduler.rs
@@ -263,7 +263,7 @@
         self.loads.end(choice.server, read);
     }
 
-    /// The request is no longer under way; `began` says whether [`Self::began`] was called for it.
+    /// The request is no longer under way; `began` says whether [`Self::record_first_token`] was called for it.
     pub fn finish(&mut self, choice: &Placement, began: bool) {
         let mut work = choice.work;
         if began {
