--- a/crates/hawthornmill-gateway/src/door.rs
+++ b/crates/hawthornmill-gateway/src/door.rs
@@ -18,8 +18,8 @@
 
 use crate::gateway::{Gateway, Phase};
 use crate::http::head::{self, Framing};
+use crate::proxy::error_response::Reply;
 use crate::serve;
-use crate::trip::reply::Reply;
 
 /// Connections that are served at once; the rest of the descriptors is for servers.
 const MOST_CONNECTIONS: usize = 2_600;
--- a/crates/hawthornmill-gateway/src/lib.rs
+++ b/crates/hawthornmill-gateway/src/lib.rs
@@ -8,7 +8,7 @@
 //! |---|---|
 //! | [`door`] | taking new connections of callers, or turning them away |
 //! | [`serve`] | connections of callers |
-//! | [`trip`] | one request: admit, wait, send, deliver, settle |
+//! | [`proxy`] | one request: admission, queue, send, response, log line |
 //! | [`pool`] | connections to servers |
 //! | [`store`] | following the platform's store |
 //! | [`datagrams`], [`mates`] | datagrams, and the news in them |
@@ -30,8 +30,8 @@
 pub mod mates;
 pub mod meters;
 pub mod pool;
+pub mod proxy;
 pub mod serve;
 pub mod settings;
 pub mod side;
 pub mod store;
-pub mod trip;
--- a/crates/hawthornmill-gateway/src/trip/admit.rs
+++ b/crates/hawthornmill-gateway/src/proxy/admission.rs
@@ -8,8 +8,8 @@
 use hawthornmill::routing::table::{Caller, split};
 use smallvec::SmallVec;
 
+use super::error_response::Reply;
 use super::read::Call;
-use super::reply::Reply;
 use crate::gateway::{Gateway, Phase};
 
 /// Time to come back when the process lacks the newest catalog; the store and peers answer in milliseconds.
--- a/crates/hawthornmill-gateway/src/trip/deliver.rs
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -8,11 +8,11 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
 
-use super::admit::Admitted;
+use super::admission::Admitted;
 use super::events::Splitter;
+use super::progress::Trip;
 use super::send::Answer;
-use super::settle::Trip;
-use super::{End, Held, Way, again};
+use super::{End, Held, Way, retry};
 use crate::gateway::Gateway;
 use crate::http::body::{Decoder, Piece};
 use crate::http::head::{AnswerHead, Framing};
@@ -154,12 +154,12 @@
 }
 
 fn judge_answer(gateway: &Gateway, answer: &Answer) {
-    let verdict = if again::is_failure(answer) {
+    let verdict = if retry::is_failure(answer) {
         Verdict::Failed
     } else {
         Verdict::Sound
     };
-    again::judge(gateway, answer.server, verdict);
+    retry::judge(gateway, answer.server, verdict);
 }
 
 /// Writes an answer whose body was read.
--- a/crates/hawthornmill-gateway/src/trip/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -3,22 +3,22 @@
 //! | step | takes | gives |
 //! |---|---|---|
 //! | [`read`] | bytes of a caller | a [`read::Call`] |
-//! | [`admit`] | a call and the catalog | an [`admit::Admitted`], or a [`reply::Reply`] |
+//! | [`admission`] | a call and the catalog | an [`admission::Admitted`], or a [`error_response::Reply`] |
 //! | wait | an admitted call | a server, from the desk |
 //! | [`mod@send`] | a call and its server | a [`send::Sent`] |
-//! | [`mod@deliver`], [`events`] | a server's answer | bytes to the caller |
-//! | [`settle`] | how it ended | log line, counters |
+//! | [`forward`], [`events`] | a server's answer | bytes to the caller |
+//! | [`progress`] | how it ended | log line, counters |
 //!
-//! [`again`] alone decides whether a request is sent once more.
+//! [`retry`] alone decides whether a request is sent once more.
 
-pub mod admit;
-pub mod again;
-pub mod deliver;
+pub mod admission;
+pub mod error_response;
 pub mod events;
+pub mod forward;
+pub mod progress;
 pub mod read;
-pub mod reply;
+pub mod retry;
 pub mod send;
-pub mod settle;
 
 use std::time::Instant;
 
@@ -32,13 +32,13 @@
 
 use crate::gateway::Gateway;
 use crate::journal;
-use admit::Admitted;
-use again::Next;
-use deliver::{Delivered, deliver, pass_whole};
+use admission::Admitted;
+use error_response::Reply;
+use forward::{Delivered, deliver, pass_whole};
+use progress::Trip;
 use read::Call;
-use reply::Reply;
+use retry::Next;
 use send::{Answer, Sent, send};
-use settle::Trip;
 
 /// How a request ended for its caller's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -73,7 +73,7 @@
 
 /// Carries a request to its end, in the time that its route and its caller allow.
 pub async fn carry(way: Way<'_>, trip: &mut Trip, out: &mut OwnedWriteHalf) -> End {
-    let admitted = match admit::admit(way.gateway, way.call) {
+    let admitted = match admission::admit(way.gateway, way.call) {
         Ok(admitted) => admitted,
         Err(reply) => return answer_self(way, trip, &reply, out).await,
     };
@@ -116,7 +116,7 @@
         let silent = self.admitted.request.objective.mul_f64(SILENT);
         let time = self.gateway.now().duration_since(self.sent);
         if !self.began && time > silent {
-            again::judge(self.gateway, self.choice.server, loads::Verdict::Failed);
+            retry::judge(self.gateway, self.choice.server, loads::Verdict::Failed);
         }
         self.gateway.release(&self.choice, self.began);
     }
@@ -156,7 +156,7 @@
         let choice = match way.gateway.place(&request).await {
             Ok(choice) => choice,
             Err(refusal) => {
-                settle::note_refusal(way, &request, &refusal);
+                progress::note_refusal(way, &request, &refusal);
                 return no_server(way, trip, fallback, refusal, out).await;
             }
         };
@@ -206,10 +206,10 @@
     };
     match send(gateway, way.call, admitted, trip, &choice).await {
         Sent::Answer(answer)
-            if again::is_failure(&answer) && again::may(gateway, admitted, trip) =>
+            if retry::is_failure(&answer) && retry::may(gateway, admitted, trip) =>
         {
-            again::judge(gateway, server, loads::Verdict::Failed);
-            if let Some(answer) = deliver::collect(answer).await {
+            retry::judge(gateway, server, loads::Verdict::Failed);
+            if let Some(answer) = forward::collect(answer).await {
                 *fallback = Some(answer);
             }
             Err(Next::Again)
@@ -219,16 +219,16 @@
             Delivered::CallerGone => Ok(End::Left),
             Delivered::Cut => {
                 note_break(way, server, "the answer broke off");
-                Err(again::after_break(gateway, admitted, trip, server))
+                Err(retry::after_break(gateway, admitted, trip, server))
             }
         },
-        Sent::Unreached(why) => Err(again::after_unreached(
+        Sent::Unreached(why) => Err(retry::after_unreached(
             gateway, way.call, trip, server, &why,
         )),
-        Sent::NotRun { moved } => Err(again::after_not_run(gateway, admitted, trip, server, moved)),
+        Sent::NotRun { moved } => Err(retry::after_not_run(gateway, admitted, trip, server, moved)),
         Sent::Broken(why) => {
             note_break(way, server, &why);
-            Err(again::after_break(gateway, admitted, trip, server))
+            Err(retry::after_break(gateway, admitted, trip, server))
         }
     }
 }
--- a/crates/hawthornmill-gateway/src/trip/settle.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -7,9 +7,9 @@
 use hawthornmill::routing::request::{Refusal, Request};
 use serde_json::json;
 
-use super::admit::Admitted;
+use super::admission::Admitted;
+use super::error_response::Reply;
 use super::read::Call;
-use super::reply::Reply;
 use super::{End, Way};
 use crate::gateway::Gateway;
 use crate::journal;
--- a/crates/hawthornmill-gateway/src/trip/again.rs
+++ b/crates/hawthornmill-gateway/src/proxy/retry.rs
@@ -8,10 +8,10 @@
 use hawthornmill::routing::loads::Verdict;
 use serde_json::json;
 
-use super::admit::Admitted;
+use super::admission::Admitted;
+use super::progress::Trip;
 use super::read::Call;
 use super::send::Answer;
-use super::settle::Trip;
 use crate::gateway::Gateway;
 use crate::journal;
 
--- a/crates/hawthornmill-gateway/src/trip/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -13,10 +13,10 @@
 use hawthornmill::routing::place::Choice;
 use tokio::net::TcpStream;
 
-use super::admit::Admitted;
-use super::again;
+use super::admission::Admitted;
+use super::progress::Trip;
 use super::read::Call;
-use super::settle::Trip;
+use super::retry;
 use crate::gateway::Gateway;
 use crate::http::body::{Decoder, Piece};
 use crate::http::head::{self, AnswerHead, Framing};
@@ -108,7 +108,7 @@
         Err(error) => return Sent::Broken(error.to_string().into()),
     };
     let answer = receive(gateway, call, upstream, server, written);
-    if !again::is_left(admitted, trip) {
+    if !retry::is_left(admitted, trip) {
         return answer.await;
     }
     // Dropping the connection cancels the request there before another server gets it.
--- a/crates/hawthornmill-gateway/src/serve.rs
+++ b/crates/hawthornmill-gateway/src/serve.rs
@@ -12,10 +12,10 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
 use crate::gateway::{Gateway, Phase};
-use crate::trip::read::{Next, next};
-use crate::trip::reply::Reply;
-use crate::trip::settle::Trip;
-use crate::trip::{Closing, End, Way, carry};
+use crate::proxy::error_response::Reply;
+use crate::proxy::progress::Trip;
+use crate::proxy::read::{Next, next};
+use crate::proxy::{Closing, End, Way, carry};
 
 /// Connections from which a refused caller's is closed: it comes back on a new one, and the old one
 /// would lie idle until its time is over.
--- a/tests/testsuite/gateway/http.rs
+++ b/tests/testsuite/gateway/http.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use hawthornmill_gateway::http::body::{Decoder, Piece};
 use hawthornmill_gateway::http::head::{self, Framing, Malformed};
-use hawthornmill_gateway::trip::events::Splitter;
+use hawthornmill_gateway::proxy::events::Splitter;
 use hawthornmill_platform::request::event_number;
 use proptest::prelude::*;
 
