--- a/crates/hawthornmill-gateway/src/dialect.rs
+++ b/crates/hawthornmill-gateway/src/dialect.rs
@@ -8,7 +8,7 @@
 use hawthornmill::routing::registry::Registration;
 use hawthornmill::routing::shape::Shape;
 
-use crate::http::head::Fields;
+use crate::http::head::Headers;
 
 /// Why something from the wire can't be used, in words.
 pub type Unusable = Box<str>;
@@ -109,9 +109,9 @@
     /// Reads a registration; the name comes from its key.
     pub registration: fn(&str, &[u8]) -> Result<Registration, Unusable>,
     /// Reads what a request says of its size.
-    pub shape: fn(&Fields) -> Result<Shape, Unusable>,
+    pub shape: fn(&Headers) -> Result<Shape, Unusable>,
     /// Reads what a server says of its load in an answer.
-    pub load: fn(&Fields) -> Option<OwnReport>,
+    pub load: fn(&Headers) -> Option<OwnReport>,
     /// Reads the number of a stream's event.
     pub event: fn(&[u8]) -> Option<u64>,
 }
--- a/crates/hawthornmill-gateway/src/door.rs
+++ b/crates/hawthornmill-gateway/src/door.rs
@@ -113,13 +113,13 @@
     let look = MsgFlags::MSG_DONTWAIT | MsgFlags::MSG_PEEK;
     let length = recv(stream.as_raw_fd(), &mut buffer, look).ok()?;
     let bytes = &buffer[..length];
-    let (head, end) = head::request(bytes).ok()??;
+    let (head, end) = head::parse_request(bytes).ok()??;
     let body = match head.framing().ok()? {
         Framing::Empty => 0,
         Framing::Length(body) => usize::try_from(body).ok()?,
         Framing::Chunked | Framing::UntilClose => return None,
     };
     let whole = end + body == length && length < MOST_READ;
-    let attempt = head.fields.text(gateway.dialect.names.attempt)?;
+    let attempt = head.headers.get_str(gateway.dialect.names.attempt)?;
     whole.then(|| attempt.into())
 }
--- a/crates/hawthornmill-gateway/src/http/head.rs
+++ b/crates/hawthornmill-gateway/src/http/head.rs
@@ -5,7 +5,7 @@
 
 /// One header field as it came.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Field {
+pub struct Header {
     /// Name in the sender's spelling.
     pub name: Box<str>,
     /// Value without surrounding blanks.
@@ -14,17 +14,17 @@
 
 /// Header fields in their order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Fields(Vec<Field>);
+pub struct Headers(Vec<Header>);
 
-impl Fields {
+impl Headers {
     /// The fields in order.
-    pub fn iter(&self) -> impl Iterator<Item = &Field> {
+    pub fn iter(&self) -> impl Iterator<Item = &Header> {
         self.0.iter()
     }
 
     /// Every value of `name`.
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        let same = move |f: &&Field| f.name.eq_ignore_ascii_case(name);
+    pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
+        let same = move |f: &&Header| f.name.eq_ignore_ascii_case(name);
         self.0.iter().filter(same).map(|f| &*f.value)
     }
 
@@ -37,13 +37,13 @@
     }
 
     /// The first value of `name` if it is text.
-    pub fn text(&self, name: &str) -> Option<&str> {
+    pub fn get_str(&self, name: &str) -> Option<&str> {
         std::str::from_utf8(self.get(name)?).ok()
     }
 
     /// Tells whether the comma-separated value of `name` has the word `token`.
-    pub fn lists(&self, name: &str, token: &str) -> bool {
-        self.all(name)
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
+        self.get_all(name)
             .filter_map(|v| std::str::from_utf8(v).ok())
             .flat_map(|v| v.split(','))
             .any(|word| word.trim().eq_ignore_ascii_case(token))
@@ -58,22 +58,22 @@
     /// Path and query as sent.
     pub target: Box<str>,
     /// Header fields.
-    pub fields: Fields,
+    pub headers: Headers,
     /// HTTP/1.1, not 1.0.
-    pub current: bool,
+    pub is_http11: bool,
 }
 
 /// The head of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Status.
     pub status: u16,
     /// Reason phrase.
     pub reason: Box<str>,
     /// Header fields.
-    pub fields: Fields,
+    pub headers: Headers,
     /// HTTP/1.1, not 1.0.
-    pub current: bool,
+    pub is_http11: bool,
 }
 
 /// How the end of a body is found.
@@ -97,16 +97,16 @@
 ///
 /// # Errors
 /// [`Malformed`] when it is no head.
-pub fn request(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, Malformed> {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
-    let mut parsed = httparse::Request::new(&mut fields);
+pub fn parse_request(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, Malformed> {
+    let mut headers = [httparse::EMPTY_HEADER; MOST_FIELDS];
+    let mut parsed = httparse::Request::new(&mut headers);
     match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => {
             let head = RequestHead {
                 method: parsed.method.unwrap_or_default().into(),
                 target: parsed.path.unwrap_or_default().into(),
-                fields: own(parsed.headers),
-                current: parsed.version == Some(1),
+                headers: own(parsed.headers),
+                is_http11: parsed.version == Some(1),
             };
             Ok(Some((head, length)))
         }
@@ -119,16 +119,16 @@
 ///
 /// # Errors
 /// [`Malformed`] when it is no head.
-pub fn answer(bytes: &[u8]) -> Result<Option<(AnswerHead, usize)>, Malformed> {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
-    let mut parsed = httparse::Response::new(&mut fields);
+pub fn parse_response(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, Malformed> {
+    let mut headers = [httparse::EMPTY_HEADER; MOST_FIELDS];
+    let mut parsed = httparse::Response::new(&mut headers);
     match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => {
-            let head = AnswerHead {
+            let head = ResponseHead {
                 status: parsed.code.unwrap_or_default(),
                 reason: parsed.reason.unwrap_or_default().into(),
-                fields: own(parsed.headers),
-                current: parsed.version == Some(1),
+                headers: own(parsed.headers),
+                is_http11: parsed.version == Some(1),
             };
             Ok(Some((head, length)))
         }
@@ -137,12 +137,12 @@
     }
 }
 
-fn own(fields: &[httparse::Header<'_>]) -> Fields {
-    let own = |f: &httparse::Header<'_>| Field {
+fn own(headers: &[httparse::Header<'_>]) -> Headers {
+    let own = |f: &httparse::Header<'_>| Header {
         name: f.name.into(),
         value: f.value.trim_ascii().into(),
     };
-    Fields(fields.iter().map(own).collect())
+    Headers(headers.iter().map(own).collect())
 }
 
 impl RequestHead {
@@ -155,12 +155,12 @@
     /// # Errors
     /// [`Malformed`] when there is more than one reading.
     pub fn framing(&self) -> Result<Framing, Malformed> {
-        let coded = self.fields.get("transfer-encoding").is_some();
-        let length = length(&self.fields)?;
+        let coded = self.headers.get("transfer-encoding").is_some();
+        let length = length(&self.headers)?;
         match (coded, length) {
             (false, None | Some(0)) => Ok(Framing::Empty),
             (false, Some(bytes)) => Ok(Framing::Length(bytes)),
-            (true, None) if self.current && is_chunked(&self.fields) => Ok(Framing::Chunked),
+            (true, None) if self.is_http11 && is_chunked(&self.headers) => Ok(Framing::Chunked),
             (true, _) => Err(Malformed),
         }
     }
@@ -172,12 +172,12 @@
     }
 
     /// The caller wants the connection to end after the answer.
-    pub fn closes(&self) -> bool {
-        !self.current || self.fields.lists("connection", "close")
+    pub fn closes_connection(&self) -> bool {
+        !self.is_http11 || self.headers.has_token("connection", "close")
     }
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// How the body's end is found, for an answer to a request of `method`.
     ///
     /// # Errors
@@ -187,9 +187,9 @@
         if bare {
             return Ok(Framing::Empty);
         }
-        let coded = self.fields.get("transfer-encoding").is_some();
-        match (coded, length(&self.fields)?) {
-            (true, None) if is_chunked(&self.fields) => Ok(Framing::Chunked),
+        let coded = self.headers.get("transfer-encoding").is_some();
+        match (coded, length(&self.headers)?) {
+            (true, None) if is_chunked(&self.headers) => Ok(Framing::Chunked),
             (true, _) => Err(Malformed),
             (false, Some(bytes)) => Ok(Framing::Length(bytes)),
             (false, None) => Ok(Framing::UntilClose),
@@ -197,22 +197,22 @@
     }
 
     /// The server ends the connection after this answer.
-    pub fn closes(&self) -> bool {
-        !self.current || self.fields.lists("connection", "close")
+    pub fn closes_connection(&self) -> bool {
+        !self.is_http11 || self.headers.has_token("connection", "close")
     }
 }
 
-fn is_chunked(fields: &Fields) -> bool {
-    let mut values = fields.all("transfer-encoding");
+fn is_chunked(headers: &Headers) -> bool {
+    let mut values = headers.get_all("transfer-encoding");
     let only = values
         .next()
         .is_some_and(|v| v.eq_ignore_ascii_case(b"chunked"));
     only && values.next().is_none()
 }
 
-fn length(fields: &Fields) -> Result<Option<u64>, Malformed> {
+fn length(headers: &Headers) -> Result<Option<u64>, Malformed> {
     let mut found = None;
-    for value in fields.all("content-length") {
+    for value in headers.get_all("content-length") {
         let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
         let text = std::str::from_utf8(value).map_err(|_bytes| Malformed)?;
         let number: u64 = text.parse().map_err(|_range| Malformed)?;
--- a/crates/hawthornmill-gateway/src/http/write.rs
+++ b/crates/hawthornmill-gateway/src/http/write.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write as _;
 
-use super::head::{Field, Fields, Framing};
+use super::head::{Framing, Header, Headers};
 
 /// Fields that concern one connection only.
 const HOP: &[&str] = &[
@@ -57,7 +57,7 @@
     }
 
     /// Adds those of `fields` that go beyond one connection, but for the length and those in `not`.
-    pub fn fields(&mut self, fields: &Fields, not: &[&str]) {
+    pub fn fields(&mut self, fields: &Headers, not: &[&str]) {
         for field in fields.iter().filter(|f| goes_on(fields, f, not)) {
             self.field(&field.name, &field.value);
         }
@@ -95,9 +95,9 @@
     }
 }
 
-fn goes_on(all: &Fields, field: &Field, not: &[&str]) -> bool {
+fn goes_on(all: &Headers, field: &Header, not: &[&str]) -> bool {
     let name = &*field.name;
     let among = |list: &[&str]| list.iter().any(|n| n.eq_ignore_ascii_case(name));
     let framing = name.eq_ignore_ascii_case("content-length");
-    !framing && !among(HOP) && !among(not) && !all.lists("connection", name)
+    !framing && !among(HOP) && !among(not) && !all.has_token("connection", name)
 }
--- a/crates/hawthornmill-gateway/src/proxy/admission.rs
+++ b/crates/hawthornmill-gateway/src/proxy/admission.rs
@@ -52,9 +52,9 @@
     if !gateway.listed.get() || gateway.is_outdated() {
         return Err(Reply::again(Code::NotReady, UNKNOWN_AGAIN));
     }
-    let fields = &call.head.fields;
+    let fields = &call.head.headers;
     let names = &gateway.dialect.names;
-    let mut hosts = fields.all("host");
+    let mut hosts = fields.get_all("host");
     let (Some(host), None) = (hosts.next(), hosts.next()) else {
         return Err(Reply::new(Code::BadHeader));
     };
--- a/crates/hawthornmill-gateway/src/proxy/forward.rs
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -15,7 +15,7 @@
 use super::{End, Held, Way, retry};
 use crate::gateway::Gateway;
 use crate::http::body::{Decoder, Piece};
-use crate::http::head::{AnswerHead, Framing};
+use crate::http::head::{Framing, ResponseHead};
 use crate::http::write::Bytes;
 
 /// Bytes of an answer that is read whole before it is passed on.
@@ -68,7 +68,11 @@
     if trip.is_answering() && answer.head.status != 200 {
         return Delivered::Cut;
     }
-    let kind = answer.head.fields.text("content-type").unwrap_or_default();
+    let kind = answer
+        .head
+        .headers
+        .get_str("content-type")
+        .unwrap_or_default();
     if admitted.streams && answer.head.status == 200 && kind.starts_with("text/event-stream") {
         return stream(way, trip, answer, held, out).await;
     }
@@ -76,12 +80,12 @@
 }
 
 /// The head of the answer for the caller.
-fn head(answer: &AnswerHead, framing: Framing, last: bool) -> Bytes {
+fn head(answer: &ResponseHead, framing: Framing, last: bool) -> Bytes {
     let mut bytes = Bytes::answer(answer.status, &answer.reason);
-    bytes.fields(&answer.fields, &[]);
+    bytes.fields(&answer.headers, &[]);
     if framing == Framing::Empty {
         // No body, but the length of what would be there may be told, as for HEAD.
-        if let Some(length) = answer.fields.get("content-length") {
+        if let Some(length) = answer.headers.get("content-length") {
             bytes.field("Content-Length", length);
         }
     }
--- a/crates/hawthornmill-gateway/src/proxy/read.rs
+++ b/crates/hawthornmill-gateway/src/proxy/read.rs
@@ -79,7 +79,7 @@
     if gateway.bodies.get() + known > MOST_BODIES {
         return Next::Refuse(Code::InstanceFull);
     }
-    if framing != Framing::Empty && head.fields.lists("expect", "100-continue") {
+    if framing != Framing::Empty && head.headers.has_token("expect", "100-continue") {
         let go_on = out.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
         if go_on.is_err() {
             return Next::Closed;
@@ -97,8 +97,8 @@
 fn call(gateway: &Rc<Gateway>, head: RequestHead, body: Bytes, began: Instant) -> Call {
     gateway.bodies.set(gateway.bodies.get() + body.len());
     let attempt = head
-        .fields
-        .text(gateway.dialect.names.attempt)
+        .headers
+        .get_str(gateway.dialect.names.attempt)
         .unwrap_or_default();
     Call {
         attempt: attempt.into(),
@@ -125,11 +125,11 @@
 
 async fn whole_head(reader: &mut Reader, most: usize) -> Result<Option<RequestHead>, Code> {
     loop {
-        match head::request(&reader.buffer) {
+        match head::parse_request(&reader.buffer) {
             Ok(Some((_, length))) if length > most => return Err(Code::HeadersTooLarge),
             Ok(Some((head, length))) => {
                 let _taken = reader.buffer.split_to(length);
-                return if head.current {
+                return if head.is_http11 {
                     Ok(Some(head))
                 } else {
                     Err(Code::OldVersion)
--- a/crates/hawthornmill-gateway/src/proxy/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -19,7 +19,7 @@
 use super::retry;
 use crate::gateway::Gateway;
 use crate::http::body::{Decoder, Piece};
-use crate::http::head::{self, AnswerHead, Framing};
+use crate::http::head::{self, Framing, ResponseHead};
 use crate::http::write::Bytes;
 use crate::pool::Upstream;
 
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct Answer {
     /// Its head.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// How its body ends.
     pub framing: Framing,
     /// Where the rest comes from.
@@ -139,7 +139,7 @@
         not.push(names.resume);
     }
     let mut bytes = Bytes::request(&call.head.method, &call.head.target);
-    bytes.fields(&call.head.fields, &not);
+    bytes.fields(&call.head.headers, &not);
     let left = admitted
         .request
         .ends
@@ -153,8 +153,8 @@
         bytes.field(names.resume, event.to_string());
     }
     // A body in chunks was read whole; its length says the same in fewer ways.
-    let sized = call.head.fields.get("content-length").is_some()
-        || call.head.fields.get("transfer-encoding").is_some();
+    let sized = call.head.headers.get("content-length").is_some()
+        || call.head.headers.get("transfer-encoding").is_some();
     if sized {
         bytes.framing(Framing::Length(call.body.len() as u64));
     }
@@ -226,7 +226,7 @@
         let Ok(framing) = head.framing(&call.head.method) else {
             return Sent::Broken("answer's length can be read in two ways".into());
         };
-        let named = head.fields.text(names.attempt);
+        let named = head.headers.get_str(names.attempt);
         if named.is_some_and(|id| id != &*call.attempt) {
             // The answer to an earlier request on this connection, come late or twice.
             clean = false;
@@ -235,7 +235,7 @@
             }
             continue;
         }
-        if let Some(load) = (gateway.dialect.load)(&head.fields) {
+        if let Some(load) = (gateway.dialect.load)(&head.headers) {
             gateway
                 .desk
                 .borrow_mut()
@@ -243,7 +243,7 @@
                 .report(server, load, gateway.now());
         }
         let moved = head.status == MISDIRECTED;
-        if moved || head.fields.get(names.not_run).is_some() {
+        if moved || head.headers.get(names.not_run).is_some() {
             let answer = answer(head, framing, upstream, server, clean);
             if !moved {
                 keep_after_refusal(gateway, answer).await;
@@ -258,13 +258,13 @@
 }
 
 fn answer(
-    head: AnswerHead,
+    head: ResponseHead,
     framing: Framing,
     upstream: Upstream,
     server: ServerId,
     clean: bool,
 ) -> Answer {
-    let clean = clean && !head.closes() && framing != Framing::UntilClose;
+    let clean = clean && !head.closes_connection() && framing != Framing::UntilClose;
     Answer {
         head,
         framing,
@@ -275,9 +275,9 @@
     }
 }
 
-async fn answer_head(upstream: &mut Upstream) -> Result<AnswerHead, Box<str>> {
+async fn answer_head(upstream: &mut Upstream) -> Result<ResponseHead, Box<str>> {
     loop {
-        match head::answer(&upstream.buffer) {
+        match head::parse_response(&upstream.buffer) {
             Ok(Some((head, length))) => {
                 let _taken = upstream.buffer.split_to(length);
                 return Ok(head);
@@ -343,8 +343,8 @@
 }
 
 /// How long the server says that it keeps an idle connection.
-fn keep_alive(head: &AnswerHead) -> Option<Duration> {
-    let text = head.fields.text("keep-alive")?;
+fn keep_alive(head: &ResponseHead) -> Option<Duration> {
+    let text = head.headers.get_str("keep-alive")?;
     let timeout = text
         .split(',')
         .find_map(|p| p.trim().strip_prefix("timeout="))?;
--- a/crates/hawthornmill-gateway/src/serve.rs
+++ b/crates/hawthornmill-gateway/src/serve.rs
@@ -110,7 +110,7 @@
         };
         let _flying = Open::count(&gateway.flying);
         let elsewhere = gateway.phase() >= Phase::Leaving || gateway.is_outdated();
-        let last = call.head.closes() || elsewhere;
+        let last = call.head.closes_connection() || elsewhere;
         let crowded = gateway.connections.get() > MANY_CONNECTIONS;
         let mut trip = Trip::default();
         let way = Way {
--- a/crates/hawthornmill-gateway/src/side.rs
+++ b/crates/hawthornmill-gateway/src/side.rs
@@ -62,7 +62,7 @@
         };
         let _head = buffer.split_to(length);
         let (status, reason, kind, body) = answer(gateway, &head, side);
-        let close = head.closes() || !buffer.is_empty();
+        let close = head.closes_connection() || !buffer.is_empty();
         let mut bytes = Bytes::answer(status, reason);
         bytes.field("Content-Type", kind);
         bytes.field("Content-Length", body.len().to_string());
@@ -83,7 +83,7 @@
     buffer: &mut BytesMut,
 ) -> std::io::Result<Option<(head::RequestHead, usize)>> {
     loop {
-        match head::request(buffer) {
+        match head::parse_request(buffer) {
             Ok(Some(found)) => return Ok(Some(found)),
             Ok(None) if buffer.len() <= MOST_HEAD => {}
             _ => return Ok(None),
--- a/crates/hawthornmill-gateway/src/store.rs
+++ b/crates/hawthornmill-gateway/src/store.rs
@@ -321,7 +321,7 @@
     let broken = || std::io::Error::from(std::io::ErrorKind::InvalidData);
     let mut buffer = BytesMut::with_capacity(4096);
     let (head, length) = loop {
-        if let Some(found) = head::answer(&buffer).map_err(|_head| broken())? {
+        if let Some(found) = head::parse_response(&buffer).map_err(|_head| broken())? {
             break found;
         }
         if link.read_buf(&mut buffer).await? == 0 || buffer.len() > MOST_BYTES {
@@ -348,6 +348,6 @@
             return Err(broken());
         }
     }
-    let keep = !head.closes() && !decoder.ends_with_connection() && buffer.is_empty();
+    let keep = !head.closes_connection() && !decoder.ends_with_connection() && buffer.is_empty();
     Ok((head.status, body, keep))
 }
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -6,7 +6,7 @@
 
 use bytes::BytesMut;
 use hawthornmill_gateway::http::body::{Decoder, Piece};
-use hawthornmill_gateway::http::head::{self, AnswerHead};
+use hawthornmill_gateway::http::head::{self, ResponseHead};
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -204,7 +204,7 @@
 async fn read(link: &mut Link) -> (Outcome, bool) {
     let (stream, buffer) = link;
     let head = loop {
-        match head::answer(buffer) {
+        match head::parse_response(buffer) {
             Ok(Some((head, length))) => {
                 let _head = buffer.split_to(length);
                 break head;
@@ -233,17 +233,21 @@
             Err(_malformed) => return (Outcome::Nonsense, false),
         }
     }
-    let usable = whole && !head.closes();
+    let usable = whole && !head.closes_connection();
     (answer(&head, whole, &body), usable)
 }
 
-fn answer(head: &AnswerHead, whole: bool, body: &[u8]) -> Outcome {
+fn answer(head: &ResponseHead, whole: bool, body: &[u8]) -> Outcome {
     Outcome::Answer {
         status: head.status,
         whole,
-        stamped: head.fields.get("server-stamp").is_some(),
-        names: head.fields.text("attempt-id").unwrap_or_default().into(),
+        stamped: head.headers.get("server-stamp").is_some(),
+        names: head
+            .headers
+            .get_str("attempt-id")
+            .unwrap_or_default()
+            .into(),
         body: String::from_utf8_lossy(body).into(),
-        again: head.fields.get("retry-after").is_some(),
+        again: head.headers.get("retry-after").is_some(),
     }
 }
--- a/tests/soak/plant.rs
+++ b/tests/soak/plant.rs
@@ -68,7 +68,7 @@
         return;
     };
     let wrong = count.fetch_add(1, Ordering::Relaxed).is_multiple_of(EACH);
-    let field = |name: &str| head.fields.text(name).unwrap_or_default().to_owned();
+    let field = |name: &str| head.headers.get_str(name).unwrap_or_default().to_owned();
     let id = field("attempt-id");
     let ask = |id: &str| {
         format!(
--- a/tests/soak/promises.rs
+++ b/tests/soak/promises.rs
@@ -94,7 +94,11 @@
 pub fn check(records: &Records) -> Vec<Breach> {
     let mut arrivals: BTreeMap<&str, Vec<(usize, &Arrival)>> = BTreeMap::new();
     for (server, arrival) in &records.arrivals {
-        let id = arrival.head.fields.text("attempt-id").unwrap_or_default();
+        let id = arrival
+            .head
+            .headers
+            .get_str("attempt-id")
+            .unwrap_or_default();
         arrivals.entry(id).or_default().push((*server, arrival));
     }
     let none = Vec::new();
@@ -342,7 +346,11 @@
     let by_id: BTreeMap<&str, &Seen> = records.seen.iter().map(|s| (&*s.id, s)).collect();
     let mut all = Vec::new();
     for (server, arrival) in &records.arrivals {
-        let id = arrival.head.fields.text("attempt-id").unwrap_or_default();
+        let id = arrival
+            .head
+            .headers
+            .get_str("attempt-id")
+            .unwrap_or_default();
         let Some(seen) = by_id.get(id) else { continue };
         let late = records.drains.iter().find(|(s, (from, to))| {
             s == server && arrival.at > *from + DRAINED && arrival.at < *to
@@ -394,10 +402,10 @@
 fn unasked(records: &Records) -> Vec<Breach> {
     let mut all = Vec::new();
     for (_, arrival) in &records.arrivals {
-        let fields = &arrival.head.fields;
-        let id = fields.text("attempt-id").unwrap_or_default();
+        let fields = &arrival.head.headers;
+        let id = fields.get_str("attempt-id").unwrap_or_default();
         let fits = arrival.body == b"body"
-            && fields.text("tenant") == Some("lab")
+            && fields.get_str("tenant") == Some("lab")
             && fields.get("authorization").is_none()
             && &*arrival.head.method == "POST";
         if !fits {
--- a/tests/testsuite/gateway/fleet.rs
+++ b/tests/testsuite/gateway/fleet.rs
@@ -8,7 +8,7 @@
 
 use bytes::BytesMut;
 use hawthornmill_gateway::http::body::{Decoder, Piece};
-use hawthornmill_gateway::http::head::{self, AnswerHead, Framing};
+use hawthornmill_gateway::http::head::{self, Framing, ResponseHead};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::{Value, json};
@@ -345,7 +345,7 @@
 #[derive(Debug, Clone)]
 pub struct Answer {
     /// Its head.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// As much of the body as came.
     pub body: Vec<u8>,
     /// The body came to its end.
@@ -360,7 +360,7 @@
 
     /// One of its fields.
     pub fn field(&self, name: &str) -> Option<&str> {
-        self.head.fields.text(name)
+        self.head.headers.get_str(name)
     }
 
     /// Its body as text.
@@ -414,7 +414,8 @@
 
     async fn answer(&mut self) -> Option<Answer> {
         let head = loop {
-            if let Some((head, length)) = head::answer(&self.buffer).expect("the answer has a head")
+            if let Some((head, length)) =
+                head::parse_response(&self.buffer).expect("the answer has a head")
             {
                 let _head = self.buffer.split_to(length);
                 break head;
--- a/tests/testsuite/gateway/http.rs
+++ b/tests/testsuite/gateway/http.rs
@@ -9,7 +9,7 @@
 
 fn framing(fields: &str) -> Result<Framing, Malformed> {
     let text = format!("POST /a HTTP/1.1\r\nHost: h\r\n{fields}\r\n");
-    let (head, _) = head::request(text.as_bytes())?.expect("the head is whole");
+    let (head, _) = head::parse_request(text.as_bytes())?.expect("the head is whole");
     head.framing()
 }
 
@@ -51,7 +51,11 @@
         "GET /a HTTP/1.1\r\nA B: c\r\n\r\n",
         "GET /a HTTP/1.1\r\n a: b\r\n\r\n",
     ] {
-        assert_eq!(head::request(text.as_bytes()), Err(Malformed), "{text}");
+        assert_eq!(
+            head::parse_request(text.as_bytes()),
+            Err(Malformed),
+            "{text}"
+        );
     }
 }
 
@@ -106,8 +110,8 @@
 proptest! {
     #[test]
     fn random_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let _request = head::request(&bytes);
-        let _answer = head::answer(&bytes);
+        let _request = head::parse_request(&bytes);
+        let _answer = head::parse_response(&bytes);
         let _body = decode(Framing::Chunked, &[&bytes]);
         let _number = event_number(&bytes);
     }
--- a/tests/testsuite/gateway/ingress.rs
+++ b/tests/testsuite/gateway/ingress.rs
@@ -33,7 +33,7 @@
             (Some("kept"), Some("i-0.1"))
         );
         let arrival = &fleet.servers[0].arrivals()[0];
-        let field = |name| arrival.head.fields.text(name);
+        let field = |name| arrival.head.headers.get_str(name);
         assert_eq!(
             (&*arrival.head.method, &*arrival.head.target),
             ("POST", "/get/x%20y/../z?a=1&b=%2F")
--- a/tests/testsuite/gateway/server.rs
+++ b/tests/testsuite/gateway/server.rs
@@ -174,8 +174,8 @@
         };
         self.lock().script.pop_front();
         let id = head
-            .fields
-            .text("attempt-id")
+            .headers
+            .get_str("attempt-id")
             .unwrap_or_default()
             .to_owned();
         let fields = [("Attempt-Id", id.as_str()), ("Server-Stamp", "early")];
@@ -195,8 +195,8 @@
     /// Does one act; false when the connection is over.
     async fn act(&self, link: &mut TcpStream, head: &RequestHead, act: Act, sent: usize) -> bool {
         let id = head
-            .fields
-            .text("attempt-id")
+            .headers
+            .get_str("attempt-id")
             .unwrap_or_default()
             .to_owned();
         let stamp = format!("{}.{sent}", self.name);
@@ -274,10 +274,10 @@
         count: u64,
         cut: bool,
     ) -> bool {
-        let id = head.fields.text("attempt-id").unwrap_or_default();
+        let id = head.headers.get_str("attempt-id").unwrap_or_default();
         let after: u64 = head
-            .fields
-            .text("last-event-id")
+            .headers
+            .get_str("last-event-id")
             .and_then(|t| t.parse().ok())
             .unwrap_or(0);
         let text = format!(
@@ -308,7 +308,7 @@
 
 async fn read_head(link: &mut TcpStream, buffer: &mut BytesMut) -> Option<RequestHead> {
     loop {
-        if let Some((head, length)) = head::request(buffer).ok()? {
+        if let Some((head, length)) = head::parse_request(buffer).ok()? {
             let _head = buffer.split_to(length);
             return Some(head);
         }
--- a/tests/testsuite/gateway/streams.rs
+++ b/tests/testsuite/gateway/streams.rs
@@ -56,7 +56,7 @@
             .flat_map(super::server::Server::arrivals);
         assert!(
             resumed
-                .filter(|a| a.head.fields.text("last-event-id") == Some("5"))
+                .filter(|a| a.head.headers.get_str("last-event-id") == Some("5"))
                 .count()
                 >= 1
         );
--- a/tests/testsuite/gateway/translation.rs
+++ b/tests/testsuite/gateway/translation.rs
@@ -107,8 +107,8 @@
 
 fn shape_of(fields: &str) -> Option<hawthornmill::routing::shape::Shape> {
     let text = format!("POST /a HTTP/1.1\r\n{fields}\r\n");
-    let (head, _) = head::request(text.as_bytes()).ok()??;
-    request::shape(&head.fields).ok()
+    let (head, _) = head::parse_request(text.as_bytes()).ok()??;
+    request::shape(&head.headers).ok()
 }
 
 #[test]
