--- a/crates/hawthornmill-gateway/src/http/body.rs
+++ b/crates/hawthornmill-gateway/src/http/body.rs
@@ -27,23 +27,23 @@
 
 /// Takes a body out of a buffer, piece by piece.
 #[derive(Debug, Clone)]
-pub struct Decoder {
+pub struct BodyDecoder {
     chunked: bool,
     state: State,
 }
 
 /// What the buffer held.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Piece {
+pub enum Decoded {
     /// Bytes of the body.
     Data(Bytes),
     /// The body is complete; what follows in the buffer is not part of it.
     End,
     /// More bytes must be read first.
-    More,
+    Incomplete,
 }
 
-impl Decoder {
+impl BodyDecoder {
     /// A decoder for a body framed as `framing`.
     pub const fn new(framing: Framing) -> Self {
         let state = match framing {
@@ -59,7 +59,7 @@
     }
 
     /// Tells whether the end of the connection completes the body.
-    pub const fn ends_with_connection(&self) -> bool {
+    pub const fn ends_at_close(&self) -> bool {
         matches!(self.state, State::Open)
     }
 
@@ -67,12 +67,12 @@
     ///
     /// # Errors
     /// [`Malformed`] when the bytes are no body of this framing.
-    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Piece, Malformed> {
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Decoded, Malformed> {
         loop {
             match self.state {
-                State::Done => return Ok(Piece::End),
-                State::Open if buffer.is_empty() => return Ok(Piece::More),
-                State::Open => return Ok(Piece::Data(buffer.split().freeze())),
+                State::Done => return Ok(Decoded::End),
+                State::Open if buffer.is_empty() => return Ok(Decoded::Incomplete),
+                State::Open => return Ok(Decoded::Data(buffer.split().freeze())),
                 State::Left(0) => {
                     self.state = if self.chunked {
                         State::ChunkEnd
@@ -80,23 +80,23 @@
                         State::Done
                     };
                 }
-                State::Left(_) if buffer.is_empty() => return Ok(Piece::More),
+                State::Left(_) if buffer.is_empty() => return Ok(Decoded::Incomplete),
                 State::Left(left) => {
                     let take = left.min(buffer.len() as u64);
                     self.state = State::Left(left - take);
-                    return Ok(Piece::Data(buffer.split_to(take as usize).freeze()));
+                    return Ok(Decoded::Data(buffer.split_to(take as usize).freeze()));
                 }
                 State::Size => match line(buffer)? {
-                    None => return Ok(Piece::More),
+                    None => return Ok(Decoded::Incomplete),
                     Some(line) => self.state = size(&line)?,
                 },
                 State::ChunkEnd => match line(buffer)? {
-                    None => return Ok(Piece::More),
+                    None => return Ok(Decoded::Incomplete),
                     Some(line) if line.is_empty() => self.state = State::Size,
                     Some(_) => return Err(Malformed),
                 },
                 State::Trailers(seen) => match line(buffer)? {
-                    None => return Ok(Piece::More),
+                    None => return Ok(Decoded::Incomplete),
                     Some(line) if line.is_empty() => self.state = State::Done,
                     Some(line) if seen + line.len() > MOST_TRAILERS => return Err(Malformed),
                     Some(line) => self.state = State::Trailers(seen + line.len()),
--- a/crates/hawthornmill-gateway/src/proxy/forward.rs
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -14,7 +14,7 @@
 use super::send::Answer;
 use super::{End, Held, Way, retry};
 use crate::gateway::Gateway;
-use crate::http::body::{Decoder, Piece};
+use crate::http::body::{BodyDecoder, Decoded};
 use crate::http::head::{Framing, ResponseHead};
 use crate::http::write::Bytes;
 
@@ -39,17 +39,17 @@
     Cut,
 }
 
-async fn part(answer: &mut Answer, decoder: &mut Decoder) -> Part {
+async fn part(answer: &mut Answer, decoder: &mut BodyDecoder) -> Part {
     loop {
         match decoder.next(&mut answer.upstream.buffer) {
-            Ok(Piece::Data(data)) => return Part::Data(data),
-            Ok(Piece::End) => return Part::End,
-            Ok(Piece::More) => {}
+            Ok(Decoded::Data(data)) => return Part::Data(data),
+            Ok(Decoded::End) => return Part::End,
+            Ok(Decoded::Incomplete) => {}
             Err(_malformed) => return Part::Cut,
         }
         match answer.upstream.more().await {
             // Only an orderly close ends a body that has no length; a reset cuts it.
-            Ok(0) if decoder.ends_with_connection() => return Part::End,
+            Ok(0) if decoder.ends_at_close() => return Part::End,
             Ok(0) | Err(_) => return Part::Cut,
             Ok(_) => {}
         }
@@ -108,7 +108,7 @@
 }
 
 /// Reads `answer` to its end, or until it is too long to be held; `part_came` is called with each part.
-async fn read(answer: &mut Answer, decoder: &mut Decoder, mut part_came: impl FnMut()) -> Read {
+async fn read(answer: &mut Answer, decoder: &mut BodyDecoder, mut part_came: impl FnMut()) -> Read {
     let mut body = answer.body.take().unwrap_or_default();
     let read = loop {
         match part(answer, decoder).await {
@@ -132,7 +132,7 @@
     held: &mut Held<'_>,
     out: &mut OwnedWriteHalf,
 ) -> Delivered {
-    let mut decoder = Decoder::new(answer.framing);
+    let mut decoder = BodyDecoder::new(answer.framing);
     match read(&mut answer, &mut decoder, || held.begin()).await {
         Read::Whole => {}
         Read::Long => return long(way, trip, answer, decoder, out).await,
@@ -150,7 +150,7 @@
 
 /// Reads the rest of a short answer; none when it breaks off or is long.
 pub async fn collect(mut answer: Answer) -> Option<Answer> {
-    let mut decoder = Decoder::new(answer.framing);
+    let mut decoder = BodyDecoder::new(answer.framing);
     match read(&mut answer, &mut decoder, || {}).await {
         Read::Whole => Some(answer),
         Read::Long | Read::Cut => None,
@@ -193,7 +193,7 @@
     way: Way<'_>,
     trip: &mut Trip,
     mut answer: Answer,
-    mut decoder: Decoder,
+    mut decoder: BodyDecoder,
     out: &mut OwnedWriteHalf,
 ) -> Delivered {
     let chunked = !matches!(answer.framing, Framing::Length(_));
@@ -237,7 +237,7 @@
     held: &mut Held<'_>,
     out: &mut OwnedWriteHalf,
 ) -> Delivered {
-    let mut decoder = Decoder::new(answer.framing);
+    let mut decoder = BodyDecoder::new(answer.framing);
     let mut splitter = Splitter::default();
     let mut bytes = Bytes::default();
     let number = way.gateway.dialect.event;
--- a/crates/hawthornmill-gateway/src/proxy/read.rs
+++ b/crates/hawthornmill-gateway/src/proxy/read.rs
@@ -10,7 +10,7 @@
 use tokio::net::tcp::OwnedWriteHalf;
 
 use crate::gateway::{Gateway, Phase};
-use crate::http::body::{Decoder, Piece};
+use crate::http::body::{BodyDecoder, Decoded};
 use crate::http::head::{self, Framing, RequestHead};
 use crate::serve::Reader;
 
@@ -154,13 +154,13 @@
     most: usize,
     idle: Duration,
 ) -> Result<Option<Bytes>, Code> {
-    let mut decoder = Decoder::new(framing);
+    let mut decoder = BodyDecoder::new(framing);
     let mut body = BytesMut::new();
     loop {
         match decoder.next(&mut reader.buffer) {
-            Ok(Piece::Data(data)) => body.extend_from_slice(&data),
-            Ok(Piece::End) => return Ok(Some(body.freeze())),
-            Ok(Piece::More) => match tokio::time::timeout(idle, reader.more()).await {
+            Ok(Decoded::Data(data)) => body.extend_from_slice(&data),
+            Ok(Decoded::End) => return Ok(Some(body.freeze())),
+            Ok(Decoded::Incomplete) => match tokio::time::timeout(idle, reader.more()).await {
                 Ok(Ok(bytes)) if bytes > 0 => {}
                 Ok(_) => return Ok(None),
                 Err(_elapsed) => return Err(Code::HeadTooSlow),
--- a/crates/hawthornmill-gateway/src/proxy/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -18,7 +18,7 @@
 use super::read::Call;
 use super::retry;
 use crate::gateway::Gateway;
-use crate::http::body::{Decoder, Piece};
+use crate::http::body::{BodyDecoder, Decoded};
 use crate::http::head::{self, Framing, ResponseHead};
 use crate::http::write::Bytes;
 use crate::pool::Upstream;
@@ -298,13 +298,13 @@
     if framing == Framing::UntilClose {
         return Err(());
     }
-    let mut decoder = Decoder::new(framing);
+    let mut decoder = BodyDecoder::new(framing);
     let mut skipped = 0;
     loop {
         match decoder.next(&mut upstream.buffer) {
-            Ok(Piece::End) => return Ok(()),
-            Ok(Piece::Data(data)) => skipped += data.len(),
-            Ok(Piece::More) => {
+            Ok(Decoded::End) => return Ok(()),
+            Ok(Decoded::Data(data)) => skipped += data.len(),
+            Ok(Decoded::Incomplete) => {
                 let read = upstream.more().await;
                 if !matches!(read, Ok(bytes) if bytes > 0) {
                     return Err(());
--- a/crates/hawthornmill-gateway/src/store.rs
+++ b/crates/hawthornmill-gateway/src/store.rs
@@ -18,7 +18,7 @@
 
 use crate::dialect::{Item, Page};
 use crate::gateway::Gateway;
-use crate::http::body::{Decoder, Piece};
+use crate::http::body::{BodyDecoder, Decoded};
 use crate::http::head;
 use crate::http::write::Bytes;
 use crate::journal;
@@ -329,15 +329,15 @@
         }
     };
     let _head = buffer.split_to(length);
-    let mut decoder = Decoder::new(head.framing("GET").map_err(|_framing| broken())?);
+    let mut decoder = BodyDecoder::new(head.framing("GET").map_err(|_framing| broken())?);
     let mut body = Vec::new();
     loop {
         match decoder.next(&mut buffer).map_err(|_body| broken())? {
-            Piece::Data(data) => body.extend_from_slice(&data),
-            Piece::End => break,
-            Piece::More => {
+            Decoded::Data(data) => body.extend_from_slice(&data),
+            Decoded::End => break,
+            Decoded::Incomplete => {
                 if link.read_buf(&mut buffer).await? == 0 {
-                    if decoder.ends_with_connection() {
+                    if decoder.ends_at_close() {
                         break;
                     }
                     return Err(broken());
@@ -348,6 +348,6 @@
             return Err(broken());
         }
     }
-    let keep = !head.closes_connection() && !decoder.ends_with_connection() && buffer.is_empty();
+    let keep = !head.closes_connection() && !decoder.ends_at_close() && buffer.is_empty();
     Ok((head.status, body, keep))
 }
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use hawthornmill_gateway::http::body::{Decoder, Piece};
+use hawthornmill_gateway::http::body::{BodyDecoder, Decoded};
 use hawthornmill_gateway::http::head::{self, ResponseHead};
 use rand::RngExt;
 use rand::SeedableRng;
@@ -219,17 +219,17 @@
     let Ok(framing) = head.framing("POST") else {
         return (Outcome::Nonsense, false);
     };
-    let mut decoder = Decoder::new(framing);
+    let mut decoder = BodyDecoder::new(framing);
     let (mut body, mut whole) = (Vec::new(), false);
     loop {
         match decoder.next(buffer) {
-            Ok(Piece::Data(data)) => body.extend_from_slice(&data),
-            Ok(Piece::End) => {
+            Ok(Decoded::Data(data)) => body.extend_from_slice(&data),
+            Ok(Decoded::End) => {
                 whole = true;
                 break;
             }
-            Ok(Piece::More) if matches!(stream.read_buf(buffer).await, Ok(n) if n > 0) => {}
-            Ok(Piece::More) => break,
+            Ok(Decoded::Incomplete) if matches!(stream.read_buf(buffer).await, Ok(n) if n > 0) => {}
+            Ok(Decoded::Incomplete) => break,
             Err(_malformed) => return (Outcome::Nonsense, false),
         }
     }
--- a/tests/testsuite/gateway/fleet.rs
+++ b/tests/testsuite/gateway/fleet.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use hawthornmill_gateway::http::body::{Decoder, Piece};
+use hawthornmill_gateway::http::body::{BodyDecoder, Decoded};
 use hawthornmill_gateway::http::head::{self, Framing, ResponseHead};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -426,19 +426,19 @@
         };
         let framing = head.framing("GET").expect("the answer's length is clear");
         assert_ne!(framing, Framing::UntilClose, "the end of an answer shows");
-        let mut decoder = Decoder::new(framing);
+        let mut decoder = BodyDecoder::new(framing);
         let (mut body, mut whole) = (Vec::new(), false);
         loop {
             match decoder
                 .next(&mut self.buffer)
                 .expect("the body is well-formed")
             {
-                Piece::Data(data) => body.extend_from_slice(&data),
-                Piece::End => {
+                Decoded::Data(data) => body.extend_from_slice(&data),
+                Decoded::End => {
                     whole = true;
                     break;
                 }
-                Piece::More => {
+                Decoded::Incomplete => {
                     if !matches!(self.link.read_buf(&mut self.buffer).await, Ok(n) if n > 0) {
                         break;
                     }
--- a/tests/testsuite/gateway/http.rs
+++ b/tests/testsuite/gateway/http.rs
@@ -1,7 +1,7 @@
 //! Heads, bodies and events, byte by byte.
 
 use bytes::BytesMut;
-use hawthornmill_gateway::http::body::{Decoder, Piece};
+use hawthornmill_gateway::http::body::{BodyDecoder, Decoded};
 use hawthornmill_gateway::http::head::{self, Framing, Malformed};
 use hawthornmill_gateway::proxy::events::Splitter;
 use hawthornmill_platform::request::event_number;
@@ -61,18 +61,18 @@
 
 /// All pieces of a body; none when it is malformed or incomplete.
 fn decode(framing: Framing, parts: &[&[u8]]) -> Option<(Vec<u8>, Vec<u8>)> {
-    let mut decoder = Decoder::new(framing);
+    let mut decoder = BodyDecoder::new(framing);
     let mut buffer = BytesMut::new();
     let mut body = Vec::new();
     let mut parts = parts.iter();
     loop {
         match decoder.next(&mut buffer).ok()? {
-            Piece::Data(data) => body.extend_from_slice(&data),
-            Piece::End => {
+            Decoded::Data(data) => body.extend_from_slice(&data),
+            Decoded::End => {
                 parts.for_each(|part| buffer.extend_from_slice(part));
                 return Some((body, buffer.to_vec()));
             }
-            Piece::More => buffer.extend_from_slice(parts.next()?),
+            Decoded::Incomplete => buffer.extend_from_slice(parts.next()?),
         }
     }
 }
--- a/tests/testsuite/gateway/server.rs
+++ b/tests/testsuite/gateway/server.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use hawthornmill_gateway::http::body::{Decoder, Piece};
+use hawthornmill_gateway::http::body::{BodyDecoder, Decoded};
 use hawthornmill_gateway::http::head::{self, RequestHead};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -323,13 +323,13 @@
     buffer: &mut BytesMut,
     head: &RequestHead,
 ) -> Option<Vec<u8>> {
-    let mut decoder = Decoder::new(head.framing().ok()?);
+    let mut decoder = BodyDecoder::new(head.framing().ok()?);
     let mut body = Vec::new();
     loop {
         match decoder.next(buffer).ok()? {
-            Piece::Data(data) => body.extend_from_slice(&data),
-            Piece::End => return Some(body),
-            Piece::More => {
+            Decoded::Data(data) => body.extend_from_slice(&data),
+            Decoded::End => return Some(body),
+            Decoded::Incomplete => {
                 if link.read_buf(buffer).await.ok()? == 0 {
                     return None;
                 }
