--- a/crates/hawthornmill-gateway/src/http/write.rs
+++ b/crates/hawthornmill-gateway/src/http/write.rs
@@ -20,9 +20,9 @@
 
 /// Bytes under construction.
 #[derive(Debug, Default)]
-pub struct Bytes(pub Vec<u8>);
+pub struct MessageBuffer(pub Vec<u8>);
 
-impl Bytes {
+impl MessageBuffer {
     /// Starts a request.
     pub fn request(method: &str, target: &str) -> Self {
         let mut bytes = Self(Vec::with_capacity(1024));
@@ -31,7 +31,7 @@
     }
 
     /// Starts an answer.
-    pub fn answer(status: u16, reason: &str) -> Self {
+    pub fn response(status: u16, reason: &str) -> Self {
         let mut bytes = Self(Vec::with_capacity(1024));
         let mut number = [0_u8; 3];
         for (digit, unit) in number.iter_mut().zip([100, 10, 1]) {
@@ -50,31 +50,31 @@
     }
 
     /// Adds a field.
-    pub fn field(&mut self, name: &str, value: impl AsRef<[u8]>) {
+    pub fn header(&mut self, name: &str, value: impl AsRef<[u8]>) {
         self.text(&[name, ": "]);
         self.0.extend_from_slice(value.as_ref());
         self.0.extend_from_slice(b"\r\n");
     }
 
     /// Adds those of `fields` that go beyond one connection, but for the length and those in `not`.
-    pub fn fields(&mut self, fields: &Headers, not: &[&str]) {
+    pub fn forwarded_headers(&mut self, fields: &Headers, not: &[&str]) {
         for field in fields.iter().filter(|f| goes_on(fields, f, not)) {
-            self.field(&field.name, &field.value);
+            self.header(&field.name, &field.value);
         }
     }
 
     /// Adds what says where the body ends.
-    pub fn framing(&mut self, framing: Framing) {
+    pub fn framing_header(&mut self, framing: Framing) {
         match framing {
             Framing::Empty => {}
-            Framing::Length(bytes) => self.field("Content-Length", bytes.to_string()),
+            Framing::Length(bytes) => self.header("Content-Length", bytes.to_string()),
             // A body that ended with its connection goes on in chunks, so that its end shows.
-            Framing::Chunked | Framing::UntilClose => self.field("Transfer-Encoding", "chunked"),
+            Framing::Chunked | Framing::UntilClose => self.header("Transfer-Encoding", "chunked"),
         }
     }
 
     /// Ends the head.
-    pub fn end(&mut self) {
+    pub fn end_head(&mut self) {
         self.0.extend_from_slice(b"\r\n");
     }
 
--- a/crates/hawthornmill-gateway/src/proxy/error_response.rs
+++ b/crates/hawthornmill-gateway/src/proxy/error_response.rs
@@ -8,7 +8,7 @@
 use tokio::net::tcp::OwnedWriteHalf;
 
 use crate::gateway::Gateway;
-use crate::http::write::Bytes;
+use crate::http::write::MessageBuffer;
 
 /// An answer that no server gave.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -48,22 +48,22 @@
     }
 
     /// Its bytes; `attempt` is the request's identity where it could be read.
-    pub fn bytes(&self, gateway: &Gateway, attempt: Option<&str>, last: bool) -> Bytes {
+    pub fn bytes(&self, gateway: &Gateway, attempt: Option<&str>, last: bool) -> MessageBuffer {
         let names = &gateway.dialect.names;
         let body = json!({"code": self.code.number(), "title": self.code.title()}).to_string();
-        let mut bytes = Bytes::answer(self.code.status(), self.code.title());
+        let mut bytes = MessageBuffer::response(self.code.status(), self.code.title());
         if let Some(attempt) = attempt.filter(|a| !a.is_empty()) {
-            bytes.field(names.attempt, attempt);
+            bytes.header(names.attempt, attempt);
         }
         if let Some(again) = self.again {
-            bytes.field(names.again, format!("{:.3}", again.as_secs_f64()));
+            bytes.header(names.again, format!("{:.3}", again.as_secs_f64()));
         }
-        bytes.field("Content-Type", "application/problem+json");
-        bytes.field("Content-Length", body.len().to_string());
+        bytes.header("Content-Type", "application/problem+json");
+        bytes.header("Content-Length", body.len().to_string());
         if last {
-            bytes.field("Connection", "close");
+            bytes.header("Connection", "close");
         }
-        bytes.end();
+        bytes.end_head();
         bytes.0.extend_from_slice(body.as_bytes());
         bytes
     }
--- a/crates/hawthornmill-gateway/src/proxy/forward.rs
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -16,7 +16,7 @@
 use crate::gateway::Gateway;
 use crate::http::body::{BodyDecoder, Decoded};
 use crate::http::head::{Framing, ResponseHead};
-use crate::http::write::Bytes;
+use crate::http::write::MessageBuffer;
 
 /// Bytes of an answer that is read whole before it is passed on.
 const SHORT: usize = 64 << 10;
@@ -80,20 +80,20 @@
 }
 
 /// The head of the answer for the caller.
-fn head(answer: &ResponseHead, framing: Framing, last: bool) -> Bytes {
-    let mut bytes = Bytes::answer(answer.status, &answer.reason);
-    bytes.fields(&answer.headers, &[]);
+fn head(answer: &ResponseHead, framing: Framing, last: bool) -> MessageBuffer {
+    let mut bytes = MessageBuffer::response(answer.status, &answer.reason);
+    bytes.forwarded_headers(&answer.headers, &[]);
     if framing == Framing::Empty {
         // No body, but the length of what would be there may be told, as for HEAD.
         if let Some(length) = answer.headers.get("content-length") {
-            bytes.field("Content-Length", length);
+            bytes.header("Content-Length", length);
         }
     }
-    bytes.framing(framing);
+    bytes.framing_header(framing);
     if last {
-        bytes.field("Connection", "close");
+        bytes.header("Connection", "close");
     }
-    bytes.end();
+    bytes.end_head();
     bytes
 }
 
@@ -239,7 +239,7 @@
 ) -> Delivered {
     let mut decoder = BodyDecoder::new(answer.framing);
     let mut splitter = Splitter::default();
-    let mut bytes = Bytes::default();
+    let mut bytes = MessageBuffer::default();
     let number = way.gateway.dialect.event;
     loop {
         let (whole, ended) = match part(&mut answer, &mut decoder).await {
--- a/crates/hawthornmill-gateway/src/proxy/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -20,7 +20,7 @@
 use crate::gateway::Gateway;
 use crate::http::body::{BodyDecoder, Decoded};
 use crate::http::head::{self, Framing, ResponseHead};
-use crate::http::write::Bytes;
+use crate::http::write::MessageBuffer;
 use crate::pool::Upstream;
 
 /// Status of a server that is not the one expected; it has not run the request.
@@ -128,7 +128,7 @@
     admitted: &Admitted,
     trip: &Trip,
     server: &str,
-) -> Bytes {
+) -> MessageBuffer {
     let names = &gateway.dialect.names;
     let mut not: Vec<&str> = vec![names.deadline, names.expect, names.account];
     not.extend(names.reserved);
@@ -138,27 +138,27 @@
     if trip.last_event.is_some() {
         not.push(names.resume);
     }
-    let mut bytes = Bytes::request(&call.head.method, &call.head.target);
-    bytes.fields(&call.head.headers, &not);
+    let mut bytes = MessageBuffer::request(&call.head.method, &call.head.target);
+    bytes.forwarded_headers(&call.head.headers, &not);
     let left = admitted
         .request
         .ends
         .saturating_duration_since(gateway.now());
-    bytes.field(names.deadline, left.as_millis().to_string());
-    bytes.field(names.expect, server);
+    bytes.header(names.deadline, left.as_millis().to_string());
+    bytes.header(names.expect, server);
     if let Some(account) = &admitted.account {
-        bytes.field(names.account, account.as_bytes());
+        bytes.header(names.account, account.as_bytes());
     }
     if let Some(event) = trip.last_event {
-        bytes.field(names.resume, event.to_string());
+        bytes.header(names.resume, event.to_string());
     }
     // A body in chunks was read whole; its length says the same in fewer ways.
     let sized = call.head.headers.get("content-length").is_some()
         || call.head.headers.get("transfer-encoding").is_some();
     if sized {
-        bytes.framing(Framing::Length(call.body.len() as u64));
+        bytes.framing_header(Framing::Length(call.body.len() as u64));
     }
-    bytes.end();
+    bytes.end_head();
     bytes.0.extend_from_slice(&call.body);
     bytes
 }
--- a/crates/hawthornmill-gateway/src/side.rs
+++ b/crates/hawthornmill-gateway/src/side.rs
@@ -12,7 +12,7 @@
 use crate::dialect::Question;
 use crate::gateway::Gateway;
 use crate::http::head;
-use crate::http::write::Bytes;
+use crate::http::write::MessageBuffer;
 
 /// Time for which a connection may stay without a call.
 const IDLE: Duration = Duration::from_secs(20);
@@ -63,13 +63,13 @@
         let _head = buffer.split_to(length);
         let (status, reason, kind, body) = answer(gateway, &head, side);
         let close = head.closes_connection() || !buffer.is_empty();
-        let mut bytes = Bytes::answer(status, reason);
-        bytes.field("Content-Type", kind);
-        bytes.field("Content-Length", body.len().to_string());
+        let mut bytes = MessageBuffer::response(status, reason);
+        bytes.header("Content-Type", kind);
+        bytes.header("Content-Length", body.len().to_string());
         if close {
-            bytes.field("Connection", "close");
+            bytes.header("Connection", "close");
         }
-        bytes.end();
+        bytes.end_head();
         bytes.0.extend_from_slice(&body);
         link.write_all(&bytes.0).await?;
         if close {
--- a/crates/hawthornmill-gateway/src/store.rs
+++ b/crates/hawthornmill-gateway/src/store.rs
@@ -20,7 +20,7 @@
 use crate::gateway::Gateway;
 use crate::http::body::{BodyDecoder, Decoded};
 use crate::http::head;
-use crate::http::write::Bytes;
+use crate::http::write::MessageBuffer;
 use crate::journal;
 use crate::pool::connect;
 
@@ -302,9 +302,9 @@
             Some(link) => link,
             None => connect(address).await?,
         };
-        let mut request = Bytes::request("GET", path);
-        request.field("Host", address.to_string());
-        request.end();
+        let mut request = MessageBuffer::request("GET", path);
+        request.header("Host", address.to_string());
+        request.end_head();
         link.write_all(&request.0).await?;
         let (status, body, keep) = read_answer(&mut link).await?;
         // Kept only now: a call that is given up half-way drops its connection.
--- a/tests/testsuite/gateway/http.rs
+++ b/tests/testsuite/gateway/http.rs
@@ -118,7 +118,7 @@
 
     #[test]
     fn a_chunked_body_comes_back_whole(body in proptest::collection::vec(any::<u8>(), 1..500), size in 1_usize..50) {
-        let mut text = hawthornmill_gateway::http::write::Bytes::default();
+        let mut text = hawthornmill_gateway::http::write::MessageBuffer::default();
         body.chunks(size).for_each(|chunk| text.chunk(chunk));
         text.last_chunk();
 
