--- a/crates/hawthornmill-gateway/src/proxy/admission.rs
+++ b/crates/hawthornmill-gateway/src/proxy/admission.rs
@@ -9,7 +9,7 @@
 use smallvec::SmallVec;
 
 use super::error_response::Reply;
-use super::read::Call;
+use super::read::ClientRequest;
 use crate::gateway::{Gateway, Phase};
 
 /// Time to come back when the process lacks the newest catalog; the store and peers answer in milliseconds.
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 /// The answer that refuses it; it has not run then.
-pub fn admit(gateway: &Gateway, call: &Call) -> Result<Admitted, Reply> {
+pub fn admit(gateway: &Gateway, request: &ClientRequest) -> Result<Admitted, Reply> {
     if gateway.phase() == Phase::Closed {
         return Err(Reply::again(Code::NotReady, CLOSED_AGAIN));
     }
@@ -52,14 +52,14 @@
     if !gateway.listed.get() || gateway.is_outdated() {
         return Err(Reply::again(Code::NotReady, UNKNOWN_AGAIN));
     }
-    let fields = &call.head.headers;
+    let fields = &request.head.headers;
     let names = &gateway.dialect.names;
     let mut hosts = fields.get_all("host");
     let (Some(host), None) = (hosts.next(), hosts.next()) else {
         return Err(Reply::new(Code::BadHeader));
     };
     let host = std::str::from_utf8(host).map_err(|_bytes| Reply::new(Code::BadHeader))?;
-    let path = call.head.path();
+    let path = request.head.path();
     let route = table
         .route(host, path)
         .ok_or_else(|| unknown(gateway, Code::NoSuchCall))?;
@@ -77,19 +77,19 @@
         Caller::Known(account) => Some(account),
         Caller::Anyone => None,
     };
-    let request = Request {
+    let queued = Request {
         account: account.map(|a| a.id),
         service,
         engine: known.and_then(|s| s.engine),
         shape,
         priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
         objective: route.objective,
-        came: call.came,
-        ends: call.came + left.map_or(route.timeout, |l| l.min(route.timeout)),
+        came: request.received,
+        ends: request.received + left.map_or(route.timeout, |l| l.min(route.timeout)),
         tried: SmallVec::new(),
     };
     Ok(Admitted {
-        request,
+        request: queued,
         repeat: route.repeat,
         streams: route.streams,
         attempts: route.attempts.max(1),
--- a/crates/hawthornmill-gateway/src/proxy/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! | step | takes | gives |
 //! |---|---|---|
-//! | [`read`] | bytes of a caller | a [`read::Call`] |
+//! | [`read`] | bytes of a caller | a [`read::ClientRequest`] |
 //! | [`admission`] | a call and the catalog | an [`admission::Admitted`], or a [`error_response::Reply`] |
 //! | wait | an admitted call | a server, from the desk |
 //! | [`mod@send`] | a call and its server | a [`send::Sent`] |
@@ -36,7 +36,7 @@
 use error_response::Reply;
 use forward::{Delivered, deliver, pass_whole};
 use progress::Trip;
-use read::Call;
+use read::ClientRequest;
 use retry::Next;
 use send::{Answer, Sent, send};
 
@@ -66,18 +66,18 @@
     /// The process.
     pub gateway: &'a Gateway,
     /// The request as it came.
-    pub call: &'a Call,
+    pub request: &'a ClientRequest,
     /// Whether the connection ends after the answer.
     pub closing: Closing,
 }
 
 /// Carries a request to its end, in the time that its route and its caller allow.
 pub async fn carry(way: Way<'_>, trip: &mut Trip, out: &mut OwnedWriteHalf) -> End {
-    let admitted = match admission::admit(way.gateway, way.call) {
+    let admitted = match admission::admit(way.gateway, way.request) {
         Ok(admitted) => admitted,
         Err(reply) => return answer_self(way, trip, &reply, out).await,
     };
-    trip.admitted(way.call, &admitted);
+    trip.admitted(way.request, &admitted);
     let ends = tokio::time::Instant::from_std(admitted.request.ends);
     let journey = journey(way, &admitted, trip, out);
     if let Ok(end) = tokio::time::timeout_at(ends, journey).await {
@@ -196,7 +196,7 @@
     out: &mut OwnedWriteHalf,
 ) -> Result<End, Next> {
     let (gateway, server) = (way.gateway, choice.server);
-    trip.sending(gateway, way.call, &choice);
+    trip.sending(gateway, way.request, &choice);
     let mut held = Held {
         gateway,
         admitted,
@@ -204,7 +204,7 @@
         sent: gateway.now(),
         began: false,
     };
-    match send(gateway, way.call, admitted, trip, &choice).await {
+    match send(gateway, way.request, admitted, trip, &choice).await {
         Sent::Answer(answer)
             if retry::is_failure(&answer) && retry::may(gateway, admitted, trip) =>
         {
@@ -223,7 +223,11 @@
             }
         },
         Sent::Unreached(why) => Err(retry::after_unreached(
-            gateway, way.call, trip, server, &why,
+            gateway,
+            way.request,
+            trip,
+            server,
+            &why,
         )),
         Sent::NotRun { moved } => Err(retry::after_not_run(gateway, admitted, trip, server, moved)),
         Sent::Broken(why) => {
@@ -235,7 +239,7 @@
 
 fn note_break(way: Way<'_>, server: ServerId, why: &str) {
     let fields = json!({"server": way.gateway.server_name(server), "why": why});
-    journal::trouble("server_broke_off", &way.call.attempt, fields);
+    journal::trouble("server_broke_off", &way.request.attempt_id, fields);
 }
 
 /// Ends a request for which there is no further server: with a failure that a server gave, or with
@@ -271,7 +275,7 @@
     trip.note_reply(reply);
     let last = way.closing.last || (way.closing.crowded && trip.is_refused());
     match reply
-        .write(way.gateway, Some(&way.call.attempt), last, out)
+        .write(way.gateway, Some(&way.request.attempt_id), last, out)
         .await
     {
         Ok(()) => End::Whole,
--- a/crates/hawthornmill-gateway/src/proxy/progress.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -9,7 +9,7 @@
 
 use super::admission::Admitted;
 use super::error_response::Reply;
-use super::read::Call;
+use super::read::ClientRequest;
 use super::{End, Way};
 use crate::gateway::Gateway;
 use crate::journal;
@@ -30,7 +30,7 @@
         "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
         "link_wait_ms": gateway.link.borrow().wait(now).as_millis() as u64,
     });
-    journal::trouble("refused", &way.call.attempt, fields);
+    journal::trouble("refused", &way.request.attempt_id, fields);
 }
 
 /// How long this instance has known of a newer catalog than its own.
@@ -63,27 +63,27 @@
 
 impl Trip {
     /// The request may be served.
-    pub fn admitted(&mut self, call: &Call, admitted: &Admitted) {
+    pub fn admitted(&mut self, request: &ClientRequest, admitted: &Admitted) {
         self.admitted = Some((admitted.route.clone(), admitted.service_name.clone()));
         let fields = json!({
             "route": admitted.route, "service": admitted.service_name, "account": admitted.account,
-            "prompt_tokens": admitted.request.shape.prompt, "body_bytes": call.body.len(),
-            "body_ms": call.came.duration_since(call.began).as_millis() as u64,
-            "time_left_ms": admitted.request.ends.duration_since(call.came).as_millis() as u64,
+            "prompt_tokens": admitted.request.shape.prompt, "body_bytes": request.body.len(),
+            "body_ms": request.received.duration_since(request.head_received).as_millis() as u64,
+            "time_left_ms": admitted.request.ends.duration_since(request.received).as_millis() as u64,
         });
-        journal::step("admitted", &call.attempt, fields);
+        journal::step("admitted", &request.attempt_id, fields);
     }
 
     /// The request goes to a server.
-    pub fn sending(&mut self, gateway: &Gateway, call: &Call, choice: &Choice) {
+    pub fn sending(&mut self, gateway: &Gateway, request: &ClientRequest, choice: &Choice) {
         let name = gateway.server_name(choice.server);
-        let waited = gateway.now().duration_since(call.came);
+        let waited = gateway.now().duration_since(request.received);
         let fields = json!({
             "server": name, "waited_ms": waited.as_millis() as u64, "send": self.arrivals + 1,
             "tokens_before_first": choice.ahead, "tokens_again": choice.again, "stray": choice.stray, "expected_ms": choice.expected.as_millis() as u64,
             "catalog": gateway.version(), "lag_ms": lag_ms(gateway), "registrations": gateway.desk.borrow().registry.latest(),
         });
-        journal::step("sent", &call.attempt, fields);
+        journal::step("sent", &request.attempt_id, fields);
         self.servers.push(name);
         self.earlier |= std::mem::take(&mut self.this);
     }
@@ -140,7 +140,7 @@
     }
 
     /// Writes the request's last line and counts it.
-    pub fn settle(&self, gateway: &Gateway, call: &Call, end: End) {
+    pub fn settle(&self, gateway: &Gateway, request: &ClientRequest, end: End) {
         let now = gateway.now();
         let outcome = match end {
             End::Left => "caller_left",
@@ -159,13 +159,13 @@
             "outcome": outcome, "status": self.status, "code": self.code.map(Code::number),
             "route": route, "service": service, "servers": self.servers, "sends": self.arrivals,
             "last_event": self.last_event, "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
-            "begin_ms": self.begun.map(|b| b.duration_since(call.came).as_millis() as u64),
-            "took_ms": now.duration_since(call.came).as_millis() as u64,
+            "begin_ms": self.begun.map(|b| b.duration_since(request.received).as_millis() as u64),
+            "took_ms": now.duration_since(request.received).as_millis() as u64,
         });
         if outcome == "answered" {
-            journal::step("ended", &call.attempt, fields);
+            journal::step("ended", &request.attempt_id, fields);
         } else {
-            journal::trouble("ended", &call.attempt, fields);
+            journal::trouble("ended", &request.attempt_id, fields);
         }
     }
 }
--- a/crates/hawthornmill-gateway/src/proxy/read.rs
+++ b/crates/hawthornmill-gateway/src/proxy/read.rs
@@ -19,94 +19,103 @@
 
 /// A request as it came.
 #[derive(Debug)]
-pub struct Call {
+pub struct ClientRequest {
     /// Its head.
     pub head: RequestHead,
     /// Its body.
     pub body: Bytes,
     /// Identity that the caller gave this attempt.
-    pub attempt: Box<str>,
+    pub attempt_id: Box<str>,
     /// When its head had come.
-    pub began: Instant,
+    pub head_received: Instant,
     /// When it had come whole.
-    pub came: Instant,
-    held: Rc<Gateway>,
+    pub received: Instant,
+    gateway: Rc<Gateway>,
 }
 
-impl Drop for Call {
+impl Drop for ClientRequest {
     fn drop(&mut self) {
-        let bodies = &self.held.bodies;
+        let bodies = &self.gateway.bodies;
         bodies.set(bodies.get() - self.body.len());
     }
 }
 
 /// What a connection brings next.
 #[derive(Debug)]
-pub enum Next {
+pub enum ReadOutcome {
     /// A request.
-    Call(Call),
+    Request(ClientRequest),
     /// Something that must be refused; the connection can't be used further.
-    Refuse(Code),
+    Reject(Code),
     /// Nothing more.
     Closed,
 }
 
 /// Reads the next request of a connection.
-pub async fn next(gateway: &Rc<Gateway>, reader: &mut Reader, out: &mut OwnedWriteHalf) -> Next {
+pub async fn read_request(
+    gateway: &Rc<Gateway>,
+    reader: &mut Reader,
+    out: &mut OwnedWriteHalf,
+) -> ReadOutcome {
     let limits = gateway
         .table()
         .map_or_else(Limits::default, |t| *t.limits());
     if reader.buffer.is_empty() && !first_byte(gateway, reader, limits.idle_time).await {
-        return Next::Closed;
+        return ReadOutcome::Closed;
     }
     let head = tokio::time::timeout(limits.header_time, whole_head(reader, limits.header_bytes));
     let head = match head.await {
         Ok(Ok(Some(head))) => head,
-        Ok(Ok(None)) => return Next::Closed,
-        Ok(Err(code)) => return Next::Refuse(code),
-        Err(_elapsed) => return Next::Refuse(Code::HeadTooSlow),
+        Ok(Ok(None)) => return ReadOutcome::Closed,
+        Ok(Err(code)) => return ReadOutcome::Reject(code),
+        Err(_elapsed) => return ReadOutcome::Reject(Code::HeadTooSlow),
     };
     let Ok(framing) = head.framing() else {
-        return Next::Refuse(Code::BadHeader);
+        return ReadOutcome::Reject(Code::BadHeader);
     };
     let known = match framing {
         Framing::Length(bytes) => bytes as usize,
         _ => 0,
     };
     if known > limits.body_bytes {
-        return Next::Refuse(Code::BodyTooLarge);
+        return ReadOutcome::Reject(Code::BodyTooLarge);
     }
     if gateway.bodies.get() + known > MOST_BODIES {
-        return Next::Refuse(Code::InstanceFull);
+        return ReadOutcome::Reject(Code::InstanceFull);
     }
     if framing != Framing::Empty && head.headers.has_token("expect", "100-continue") {
         let go_on = out.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
         if go_on.is_err() {
-            return Next::Closed;
+            return ReadOutcome::Closed;
         }
     }
     let began = gateway.now();
     let body = whole_body(reader, framing, limits.body_bytes, limits.idle_time).await;
     match body {
-        Ok(Some(body)) => Next::Call(call(gateway, head, body, began)),
-        Ok(None) => Next::Closed,
-        Err(code) => Next::Refuse(code),
+        Ok(Some(body)) => ReadOutcome::Request(client_request(gateway, head, body, began)),
+        Ok(None) => ReadOutcome::Closed,
+        Err(code) => ReadOutcome::Reject(code),
     }
 }
 
-fn call(gateway: &Rc<Gateway>, head: RequestHead, body: Bytes, began: Instant) -> Call {
+fn client_request(
+    gateway: &Rc<Gateway>,
+    head: RequestHead,
+    body: Bytes,
+    began: Instant,
+) -> ClientRequest {
     gateway.bodies.set(gateway.bodies.get() + body.len());
     let attempt = head
         .headers
         .get_str(gateway.dialect.names.attempt)
         .unwrap_or_default();
-    Call {
-        attempt: attempt.into(),
+    ClientRequest {
+        attempt_id: attempt.into(),
         head,
         body,
-        began,
-        came: gateway.now(),
-        held: Rc::clone(gateway),
+        head_received: began,
+        received: gateway.now(),
+        gateway: Rc::clone(gateway),
     }
 }
 
--- a/crates/hawthornmill-gateway/src/proxy/retry.rs
+++ b/crates/hawthornmill-gateway/src/proxy/retry.rs
@@ -10,7 +10,7 @@
 
 use super::admission::Admitted;
 use super::progress::Trip;
-use super::read::Call;
+use super::read::ClientRequest;
 use super::send::Answer;
 use crate::gateway::Gateway;
 use crate::journal;
@@ -78,13 +78,13 @@
 /// The server could not be reached.
 pub fn after_unreached(
     gateway: &Gateway,
-    call: &Call,
+    request: &ClientRequest,
     trip: &mut Trip,
     server: ServerId,
     why: &str,
 ) -> Next {
     let fields = json!({"server": gateway.server_name(server), "why": why});
-    journal::trouble("server_unreached", &call.attempt, fields);
+    journal::trouble("server_unreached", &request.attempt_id, fields);
     gateway.pool.drop_idle(server);
     judge(gateway, server, Verdict::Unreachable);
     trip.unreached += 1;
--- a/crates/hawthornmill-gateway/src/proxy/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -15,7 +15,7 @@
 
 use super::admission::Admitted;
 use super::progress::Trip;
-use super::read::Call;
+use super::read::ClientRequest;
 use super::retry;
 use crate::gateway::Gateway;
 use crate::http::body::{BodyDecoder, Decoded};
@@ -67,10 +67,10 @@
     Answer(Answer),
 }
 
-/// Sends `call` to the server of `choice`.
+/// Sends `request` to the server of `choice`.
 pub async fn send(
     gateway: &Gateway,
-    call: &Call,
+    request: &ClientRequest,
     admitted: &Admitted,
     trip: &mut Trip,
     choice: &Choice,
@@ -99,7 +99,7 @@
     if !upstream.reused {
         gateway.meters.connected();
     }
-    let bytes = request(gateway, call, admitted, trip, &name);
+    let bytes = encode_request(gateway, request, admitted, trip, &name);
     let written = match write(&mut upstream, &bytes.0, trip).await {
         Ok(whole) => whole,
         Err(error) if !trip.is_sent() => {
@@ -107,7 +107,7 @@
         }
         Err(error) => return Sent::Broken(error.to_string().into()),
     };
-    let answer = receive(gateway, call, upstream, server, written);
+    let answer = receive(gateway, request, upstream, server, written);
     if !retry::is_left(admitted, trip) {
         return answer.await;
     }
@@ -122,9 +122,9 @@
 }
 
 /// The request as the server gets it.
-fn request(
+fn encode_request(
     gateway: &Gateway,
-    call: &Call,
+    request: &ClientRequest,
     admitted: &Admitted,
     trip: &Trip,
     server: &str,
@@ -138,8 +138,8 @@
     if trip.last_event.is_some() {
         not.push(names.resume);
     }
-    let mut bytes = MessageBuffer::request(&call.head.method, &call.head.target);
-    bytes.forwarded_headers(&call.head.headers, &not);
+    let mut bytes = MessageBuffer::request(&request.head.method, &request.head.target);
+    bytes.forwarded_headers(&request.head.headers, &not);
     let left = admitted
         .request
         .ends
@@ -153,13 +153,13 @@
         bytes.header(names.resume, event.to_string());
     }
     // A body in chunks was read whole; its length says the same in fewer ways.
-    let sized = call.head.headers.get("content-length").is_some()
-        || call.head.headers.get("transfer-encoding").is_some();
+    let sized = request.head.headers.get("content-length").is_some()
+        || request.head.headers.get("transfer-encoding").is_some();
     if sized {
-        bytes.framing_header(Framing::Length(call.body.len() as u64));
+        bytes.framing_header(Framing::Length(request.body.len() as u64));
     }
     bytes.end_head();
-    bytes.0.extend_from_slice(&call.body);
+    bytes.0.extend_from_slice(&request.body);
     bytes
 }
 
@@ -208,7 +208,7 @@
 
 async fn receive(
     gateway: &Gateway,
-    call: &Call,
+    request: &ClientRequest,
     mut upstream: Upstream,
     server: ServerId,
     written: bool,
@@ -223,11 +223,11 @@
         if (100..200).contains(&head.status) {
             continue;
         }
-        let Ok(framing) = head.framing(&call.head.method) else {
+        let Ok(framing) = head.framing(&request.head.method) else {
             return Sent::Broken("answer's length can be read in two ways".into());
         };
         let named = head.headers.get_str(names.attempt);
-        if named.is_some_and(|id| id != &*call.attempt) {
+        if named.is_some_and(|id| id != &*request.attempt_id) {
             // The answer to an earlier request on this connection, come late or twice.
             clean = false;
             if skip(&mut upstream, framing).await.is_err() {
--- a/crates/hawthornmill-gateway/src/serve.rs
+++ b/crates/hawthornmill-gateway/src/serve.rs
@@ -14,7 +14,7 @@
 use crate::gateway::{Gateway, Phase};
 use crate::proxy::error_response::Reply;
 use crate::proxy::progress::Trip;
-use crate::proxy::read::{Next, next};
+use crate::proxy::read::{ReadOutcome, read_request};
 use crate::proxy::{Closing, End, Way, carry};
 
 /// Connections from which a refused caller's is closed: it comes back on a new one, and the old one
@@ -103,19 +103,19 @@
         buffer: BytesMut::with_capacity(2048),
     };
     loop {
-        let call = match next(gateway, &mut reader, out).await {
-            Next::Call(call) => call,
-            Next::Refuse(code) => return turn_away(gateway, code, &mut reader, out).await,
-            Next::Closed => return,
+        let request = match read_request(gateway, &mut reader, out).await {
+            ReadOutcome::Request(request) => request,
+            ReadOutcome::Reject(code) => return turn_away(gateway, code, &mut reader, out).await,
+            ReadOutcome::Closed => return,
         };
         let _flying = Open::count(&gateway.flying);
         let elsewhere = gateway.phase() >= Phase::Leaving || gateway.is_outdated();
-        let last = call.head.closes_connection() || elsewhere;
+        let last = request.head.closes_connection() || elsewhere;
         let crowded = gateway.connections.get() > MANY_CONNECTIONS;
         let mut trip = Trip::default();
         let way = Way {
             gateway,
-            call: &call,
+            request: &request,
             closing: Closing { last, crowded },
         };
         let end = if reader.has_left() {
@@ -127,7 +127,7 @@
                 () = reader.gone() => End::Left,
             }
         };
-        trip.settle(gateway, &call, end);
+        trip.settle(gateway, &request, end);
         if end != End::Whole || last || (crowded && trip.is_refused()) {
             return;
         }
