--- a/crates/hawthornmill-gateway/src/door.rs
+++ b/crates/hawthornmill-gateway/src/door.rs
@@ -18,7 +18,7 @@
 
 use crate::gateway::{Gateway, Phase};
 use crate::http::head::{self, Framing};
-use crate::proxy::error_response::Reply;
+use crate::proxy::error_response::ErrorResponse;
 use crate::serve;
 
 /// Connections that are served at once; the rest of the descriptors is for servers.
@@ -99,7 +99,11 @@
     if recv(stream.as_raw_fd(), &mut request, MsgFlags::MSG_DONTWAIT).is_err() {
         return;
     }
-    let bytes = Reply::again(Code::InstanceFull, COME_BACK).bytes(gateway, Some(&attempt), true);
+    let bytes = ErrorResponse::with_retry_after(Code::InstanceFull, COME_BACK).encode(
+        gateway,
+        Some(&attempt),
+        true,
+    );
     // A caller that is gone needs no answer, and the little that is written fits an empty socket.
     let _sent = send(stream.as_raw_fd(), &bytes.0, MsgFlags::MSG_DONTWAIT);
     gateway.turned.borrow_mut().told.push(attempt);
--- a/crates/hawthornmill-gateway/src/proxy/admission.rs
+++ b/crates/hawthornmill-gateway/src/proxy/admission.rs
@@ -8,7 +8,7 @@
 use hawthornmill::routing::table::{Caller, split};
 use smallvec::SmallVec;
 
-use super::error_response::Reply;
+use super::error_response::ErrorResponse;
 use super::read::ClientRequest;
 use crate::gateway::{Gateway, Phase};
 
@@ -42,23 +42,32 @@
 ///
 /// # Errors
 /// The answer that refuses it; it has not run then.
-pub fn admit(gateway: &Gateway, request: &ClientRequest) -> Result<Admitted, Reply> {
+pub fn admit(gateway: &Gateway, request: &ClientRequest) -> Result<Admitted, ErrorResponse> {
     if gateway.phase() == Phase::Closed {
-        return Err(Reply::again(Code::NotReady, CLOSED_AGAIN));
+        return Err(ErrorResponse::with_retry_after(
+            Code::NotReady,
+            CLOSED_AGAIN,
+        ));
     }
     let Some(table) = gateway.table() else {
-        return Err(Reply::again(Code::NotReady, UNKNOWN_AGAIN));
+        return Err(ErrorResponse::with_retry_after(
+            Code::NotReady,
+            UNKNOWN_AGAIN,
+        ));
     };
     if !gateway.listed.get() || gateway.is_outdated() {
-        return Err(Reply::again(Code::NotReady, UNKNOWN_AGAIN));
+        return Err(ErrorResponse::with_retry_after(
+            Code::NotReady,
+            UNKNOWN_AGAIN,
+        ));
     }
     let fields = &request.head.headers;
     let names = &gateway.dialect.names;
     let mut hosts = fields.get_all("host");
     let (Some(host), None) = (hosts.next(), hosts.next()) else {
-        return Err(Reply::new(Code::BadHeader));
+        return Err(ErrorResponse::new(Code::BadHeader));
     };
-    let host = std::str::from_utf8(host).map_err(|_bytes| Reply::new(Code::BadHeader))?;
+    let host = std::str::from_utf8(host).map_err(|_bytes| ErrorResponse::new(Code::BadHeader))?;
     let path = request.head.path();
     let route = table
         .route(host, path)
@@ -70,7 +79,8 @@
         .caller(route, token)
         .ok_or_else(|| unknown(gateway, Code::BadToken))?;
     let left = time_left(fields.get(names.deadline))?;
-    let shape = (gateway.dialect.shape)(fields).map_err(|_why| Reply::new(Code::BadHeader))?;
+    let shape =
+        (gateway.dialect.shape)(fields).map_err(|_why| ErrorResponse::new(Code::BadHeader))?;
     let service = split(route, rand::random());
     let known = table.service(service);
     let account = match caller {
@@ -103,11 +113,11 @@
 /// Answers that the catalog in force doesn't know a route or a token.
 ///
 /// Only the newest catalog can say so for good.
-fn unknown(gateway: &Gateway, code: Code) -> Reply {
+fn unknown(gateway: &Gateway, code: Code) -> ErrorResponse {
     if gateway.lag.borrow().is_some() {
-        Reply::again(Code::NotReady, UNKNOWN_AGAIN)
+        ErrorResponse::with_retry_after(Code::NotReady, UNKNOWN_AGAIN)
     } else {
-        Reply::new(code)
+        ErrorResponse::new(code)
     }
 }
 
@@ -118,14 +128,14 @@
         .then_some(token)
 }
 
-fn time_left(value: Option<&[u8]>) -> Result<Option<Duration>, Reply> {
+fn time_left(value: Option<&[u8]>) -> Result<Option<Duration>, ErrorResponse> {
     let Some(value) = value else {
         return Ok(None);
     };
-    let text = std::str::from_utf8(value).map_err(|_bytes| Reply::new(Code::BadHeader))?;
+    let text = std::str::from_utf8(value).map_err(|_bytes| ErrorResponse::new(Code::BadHeader))?;
     let millis: u64 = text
         .trim()
         .parse()
-        .map_err(|_number| Reply::new(Code::BadHeader))?;
+        .map_err(|_number| ErrorResponse::new(Code::BadHeader))?;
     Ok(Some(Duration::from_millis(millis)))
 }
--- a/crates/hawthornmill-gateway/src/proxy/error_response.rs
+++ b/crates/hawthornmill-gateway/src/proxy/error_response.rs
@@ -12,24 +12,27 @@
 
 /// An answer that no server gave.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Reply {
+pub struct ErrorResponse {
     /// Numbered reason; its status is the answer's.
     pub code: Code,
     /// When to come back, where the request has not run.
-    pub again: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
-impl Reply {
+impl ErrorResponse {
     /// An answer without a time to come back.
     pub const fn new(code: Code) -> Self {
-        Self { code, again: None }
+        Self {
+            code,
+            retry_after: None,
+        }
     }
 
     /// An answer to a request that has not run, with the time to come back.
-    pub const fn again(code: Code, after: Duration) -> Self {
+    pub const fn with_retry_after(code: Code, after: Duration) -> Self {
         Self {
             code,
-            again: Some(after),
+            retry_after: Some(after),
         }
     }
 
@@ -44,19 +47,19 @@
         last: bool,
         out: &mut OwnedWriteHalf,
     ) -> std::io::Result<()> {
-        out.write_all(&self.bytes(gateway, attempt, last).0).await
+        out.write_all(&self.encode(gateway, attempt, last).0).await
     }
 
     /// Its bytes; `attempt` is the request's identity where it could be read.
-    pub fn bytes(&self, gateway: &Gateway, attempt: Option<&str>, last: bool) -> MessageBuffer {
+    pub fn encode(&self, gateway: &Gateway, attempt: Option<&str>, last: bool) -> MessageBuffer {
         let names = &gateway.dialect.names;
         let body = json!({"code": self.code.number(), "title": self.code.title()}).to_string();
         let mut bytes = MessageBuffer::response(self.code.status(), self.code.title());
         if let Some(attempt) = attempt.filter(|a| !a.is_empty()) {
             bytes.header(names.attempt, attempt);
         }
-        if let Some(again) = self.again {
-            bytes.header(names.again, format!("{:.3}", again.as_secs_f64()));
+        if let Some(retry_after) = self.retry_after {
+            bytes.header(names.again, format!("{:.3}", retry_after.as_secs_f64()));
         }
         bytes.header("Content-Type", "application/problem+json");
         bytes.header("Content-Length", body.len().to_string());
--- a/crates/hawthornmill-gateway/src/proxy/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -3,7 +3,7 @@
 //! | step | takes | gives |
 //! |---|---|---|
 //! | [`read`] | bytes of a caller | a [`read::ClientRequest`] |
-//! | [`admission`] | a call and the catalog | an [`admission::Admitted`], or a [`error_response::Reply`] |
+//! | [`admission`] | a call and the catalog | an [`admission::Admitted`], or a [`error_response::ErrorResponse`] |
 //! | wait | an admitted call | a server, from the desk |
 //! | [`mod@send`] | a call and its server | a [`send::Sent`] |
 //! | [`forward`], [`events`] | a server's answer | bytes to the caller |
@@ -33,7 +33,7 @@
 use crate::gateway::Gateway;
 use crate::journal;
 use admission::Admitted;
-use error_response::Reply;
+use error_response::ErrorResponse;
 use forward::{Delivered, deliver, pass_whole};
 use progress::Trip;
 use read::ClientRequest;
@@ -75,7 +75,7 @@
 pub async fn carry(way: Way<'_>, trip: &mut Trip, out: &mut OwnedWriteHalf) -> End {
     let admitted = match admission::admit(way.gateway, way.request) {
         Ok(admitted) => admitted,
-        Err(reply) => return answer_self(way, trip, &reply, out).await,
+        Err(response) => return send_error(way, trip, &response, out).await,
     };
     trip.admitted(way.request, &admitted);
     let ends = tokio::time::Instant::from_std(admitted.request.ends);
@@ -87,12 +87,12 @@
         trip.note_code(Code::DeadlineWhileRunning);
         return End::Broken;
     }
-    let reply = if trip.may_have_run() {
-        Reply::new(Code::DeadlineWhileRunning)
+    let response = if trip.may_have_run() {
+        ErrorResponse::new(Code::DeadlineWhileRunning)
     } else {
-        Reply::again(Code::QueueLate, admitted.request.objective)
+        ErrorResponse::with_retry_after(Code::QueueLate, admitted.request.objective)
     };
-    answer_self(way, trip, &reply, out).await
+    send_error(way, trip, &response, out).await
 }
 
 /// A server's place for one request, released however that ends.
@@ -180,7 +180,7 @@
                 return End::Broken;
             }
             Next::Fail => {
-                return answer_self(way, trip, &Reply::new(Code::UpstreamFailed), out).await;
+                return send_error(way, trip, &ErrorResponse::new(Code::UpstreamFailed), out).await;
             }
         }
     }
@@ -258,23 +258,23 @@
     if let Some(answer) = fallback {
         return pass_whole(way, trip, &answer, out).await;
     }
-    let reply = if trip.may_have_run() {
-        Reply::new(Code::UpstreamFailed)
+    let response = if trip.may_have_run() {
+        ErrorResponse::new(Code::UpstreamFailed)
     } else {
-        Reply::again(refusal.code, refusal.again)
+        ErrorResponse::with_retry_after(refusal.code, refusal.again)
     };
-    answer_self(way, trip, &reply, out).await
+    send_error(way, trip, &response, out).await
 }
 
-async fn answer_self(
+async fn send_error(
     way: Way<'_>,
     trip: &mut Trip,
-    reply: &Reply,
+    response: &ErrorResponse,
     out: &mut OwnedWriteHalf,
 ) -> End {
-    trip.note_reply(reply);
+    trip.record_error(response);
     let last = way.closing.last || (way.closing.crowded && trip.is_refused());
-    match reply
+    match response
         .write(way.gateway, Some(&way.request.attempt_id), last, out)
         .await
     {
--- a/crates/hawthornmill-gateway/src/proxy/progress.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 use super::admission::Admitted;
-use super::error_response::Reply;
+use super::error_response::ErrorResponse;
 use super::read::ClientRequest;
 use super::{End, Way};
 use crate::gateway::Gateway;
@@ -133,10 +133,10 @@
     }
 
     /// The gateway answers itself.
-    pub const fn note_reply(&mut self, reply: &Reply) {
-        self.code = Some(reply.code);
-        self.status = reply.code.status();
-        self.told_again = reply.again.is_some();
+    pub const fn record_error(&mut self, response: &ErrorResponse) {
+        self.code = Some(response.code);
+        self.status = response.code.status();
+        self.told_again = response.retry_after.is_some();
     }
 
     /// Writes the request's last line and counts it.
--- a/crates/hawthornmill-gateway/src/serve.rs
+++ b/crates/hawthornmill-gateway/src/serve.rs
@@ -12,7 +12,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
 use crate::gateway::{Gateway, Phase};
-use crate::proxy::error_response::Reply;
+use crate::proxy::error_response::ErrorResponse;
 use crate::proxy::progress::Trip;
 use crate::proxy::read::{ReadOutcome, read_request};
 use crate::proxy::{Closing, End, Way, carry};
@@ -136,8 +136,8 @@
 
 /// Answers what is no request, and reads on for a moment so that the answer arrives.
 async fn turn_away(gateway: &Gateway, code: Code, reader: &mut Reader, out: &mut OwnedWriteHalf) {
-    let reply = Reply::new(code);
-    if reply.write(gateway, None, true, out).await.is_err() {
+    let response = ErrorResponse::new(code);
+    if response.write(gateway, None, true, out).await.is_err() {
         return;
     }
     let rest = async {
