--- a/crates/hawthornmill-gateway/src/proxy/forward.rs
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -10,7 +10,7 @@
 
 use super::admission::Admitted;
 use super::events::Splitter;
-use super::progress::Trip;
+use super::progress::RequestProgress;
 use super::send::Answer;
 use super::{End, Held, Way, retry};
 use crate::gateway::Gateway;
@@ -60,12 +60,12 @@
 pub async fn deliver(
     way: Way<'_>,
     admitted: &Admitted,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     answer: Answer,
     held: &mut Held<'_>,
     out: &mut OwnedWriteHalf,
 ) -> Delivered {
-    if trip.is_answering() && answer.head.status != 200 {
+    if progress.response_started() && answer.head.status != 200 {
         return Delivered::Cut;
     }
     let kind = answer
@@ -74,9 +74,9 @@
         .get_str("content-type")
         .unwrap_or_default();
     if admitted.streams && answer.head.status == 200 && kind.starts_with("text/event-stream") {
-        return stream(way, trip, answer, held, out).await;
+        return stream(way, progress, answer, held, out).await;
     }
-    short(way, trip, answer, held, out).await
+    short(way, progress, answer, held, out).await
 }
 
 /// The head of the answer for the caller.
@@ -127,7 +127,7 @@
 
 async fn short(
     way: Way<'_>,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     mut answer: Answer,
     held: &mut Held<'_>,
     out: &mut OwnedWriteHalf,
@@ -135,12 +135,12 @@
     let mut decoder = BodyDecoder::new(answer.framing);
     match read(&mut answer, &mut decoder, || held.begin()).await {
         Read::Whole => {}
-        Read::Long => return long(way, trip, answer, decoder, out).await,
+        Read::Long => return long(way, progress, answer, decoder, out).await,
         Read::Cut => return Delivered::Cut,
     }
     held.begin();
     judge_answer(way.gateway, &answer);
-    let end = pass_whole(way, trip, &answer, out).await;
+    let end = pass_whole(way, progress, &answer, out).await;
     answer.finish(way.gateway);
     match end {
         End::Whole => Delivered::Whole,
@@ -169,7 +169,7 @@
 /// Writes an answer whose body was read.
 pub async fn pass_whole(
     way: Way<'_>,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     answer: &Answer,
     out: &mut OwnedWriteHalf,
 ) -> End {
@@ -181,7 +181,7 @@
     };
     let mut bytes = head(&answer.head, framing, way.closing.last);
     bytes.0.extend_from_slice(body);
-    trip.answering(answer.head.status, way.gateway.now());
+    progress.start_response(answer.head.status, way.gateway.now());
     match out.write_all(&bytes.0).await {
         Ok(()) => End::Whole,
         Err(_gone) => End::Left,
@@ -191,14 +191,14 @@
 /// Passes on an answer too long to be held.
 async fn long(
     way: Way<'_>,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     mut answer: Answer,
     mut decoder: BodyDecoder,
     out: &mut OwnedWriteHalf,
 ) -> Delivered {
     let chunked = !matches!(answer.framing, Framing::Length(_));
     let mut bytes = head(&answer.head, answer.framing, way.closing.last);
-    trip.answering(answer.head.status, way.gateway.now());
+    progress.start_response(answer.head.status, way.gateway.now());
     let mut data = answer.body.take().unwrap_or_default().freeze();
     loop {
         if chunked {
@@ -232,7 +232,7 @@
 /// The head waits for the first whole event: until then another server may still have the request.
 async fn stream(
     way: Way<'_>,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     mut answer: Answer,
     held: &mut Held<'_>,
     out: &mut OwnedWriteHalf,
@@ -243,7 +243,7 @@
     let number = way.gateway.dialect.event;
     loop {
         let (whole, ended) = match part(&mut answer, &mut decoder).await {
-            Part::Data(data) => (splitter.push(&data, number, trip.last_event), false),
+            Part::Data(data) => (splitter.push(&data, number, progress.last_event_id), false),
             Part::End => (None, true),
             Part::Cut => return Delivered::Cut,
         };
@@ -257,20 +257,20 @@
             continue;
         };
         held.begin();
-        if !trip.is_answering() {
+        if !progress.response_started() {
             bytes = head(&answer.head, Framing::Chunked, way.closing.last);
-            trip.answering(answer.head.status, way.gateway.now());
+            progress.start_response(answer.head.status, way.gateway.now());
         }
         bytes.chunk(&whole.bytes);
         if out.write_all(&bytes.0).await.is_err() {
             return Delivered::CallerGone;
         }
         bytes.0.clear();
-        trip.last_event = whole.last.or(trip.last_event);
+        progress.last_event_id = whole.last.or(progress.last_event_id);
     }
-    if !trip.is_answering() {
+    if !progress.response_started() {
         bytes = head(&answer.head, Framing::Chunked, way.closing.last);
-        trip.answering(answer.head.status, way.gateway.now());
+        progress.start_response(answer.head.status, way.gateway.now());
     }
     bytes.chunk(&splitter.rest());
     bytes.last_chunk();
--- a/crates/hawthornmill-gateway/src/proxy/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -35,7 +35,7 @@
 use admission::Admitted;
 use error_response::ErrorResponse;
 use forward::{Delivered, deliver, pass_whole};
-use progress::Trip;
+use progress::RequestProgress;
 use read::ClientRequest;
 use retry::Next;
 use send::{Answer, Sent, send};
@@ -72,27 +72,27 @@
 }
 
 /// Carries a request to its end, in the time that its route and its caller allow.
-pub async fn carry(way: Way<'_>, trip: &mut Trip, out: &mut OwnedWriteHalf) -> End {
+pub async fn carry(way: Way<'_>, progress: &mut RequestProgress, out: &mut OwnedWriteHalf) -> End {
     let admitted = match admission::admit(way.gateway, way.request) {
         Ok(admitted) => admitted,
-        Err(response) => return send_error(way, trip, &response, out).await,
+        Err(response) => return send_error(way, progress, &response, out).await,
     };
-    trip.admitted(way.request, &admitted);
+    progress.record_admitted(way.request, &admitted);
     let ends = tokio::time::Instant::from_std(admitted.request.ends);
-    let journey = journey(way, &admitted, trip, out);
+    let journey = journey(way, &admitted, progress, out);
     if let Ok(end) = tokio::time::timeout_at(ends, journey).await {
         return end;
     }
-    if trip.is_answering() {
-        trip.note_code(Code::DeadlineWhileRunning);
+    if progress.response_started() {
+        progress.set_code(Code::DeadlineWhileRunning);
         return End::Broken;
     }
-    let response = if trip.may_have_run() {
+    let response = if progress.may_have_executed() {
         ErrorResponse::new(Code::DeadlineWhileRunning)
     } else {
         ErrorResponse::with_retry_after(Code::QueueLate, admitted.request.objective)
     };
-    send_error(way, trip, &response, out).await
+    send_error(way, progress, &response, out).await
 }
 
 /// A server's place for one request, released however that ends.
@@ -147,7 +147,7 @@
 async fn journey(
     way: Way<'_>,
     admitted: &Admitted,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     out: &mut OwnedWriteHalf,
 ) -> End {
     let mut request = admitted.request.clone();
@@ -156,12 +156,12 @@
         let choice = match way.gateway.place(&request).await {
             Ok(choice) => choice,
             Err(refusal) => {
-                progress::note_refusal(way, &request, &refusal);
-                return no_server(way, trip, fallback, refusal, out).await;
+                progress::log_rejection(way, &request, &refusal);
+                return no_server(way, progress, fallback, refusal, out).await;
             }
         };
         request.tried.push(choice.server);
-        let next = match attempt(way, admitted, trip, choice, &mut fallback, out).await {
+        let next = match attempt(way, admitted, progress, choice, &mut fallback, out).await {
             Ok(end) => return end,
             Err(next) => next,
         };
@@ -173,14 +173,20 @@
                     cause: Cause::NoServer,
                     again: admitted.request.objective / 2,
                 };
-                return no_server(way, trip, fallback, refusal, out).await;
+                return no_server(way, progress, fallback, refusal, out).await;
             }
-            Next::Fail if trip.is_answering() => {
-                trip.note_code(Code::UpstreamFailed);
+            Next::Fail if progress.response_started() => {
+                progress.set_code(Code::UpstreamFailed);
                 return End::Broken;
             }
             Next::Fail => {
-                return send_error(way, trip, &ErrorResponse::new(Code::UpstreamFailed), out).await;
+                return send_error(
+                    way,
+                    progress,
+                    &ErrorResponse::new(Code::UpstreamFailed),
+                    out,
+                )
+                .await;
             }
         }
     }
@@ -190,13 +196,13 @@
 async fn attempt(
     way: Way<'_>,
     admitted: &Admitted,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     choice: Choice,
     fallback: &mut Option<Answer>,
     out: &mut OwnedWriteHalf,
 ) -> Result<End, Next> {
     let (gateway, server) = (way.gateway, choice.server);
-    trip.sending(gateway, way.request, &choice);
+    progress.start_attempt(gateway, way.request, &choice);
     let mut held = Held {
         gateway,
         admitted,
@@ -204,9 +210,9 @@
         sent: gateway.now(),
         began: false,
     };
-    match send(gateway, way.request, admitted, trip, &choice).await {
+    match send(gateway, way.request, admitted, progress, &choice).await {
         Sent::Answer(answer)
-            if retry::is_failure(&answer) && retry::may(gateway, admitted, trip) =>
+            if retry::is_failure(&answer) && retry::may(gateway, admitted, progress) =>
         {
             retry::judge(gateway, server, loads::Verdict::Failed);
             if let Some(answer) = forward::collect(answer).await {
@@ -214,25 +220,29 @@
             }
             Err(Next::Again)
         }
-        Sent::Answer(answer) => match deliver(way, admitted, trip, answer, &mut held, out).await {
-            Delivered::Whole => Ok(End::Whole),
-            Delivered::CallerGone => Ok(End::Left),
-            Delivered::Cut => {
-                note_break(way, server, "the answer broke off");
-                Err(retry::after_break(gateway, admitted, trip, server))
+        Sent::Answer(answer) => {
+            match deliver(way, admitted, progress, answer, &mut held, out).await {
+                Delivered::Whole => Ok(End::Whole),
+                Delivered::CallerGone => Ok(End::Left),
+                Delivered::Cut => {
+                    note_break(way, server, "the answer broke off");
+                    Err(retry::after_break(gateway, admitted, progress, server))
+                }
             }
-        },
+        }
         Sent::Unreached(why) => Err(retry::after_unreached(
             gateway,
             way.request,
-            trip,
+            progress,
             server,
             &why,
         )),
-        Sent::NotRun { moved } => Err(retry::after_not_run(gateway, admitted, trip, server, moved)),
+        Sent::NotRun { moved } => Err(retry::after_not_run(
+            gateway, admitted, progress, server, moved,
+        )),
         Sent::Broken(why) => {
             note_break(way, server, &why);
-            Err(retry::after_break(gateway, admitted, trip, server))
+            Err(retry::after_break(gateway, admitted, progress, server))
         }
     }
 }
@@ -246,34 +256,34 @@
 /// the truth about whether it may have run.
 async fn no_server(
     way: Way<'_>,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     fallback: Option<Answer>,
     refusal: Refusal,
     out: &mut OwnedWriteHalf,
 ) -> End {
-    if trip.is_answering() {
-        trip.note_code(refusal.code);
+    if progress.response_started() {
+        progress.set_code(refusal.code);
         return End::Broken;
     }
     if let Some(answer) = fallback {
-        return pass_whole(way, trip, &answer, out).await;
+        return pass_whole(way, progress, &answer, out).await;
     }
-    let response = if trip.may_have_run() {
+    let response = if progress.may_have_executed() {
         ErrorResponse::new(Code::UpstreamFailed)
     } else {
         ErrorResponse::with_retry_after(refusal.code, refusal.again)
     };
-    send_error(way, trip, &response, out).await
+    send_error(way, progress, &response, out).await
 }
 
 async fn send_error(
     way: Way<'_>,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     response: &ErrorResponse,
     out: &mut OwnedWriteHalf,
 ) -> End {
-    trip.record_error(response);
-    let last = way.closing.last || (way.closing.crowded && trip.is_refused());
+    progress.record_error(response);
+    let last = way.closing.last || (way.closing.crowded && progress.has_retry_after());
     match response
         .write(way.gateway, Some(&way.request.attempt_id), last, out)
         .await
--- a/crates/hawthornmill-gateway/src/proxy/progress.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -15,7 +15,7 @@
 use crate::journal;
 
 /// Writes why the desk turned a request away.
-pub fn note_refusal(way: Way<'_>, request: &Request, refusal: &Refusal) {
+pub fn log_rejection(way: Way<'_>, request: &Request, refusal: &Refusal) {
     let (gateway, now) = (way.gateway, way.gateway.now());
     let desk = gateway.desk.borrow();
     let outlook = desk.outlook(request, now);
@@ -41,29 +41,29 @@
 
 /// What is known of one request on its way.
 #[derive(Debug, Default)]
-pub struct Trip {
+pub struct RequestProgress {
     /// Servers that had a byte of it.
-    pub arrivals: u32,
+    pub sends: u32,
     /// Servers that could not be reached.
-    pub unreached: u32,
+    pub unreachable: u32,
     /// Number of the last whole event that the caller has.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// Status that the caller got; 0 when none.
     pub status: u16,
     /// An earlier server had a byte of it and never said that it did not run it.
-    earlier: bool,
+    earlier_uncertain: bool,
     /// The server in turn has a byte of it.
-    this: bool,
-    told_again: bool,
+    bytes_sent: bool,
+    has_retry_after: bool,
     code: Option<Code>,
     admitted: Option<(Box<str>, Box<str>)>,
     servers: Vec<Box<str>>,
-    begun: Option<Instant>,
+    response_start: Option<Instant>,
 }
 
-impl Trip {
+impl RequestProgress {
     /// The request may be served.
-    pub fn admitted(&mut self, request: &ClientRequest, admitted: &Admitted) {
+    pub fn record_admitted(&mut self, request: &ClientRequest, admitted: &Admitted) {
         self.admitted = Some((admitted.route.clone(), admitted.service_name.clone()));
         let fields = json!({
             "route": admitted.route, "service": admitted.service_name, "account": admitted.account,
@@ -75,60 +75,60 @@
     }
 
     /// The request goes to a server.
-    pub fn sending(&mut self, gateway: &Gateway, request: &ClientRequest, choice: &Choice) {
+    pub fn start_attempt(&mut self, gateway: &Gateway, request: &ClientRequest, choice: &Choice) {
         let name = gateway.server_name(choice.server);
         let waited = gateway.now().duration_since(request.received);
         let fields = json!({
-            "server": name, "waited_ms": waited.as_millis() as u64, "send": self.arrivals + 1,
+            "server": name, "waited_ms": waited.as_millis() as u64, "send": self.sends + 1,
             "tokens_before_first": choice.ahead, "tokens_again": choice.again, "stray": choice.stray, "expected_ms": choice.expected.as_millis() as u64,
             "catalog": gateway.version(), "lag_ms": lag_ms(gateway), "registrations": gateway.desk.borrow().registry.latest(),
         });
         journal::step("sent", &request.attempt_id, fields);
         self.servers.push(name);
-        self.earlier |= std::mem::take(&mut self.this);
+        self.earlier_uncertain |= std::mem::take(&mut self.bytes_sent);
     }
 
     /// The first bytes are with the server.
-    pub const fn sent_bytes(&mut self) {
-        if !self.this {
-            self.this = true;
-            self.arrivals += 1;
+    pub const fn record_sent(&mut self) {
+        if !self.bytes_sent {
+            self.bytes_sent = true;
+            self.sends += 1;
         }
     }
 
     /// Tells whether the server in turn has a byte of it.
-    pub const fn is_sent(&self) -> bool {
-        self.this
+    pub const fn bytes_sent(&self) -> bool {
+        self.bytes_sent
     }
 
     /// Tells whether a server may have run it, or still runs it.
-    pub const fn may_have_run(&self) -> bool {
-        self.earlier || self.this
+    pub const fn may_have_executed(&self) -> bool {
+        self.earlier_uncertain || self.bytes_sent
     }
 
     /// The server in turn says that it did not run it.
-    pub const fn not_run(&mut self) {
-        self.this = false;
+    pub const fn record_not_executed(&mut self) {
+        self.bytes_sent = false;
     }
 
     /// The answer has begun with `status`.
-    pub fn answering(&mut self, status: u16, now: Instant) {
+    pub fn start_response(&mut self, status: u16, now: Instant) {
         self.status = status;
-        self.begun.get_or_insert(now);
+        self.response_start.get_or_insert(now);
     }
 
     /// Tells whether its caller has the begin of an answer.
-    pub const fn is_answering(&self) -> bool {
-        self.begun.is_some()
+    pub const fn response_started(&self) -> bool {
+        self.response_start.is_some()
     }
 
     /// The gateway refused it with a time to come back.
-    pub const fn is_refused(&self) -> bool {
-        self.told_again
+    pub const fn has_retry_after(&self) -> bool {
+        self.has_retry_after
     }
 
     /// Why it ends as it does.
-    pub const fn note_code(&mut self, code: Code) {
+    pub const fn set_code(&mut self, code: Code) {
         self.code = Some(code);
     }
 
@@ -136,11 +136,11 @@
     pub const fn record_error(&mut self, response: &ErrorResponse) {
         self.code = Some(response.code);
         self.status = response.code.status();
-        self.told_again = response.retry_after.is_some();
+        self.has_retry_after = response.retry_after.is_some();
     }
 
     /// Writes the request's last line and counts it.
-    pub fn settle(&self, gateway: &Gateway, request: &ClientRequest, end: End) {
+    pub fn finish(&self, gateway: &Gateway, request: &ClientRequest, end: End) {
         let now = gateway.now();
         let outcome = match end {
             End::Left => "caller_left",
@@ -157,9 +157,9 @@
         gateway.meters.ended(service, outcome);
         let fields = json!({
             "outcome": outcome, "status": self.status, "code": self.code.map(Code::number),
-            "route": route, "service": service, "servers": self.servers, "sends": self.arrivals,
-            "last_event": self.last_event, "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
-            "begin_ms": self.begun.map(|b| b.duration_since(request.received).as_millis() as u64),
+            "route": route, "service": service, "servers": self.servers, "sends": self.sends,
+            "last_event": self.last_event_id, "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
+            "begin_ms": self.response_start.map(|b| b.duration_since(request.received).as_millis() as u64),
             "took_ms": now.duration_since(request.received).as_millis() as u64,
         });
         if outcome == "answered" {
--- a/crates/hawthornmill-gateway/src/proxy/retry.rs
+++ b/crates/hawthornmill-gateway/src/proxy/retry.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 use super::admission::Admitted;
-use super::progress::Trip;
+use super::progress::RequestProgress;
 use super::read::ClientRequest;
 use super::send::Answer;
 use crate::gateway::Gateway;
@@ -41,17 +41,17 @@
 }
 
 /// Takes a second send for a request that may have run.
-pub fn may(gateway: &Gateway, admitted: &Admitted, trip: &mut Trip) -> bool {
-    admitted.repeat.allowed() && take(gateway, admitted, trip)
+pub fn may(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
+    admitted.repeat.allowed() && take(gateway, admitted, progress)
 }
 
 /// Tells whether the request may go to another server after one that may have run it.
-pub fn is_left(admitted: &Admitted, trip: &Trip) -> bool {
-    admitted.repeat.allowed() && trip.arrivals < admitted.attempts
+pub fn is_left(admitted: &Admitted, progress: &RequestProgress) -> bool {
+    admitted.repeat.allowed() && progress.sends < admitted.attempts
 }
 
-fn take(gateway: &Gateway, admitted: &Admitted, trip: &mut Trip) -> bool {
-    if trip.arrivals >= admitted.attempts {
+fn take(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
+    if progress.sends >= admitted.attempts {
         return false;
     }
     let service = admitted.request.service;
@@ -67,8 +67,8 @@
 }
 
 /// What ends a request that no other server gets: only one that has not run may be called refused.
-const fn give_up(trip: &Trip) -> Next {
-    if trip.may_have_run() {
+const fn give_up(progress: &RequestProgress) -> Next {
+    if progress.may_have_executed() {
         Next::Fail
     } else {
         Next::Refuse
@@ -79,7 +79,7 @@
 pub fn after_unreached(
     gateway: &Gateway,
     request: &ClientRequest,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     server: ServerId,
     why: &str,
 ) -> Next {
@@ -87,11 +87,11 @@
     journal::trouble("server_unreached", &request.attempt_id, fields);
     gateway.pool.drop_idle(server);
     judge(gateway, server, Verdict::Unreachable);
-    trip.unreached += 1;
-    if trip.unreached <= MOST_UNREACHED {
+    progress.unreachable += 1;
+    if progress.unreachable <= MOST_UNREACHED {
         Next::Again
     } else {
-        give_up(trip)
+        give_up(progress)
     }
 }
 
@@ -99,7 +99,7 @@
 pub fn after_not_run(
     gateway: &Gateway,
     admitted: &Admitted,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     server: ServerId,
     moved: bool,
 ) -> Next {
@@ -109,11 +109,11 @@
     } else {
         judge(gateway, server, Verdict::Full);
     }
-    trip.not_run();
-    if take(gateway, admitted, trip) {
+    progress.record_not_executed();
+    if take(gateway, admitted, progress) {
         Next::Again
     } else {
-        give_up(trip)
+        give_up(progress)
     }
 }
 
@@ -121,11 +121,11 @@
 pub fn after_break(
     gateway: &Gateway,
     admitted: &Admitted,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     server: ServerId,
 ) -> Next {
     judge(gateway, server, Verdict::Failed);
-    if may(gateway, admitted, trip) {
+    if may(gateway, admitted, progress) {
         Next::Again
     } else {
         Next::Fail
--- a/crates/hawthornmill-gateway/src/proxy/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 
 use super::admission::Admitted;
-use super::progress::Trip;
+use super::progress::RequestProgress;
 use super::read::ClientRequest;
 use super::retry;
 use crate::gateway::Gateway;
@@ -72,7 +72,7 @@
     gateway: &Gateway,
     request: &ClientRequest,
     admitted: &Admitted,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     choice: &Choice,
 ) -> Sent {
     let server = choice.server;
@@ -99,16 +99,16 @@
     if !upstream.reused {
         gateway.meters.connected();
     }
-    let bytes = encode_request(gateway, request, admitted, trip, &name);
-    let written = match write(&mut upstream, &bytes.0, trip).await {
+    let bytes = encode_request(gateway, request, admitted, progress, &name);
+    let written = match write(&mut upstream, &bytes.0, progress).await {
         Ok(whole) => whole,
-        Err(error) if !trip.is_sent() => {
+        Err(error) if !progress.bytes_sent() => {
             return Sent::Unreached(error.to_string().into());
         }
         Err(error) => return Sent::Broken(error.to_string().into()),
     };
     let answer = receive(gateway, request, upstream, server, written);
-    if !retry::is_left(admitted, trip) {
+    if !retry::is_left(admitted, progress) {
         return answer.await;
     }
     // Dropping the connection cancels the request there before another server gets it.
@@ -126,7 +126,7 @@
     gateway: &Gateway,
     request: &ClientRequest,
     admitted: &Admitted,
-    trip: &Trip,
+    progress: &RequestProgress,
     server: &str,
 ) -> MessageBuffer {
     let names = &gateway.dialect.names;
@@ -135,7 +135,7 @@
     if admitted.hide_token {
         not.push(names.token);
     }
-    if trip.last_event.is_some() {
+    if progress.last_event_id.is_some() {
         not.push(names.resume);
     }
     let mut bytes = MessageBuffer::request(&request.head.method, &request.head.target);
@@ -149,7 +149,7 @@
     if let Some(account) = &admitted.account {
         bytes.header(names.account, account.as_bytes());
     }
-    if let Some(event) = trip.last_event {
+    if let Some(event) = progress.last_event_id {
         bytes.header(names.resume, event.to_string());
     }
     // A body in chunks was read whole; its length says the same in fewer ways.
@@ -164,9 +164,13 @@
 }
 
 /// Writes the request; false when the server answered before it had all of it.
-async fn write(upstream: &mut Upstream, mut bytes: &[u8], trip: &mut Trip) -> io::Result<bool> {
+async fn write(
+    upstream: &mut Upstream,
+    mut bytes: &[u8],
+    progress: &mut RequestProgress,
+) -> io::Result<bool> {
     while !bytes.is_empty() {
-        if trip.is_sent() {
+        if progress.bytes_sent() {
             tokio::select! {
                 biased;
                 ready = upstream.stream.writable() => ready?,
@@ -182,7 +186,7 @@
         }
         match upstream.stream.try_write(bytes) {
             Ok(written) => {
-                trip.sent_bytes();
+                progress.record_sent();
                 bytes = &bytes[written..];
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
--- a/crates/hawthornmill-gateway/src/serve.rs
+++ b/crates/hawthornmill-gateway/src/serve.rs
@@ -13,7 +13,7 @@
 
 use crate::gateway::{Gateway, Phase};
 use crate::proxy::error_response::ErrorResponse;
-use crate::proxy::progress::Trip;
+use crate::proxy::progress::RequestProgress;
 use crate::proxy::read::{ReadOutcome, read_request};
 use crate::proxy::{Closing, End, Way, carry};
 
@@ -112,7 +112,7 @@
         let elsewhere = gateway.phase() >= Phase::Leaving || gateway.is_outdated();
         let last = request.head.closes_connection() || elsewhere;
         let crowded = gateway.connections.get() > MANY_CONNECTIONS;
-        let mut trip = Trip::default();
+        let mut progress = RequestProgress::default();
         let way = Way {
             gateway,
             request: &request,
@@ -123,12 +123,12 @@
         } else {
             tokio::select! {
                 biased;
-                end = carry(way, &mut trip, out) => end,
+                end = carry(way, &mut progress, out) => end,
                 () = reader.gone() => End::Left,
             }
         };
-        trip.settle(gateway, &request, end);
-        if end != End::Whole || last || (crowded && trip.is_refused()) {
+        progress.finish(gateway, &request, end);
+        if end != End::Whole || last || (crowded && progress.has_retry_after()) {
             return;
         }
     }
