--- a/crates/hawthornmill-gateway/src/proxy/forward.rs
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -12,7 +12,7 @@
 use super::events::Splitter;
 use super::progress::RequestProgress;
 use super::send::Answer;
-use super::{End, Held, Way, retry};
+use super::{RequestContext, RequestOutcome, SlotGuard, retry};
 use crate::gateway::Gateway;
 use crate::http::body::{BodyDecoder, Decoded};
 use crate::http::head::{Framing, ResponseHead};
@@ -58,11 +58,11 @@
 
 /// Passes `answer` on.
 pub async fn deliver(
-    way: Way<'_>,
+    context: RequestContext<'_>,
     admitted: &Admitted,
     progress: &mut RequestProgress,
     answer: Answer,
-    held: &mut Held<'_>,
+    slot: &mut SlotGuard<'_>,
     out: &mut OwnedWriteHalf,
 ) -> Delivered {
     if progress.response_started() && answer.head.status != 200 {
@@ -74,9 +74,9 @@
         .get_str("content-type")
         .unwrap_or_default();
     if admitted.streams && answer.head.status == 200 && kind.starts_with("text/event-stream") {
-        return stream(way, progress, answer, held, out).await;
+        return stream(context, progress, answer, slot, out).await;
     }
-    short(way, progress, answer, held, out).await
+    short(context, progress, answer, slot, out).await
 }
 
 /// The head of the answer for the caller.
@@ -126,25 +126,25 @@
 }
 
 async fn short(
-    way: Way<'_>,
+    context: RequestContext<'_>,
     progress: &mut RequestProgress,
     mut answer: Answer,
-    held: &mut Held<'_>,
+    slot: &mut SlotGuard<'_>,
     out: &mut OwnedWriteHalf,
 ) -> Delivered {
     let mut decoder = BodyDecoder::new(answer.framing);
-    match read(&mut answer, &mut decoder, || held.begin()).await {
+    match read(&mut answer, &mut decoder, || slot.record_first_token()).await {
         Read::Whole => {}
-        Read::Long => return long(way, progress, answer, decoder, out).await,
+        Read::Long => return long(context, progress, answer, decoder, out).await,
         Read::Cut => return Delivered::Cut,
     }
-    held.begin();
-    judge_answer(way.gateway, &answer);
-    let end = pass_whole(way, progress, &answer, out).await;
-    answer.finish(way.gateway);
+    slot.record_first_token();
+    judge_answer(context.gateway, &answer);
+    let end = pass_whole(context, progress, &answer, out).await;
+    answer.finish(context.gateway);
     match end {
-        End::Whole => Delivered::Whole,
-        End::Broken | End::Left => Delivered::CallerGone,
+        RequestOutcome::Complete => Delivered::Whole,
+        RequestOutcome::Truncated | RequestOutcome::ClientClosed => Delivered::CallerGone,
     }
 }
 
@@ -168,37 +168,37 @@
 
 /// Writes an answer whose body was read.
 pub async fn pass_whole(
-    way: Way<'_>,
+    context: RequestContext<'_>,
     progress: &mut RequestProgress,
     answer: &Answer,
     out: &mut OwnedWriteHalf,
-) -> End {
+) -> RequestOutcome {
     let none = BytesMut::new();
     let body = answer.body.as_ref().unwrap_or(&none);
     let framing = match answer.framing {
         Framing::Empty => Framing::Empty,
         _ => Framing::Length(body.len() as u64),
     };
-    let mut bytes = head(&answer.head, framing, way.closing.last);
+    let mut bytes = head(&answer.head, framing, context.close.always);
     bytes.0.extend_from_slice(body);
-    progress.start_response(answer.head.status, way.gateway.now());
+    progress.start_response(answer.head.status, context.gateway.now());
     match out.write_all(&bytes.0).await {
-        Ok(()) => End::Whole,
-        Err(_gone) => End::Left,
+        Ok(()) => RequestOutcome::Complete,
+        Err(_gone) => RequestOutcome::ClientClosed,
     }
 }
 
 /// Passes on an answer too long to be held.
 async fn long(
-    way: Way<'_>,
+    context: RequestContext<'_>,
     progress: &mut RequestProgress,
     mut answer: Answer,
     mut decoder: BodyDecoder,
     out: &mut OwnedWriteHalf,
 ) -> Delivered {
     let chunked = !matches!(answer.framing, Framing::Length(_));
-    let mut bytes = head(&answer.head, answer.framing, way.closing.last);
-    progress.start_response(answer.head.status, way.gateway.now());
+    let mut bytes = head(&answer.head, answer.framing, context.close.always);
+    progress.start_response(answer.head.status, context.gateway.now());
     let mut data = answer.body.take().unwrap_or_default().freeze();
     loop {
         if chunked {
@@ -216,14 +216,14 @@
             Part::End => break,
         }
     }
-    judge_answer(way.gateway, &answer);
+    judge_answer(context.gateway, &answer);
     if chunked {
         bytes.last_chunk();
         if out.write_all(&bytes.0).await.is_err() {
             return Delivered::CallerGone;
         }
     }
-    answer.finish(way.gateway);
+    answer.finish(context.gateway);
     Delivered::Whole
 }
 
@@ -231,16 +231,16 @@
 ///
 /// The head waits for the first whole event: until then another server may still have the request.
 async fn stream(
-    way: Way<'_>,
+    context: RequestContext<'_>,
     progress: &mut RequestProgress,
     mut answer: Answer,
-    held: &mut Held<'_>,
+    slot: &mut SlotGuard<'_>,
     out: &mut OwnedWriteHalf,
 ) -> Delivered {
     let mut decoder = BodyDecoder::new(answer.framing);
     let mut splitter = Splitter::default();
     let mut bytes = MessageBuffer::default();
-    let number = way.gateway.dialect.event;
+    let number = context.gateway.dialect.event;
     loop {
         let (whole, ended) = match part(&mut answer, &mut decoder).await {
             Part::Data(data) => (splitter.push(&data, number, progress.last_event_id), false),
@@ -256,10 +256,10 @@
             }
             continue;
         };
-        held.begin();
+        slot.record_first_token();
         if !progress.response_started() {
-            bytes = head(&answer.head, Framing::Chunked, way.closing.last);
-            progress.start_response(answer.head.status, way.gateway.now());
+            bytes = head(&answer.head, Framing::Chunked, context.close.always);
+            progress.start_response(answer.head.status, context.gateway.now());
         }
         bytes.chunk(&whole.bytes);
         if out.write_all(&bytes.0).await.is_err() {
@@ -269,15 +269,15 @@
         progress.last_event_id = whole.last.or(progress.last_event_id);
     }
     if !progress.response_started() {
-        bytes = head(&answer.head, Framing::Chunked, way.closing.last);
-        progress.start_response(answer.head.status, way.gateway.now());
+        bytes = head(&answer.head, Framing::Chunked, context.close.always);
+        progress.start_response(answer.head.status, context.gateway.now());
     }
     bytes.chunk(&splitter.rest());
     bytes.last_chunk();
-    judge_answer(way.gateway, &answer);
+    judge_answer(context.gateway, &answer);
     if out.write_all(&bytes.0).await.is_err() {
         return Delivered::CallerGone;
     }
-    answer.finish(way.gateway);
+    answer.finish(context.gateway);
     Delivered::Whole
 }
--- a/crates/hawthornmill-gateway/src/proxy/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -42,95 +42,99 @@
 
 /// How a request ended for its caller's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// The caller has a whole answer; the connection may carry another request.
-    Whole,
+    Complete,
     /// The answer was broken off, visibly.
-    Broken,
+    Truncated,
     /// The caller closed its connection before it had its answer.
-    Left,
+    ClientClosed,
 }
 
 /// Whether the connection ends after the answer.
 #[derive(Debug, Clone, Copy)]
-pub struct Closing {
+pub struct ConnectionClose {
     /// After any answer.
-    pub last: bool,
+    pub always: bool,
     /// After a refusal.
-    pub crowded: bool,
+    pub on_rejection: bool,
 }
 
 /// What every step of a request looks at.
 #[derive(Debug, Clone, Copy)]
-pub struct Way<'a> {
+pub struct RequestContext<'a> {
     /// The process.
     pub gateway: &'a Gateway,
     /// The request as it came.
     pub request: &'a ClientRequest,
     /// Whether the connection ends after the answer.
-    pub closing: Closing,
+    pub close: ConnectionClose,
 }
 
 /// Carries a request to its end, in the time that its route and its caller allow.
-pub async fn carry(way: Way<'_>, progress: &mut RequestProgress, out: &mut OwnedWriteHalf) -> End {
-    let admitted = match admission::admit(way.gateway, way.request) {
+pub async fn handle_request(
+    context: RequestContext<'_>,
+    progress: &mut RequestProgress,
+    out: &mut OwnedWriteHalf,
+) -> RequestOutcome {
+    let admitted = match admission::admit(context.gateway, context.request) {
         Ok(admitted) => admitted,
-        Err(response) => return send_error(way, progress, &response, out).await,
+        Err(response) => return send_error(context, progress, &response, out).await,
     };
-    progress.record_admitted(way.request, &admitted);
+    progress.record_admitted(context.request, &admitted);
     let ends = tokio::time::Instant::from_std(admitted.request.ends);
-    let journey = journey(way, &admitted, progress, out);
-    if let Ok(end) = tokio::time::timeout_at(ends, journey).await {
+    let try_servers = try_servers(context, &admitted, progress, out);
+    if let Ok(end) = tokio::time::timeout_at(ends, try_servers).await {
         return end;
     }
     if progress.response_started() {
         progress.set_code(Code::DeadlineWhileRunning);
-        return End::Broken;
+        return RequestOutcome::Truncated;
     }
     let response = if progress.may_have_executed() {
         ErrorResponse::new(Code::DeadlineWhileRunning)
     } else {
         ErrorResponse::with_retry_after(Code::QueueLate, admitted.request.objective)
     };
-    send_error(way, progress, &response, out).await
+    send_error(context, progress, &response, out).await
 }
 
 /// A server's place for one request, released however that ends.
 #[derive(Debug)]
-pub struct Held<'a> {
+pub struct SlotGuard<'a> {
     gateway: &'a Gateway,
     admitted: &'a Admitted,
     choice: Choice,
-    sent: Instant,
-    began: bool,
+    sent_at: Instant,
+    responded: bool,
 }
 
 /// Times the objective after which a server that has not begun counts as silent.
 ///
 /// A server that takes requests and answers none looks idle, and would draw more of them; no answer
 /// of its own ever says so. Under load all servers are late alike, so none is passed over for it.
-const SILENT: f64 = 1.5;
+const SILENT_FACTOR: f64 = 1.5;
 
-impl Drop for Held<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
-        let silent = self.admitted.request.objective.mul_f64(SILENT);
-        let time = self.gateway.now().duration_since(self.sent);
-        if !self.began && time > silent {
+        let silent = self.admitted.request.objective.mul_f64(SILENT_FACTOR);
+        let time = self.gateway.now().duration_since(self.sent_at);
+        if !self.responded && time > silent {
             retry::judge(self.gateway, self.choice.server, loads::Verdict::Failed);
         }
-        self.gateway.release(&self.choice, self.began);
+        self.gateway.release(&self.choice, self.responded);
     }
 }
 
-impl Held<'_> {
+impl SlotGuard<'_> {
     /// The answer's first token is here; later calls change nothing.
-    pub fn begin(&mut self) {
-        if std::mem::replace(&mut self.began, true) {
+    pub fn record_first_token(&mut self) {
+        if std::mem::replace(&mut self.responded, true) {
             return;
         }
         let now = self.gateway.now();
         let request = &self.admitted.request;
-        let time = (!self.gateway.is_behind()).then(|| now.duration_since(self.sent));
+        let time = (!self.gateway.is_behind()).then(|| now.duration_since(self.sent_at));
         self.gateway
             .desk
             .borrow_mut()
@@ -144,24 +148,24 @@
 }
 
 /// Sends the request to one server after another until it ends.
-async fn journey(
-    way: Way<'_>,
+async fn try_servers(
+    context: RequestContext<'_>,
     admitted: &Admitted,
     progress: &mut RequestProgress,
     out: &mut OwnedWriteHalf,
-) -> End {
+) -> RequestOutcome {
     let mut request = admitted.request.clone();
     let mut fallback: Option<Answer> = None;
     loop {
-        let choice = match way.gateway.place(&request).await {
+        let choice = match context.gateway.place(&request).await {
             Ok(choice) => choice,
             Err(refusal) => {
-                progress::log_rejection(way, &request, &refusal);
-                return no_server(way, progress, fallback, refusal, out).await;
+                progress::log_rejection(context, &request, &refusal);
+                return end_without_server(context, progress, fallback, refusal, out).await;
             }
         };
         request.tried.push(choice.server);
-        let next = match attempt(way, admitted, progress, choice, &mut fallback, out).await {
+        let next = match attempt(context, admitted, progress, choice, &mut fallback, out).await {
             Ok(end) => return end,
             Err(next) => next,
         };
@@ -173,15 +177,15 @@
                     cause: Cause::NoServer,
                     again: admitted.request.objective / 2,
                 };
-                return no_server(way, progress, fallback, refusal, out).await;
+                return end_without_server(context, progress, fallback, refusal, out).await;
             }
             Next::Fail if progress.response_started() => {
                 progress.set_code(Code::UpstreamFailed);
-                return End::Broken;
+                return RequestOutcome::Truncated;
             }
             Next::Fail => {
                 return send_error(
-                    way,
+                    context,
                     progress,
                     &ErrorResponse::new(Code::UpstreamFailed),
                     out,
@@ -194,23 +198,23 @@
 
 /// Sends the request to one server; an error says what follows its failure there.
 async fn attempt(
-    way: Way<'_>,
+    context: RequestContext<'_>,
     admitted: &Admitted,
     progress: &mut RequestProgress,
     choice: Choice,
     fallback: &mut Option<Answer>,
     out: &mut OwnedWriteHalf,
-) -> Result<End, Next> {
-    let (gateway, server) = (way.gateway, choice.server);
-    progress.start_attempt(gateway, way.request, &choice);
-    let mut held = Held {
+) -> Result<RequestOutcome, Next> {
+    let (gateway, server) = (context.gateway, choice.server);
+    progress.start_attempt(gateway, context.request, &choice);
+    let mut slot = SlotGuard {
         gateway,
         admitted,
         choice,
-        sent: gateway.now(),
-        began: false,
+        sent_at: gateway.now(),
+        responded: false,
     };
-    match send(gateway, way.request, admitted, progress, &choice).await {
+    match send(gateway, context.request, admitted, progress, &choice).await {
         Sent::Answer(answer)
             if retry::is_failure(&answer) && retry::may(gateway, admitted, progress) =>
         {
@@ -221,18 +225,18 @@
             Err(Next::Again)
         }
         Sent::Answer(answer) => {
-            match deliver(way, admitted, progress, answer, &mut held, out).await {
-                Delivered::Whole => Ok(End::Whole),
-                Delivered::CallerGone => Ok(End::Left),
+            match deliver(context, admitted, progress, answer, &mut slot, out).await {
+                Delivered::Whole => Ok(RequestOutcome::Complete),
+                Delivered::CallerGone => Ok(RequestOutcome::ClientClosed),
                 Delivered::Cut => {
-                    note_break(way, server, "the answer broke off");
+                    log_interruption(context, server, "the answer broke off");
                     Err(retry::after_break(gateway, admitted, progress, server))
                 }
             }
         }
         Sent::Unreached(why) => Err(retry::after_unreached(
             gateway,
-            way.request,
+            context.request,
             progress,
             server,
             &why,
@@ -241,54 +245,59 @@
             gateway, admitted, progress, server, moved,
         )),
         Sent::Broken(why) => {
-            note_break(way, server, &why);
+            log_interruption(context, server, &why);
             Err(retry::after_break(gateway, admitted, progress, server))
         }
     }
 }
 
-fn note_break(way: Way<'_>, server: ServerId, why: &str) {
-    let fields = json!({"server": way.gateway.server_name(server), "why": why});
-    journal::trouble("server_broke_off", &way.request.attempt_id, fields);
+fn log_interruption(context: RequestContext<'_>, server: ServerId, why: &str) {
+    let fields = json!({"server": context.gateway.server_name(server), "why": why});
+    journal::trouble("server_broke_off", &context.request.attempt_id, fields);
 }
 
 /// Ends a request for which there is no further server: with a failure that a server gave, or with
 /// the truth about whether it may have run.
-async fn no_server(
-    way: Way<'_>,
+async fn end_without_server(
+    context: RequestContext<'_>,
     progress: &mut RequestProgress,
     fallback: Option<Answer>,
     refusal: Refusal,
     out: &mut OwnedWriteHalf,
-) -> End {
+) -> RequestOutcome {
     if progress.response_started() {
         progress.set_code(refusal.code);
-        return End::Broken;
+        return RequestOutcome::Truncated;
     }
     if let Some(answer) = fallback {
-        return pass_whole(way, progress, &answer, out).await;
+        return pass_whole(context, progress, &answer, out).await;
     }
     let response = if progress.may_have_executed() {
         ErrorResponse::new(Code::UpstreamFailed)
     } else {
         ErrorResponse::with_retry_after(refusal.code, refusal.again)
     };
-    send_error(way, progress, &response, out).await
+    send_error(context, progress, &response, out).await
 }
 
 async fn send_error(
-    way: Way<'_>,
+    context: RequestContext<'_>,
     progress: &mut RequestProgress,
     response: &ErrorResponse,
     out: &mut OwnedWriteHalf,
-) -> End {
+) -> RequestOutcome {
     progress.record_error(response);
-    let last = way.closing.last || (way.closing.crowded && progress.has_retry_after());
+    let last = context.close.always || (context.close.on_rejection && progress.has_retry_after());
     match response
-        .write(way.gateway, Some(&way.request.attempt_id), last, out)
+        .write(
+            context.gateway,
+            Some(&context.request.attempt_id),
+            last,
+            out,
+        )
         .await
     {
-        Ok(()) => End::Whole,
-        Err(_gone) => End::Left,
+        Ok(()) => RequestOutcome::Complete,
+        Err(_gone) => RequestOutcome::ClientClosed,
     }
 }
--- a/crates/hawthornmill-gateway/src/proxy/progress.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -10,13 +10,13 @@
 use super::admission::Admitted;
 use super::error_response::ErrorResponse;
 use super::read::ClientRequest;
-use super::{End, Way};
+use super::{RequestContext, RequestOutcome};
 use crate::gateway::Gateway;
 use crate::journal;
 
 /// Writes why the desk turned a request away.
-pub fn log_rejection(way: Way<'_>, request: &Request, refusal: &Refusal) {
-    let (gateway, now) = (way.gateway, way.gateway.now());
+pub fn log_rejection(context: RequestContext<'_>, request: &Request, refusal: &Refusal) {
+    let (gateway, now) = (context.gateway, context.gateway.now());
     let desk = gateway.desk.borrow();
     let outlook = desk.outlook(request, now);
     let fields = json!({
@@ -30,7 +30,7 @@
         "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
         "link_wait_ms": gateway.link.borrow().wait(now).as_millis() as u64,
     });
-    journal::trouble("refused", &way.request.attempt_id, fields);
+    journal::trouble("refused", &context.request.attempt_id, fields);
 }
 
 /// How long this instance has known of a newer catalog than its own.
@@ -140,15 +140,19 @@
     }
 
     /// Writes the request's last line and counts it.
-    pub fn finish(&self, gateway: &Gateway, request: &ClientRequest, end: End) {
+    pub fn finish(&self, gateway: &Gateway, request: &ClientRequest, end: RequestOutcome) {
         let now = gateway.now();
         let outcome = match end {
-            End::Left => "caller_left",
-            End::Broken => "broken_off",
-            End::Whole if self.code.is_some_and(|c| matches!(c.status(), 429 | 503)) => "refused",
-            End::Whole if self.code.is_some() => "failed",
-            End::Whole if self.status >= 500 => "server_failed",
-            End::Whole => "answered",
+            RequestOutcome::ClientClosed => "caller_left",
+            RequestOutcome::Truncated => "broken_off",
+            RequestOutcome::Complete
+                if self.code.is_some_and(|c| matches!(c.status(), 429 | 503)) =>
+            {
+                "refused"
+            }
+            RequestOutcome::Complete if self.code.is_some() => "failed",
+            RequestOutcome::Complete if self.status >= 500 => "server_failed",
+            RequestOutcome::Complete => "answered",
         };
         let (route, service) = match &self.admitted {
             Some((route, service)) => (&**route, &**service),
--- a/crates/hawthornmill-gateway/src/serve.rs
+++ b/crates/hawthornmill-gateway/src/serve.rs
@@ -15,7 +15,7 @@
 use crate::proxy::error_response::ErrorResponse;
 use crate::proxy::progress::RequestProgress;
 use crate::proxy::read::{ReadOutcome, read_request};
-use crate::proxy::{Closing, End, Way, carry};
+use crate::proxy::{ConnectionClose, RequestContext, RequestOutcome, handle_request};
 
 /// Connections from which a refused caller's is closed: it comes back on a new one, and the old one
 /// would lie idle until its time is over.
@@ -113,22 +113,25 @@
         let last = request.head.closes_connection() || elsewhere;
         let crowded = gateway.connections.get() > MANY_CONNECTIONS;
         let mut progress = RequestProgress::default();
-        let way = Way {
+        let context = RequestContext {
             gateway,
             request: &request,
-            closing: Closing { last, crowded },
+            close: ConnectionClose {
+                always: last,
+                on_rejection: crowded,
+            },
         };
         let end = if reader.has_left() {
-            End::Left
+            RequestOutcome::ClientClosed
         } else {
             tokio::select! {
                 biased;
-                end = carry(way, &mut progress, out) => end,
-                () = reader.gone() => End::Left,
+                end = handle_request(context, &mut progress, out) => end,
+                () = reader.gone() => RequestOutcome::ClientClosed,
             }
         };
         progress.finish(gateway, &request, end);
-        if end != End::Whole || last || (crowded && progress.has_retry_after()) {
+        if end != RequestOutcome::Complete || last || (crowded && progress.has_retry_after()) {
             return;
         }
     }
