--- a/crates/hawthornmill-gateway/src/proxy/forward.rs
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -11,7 +11,7 @@
 use super::admission::Admitted;
 use super::events::Splitter;
 use super::progress::RequestProgress;
-use super::send::Answer;
+use super::send::ServerResponse;
 use super::{RequestContext, RequestOutcome, SlotGuard, retry};
 use crate::gateway::Gateway;
 use crate::http::body::{BodyDecoder, Decoded};
@@ -39,15 +39,15 @@
     Cut,
 }
 
-async fn part(answer: &mut Answer, decoder: &mut BodyDecoder) -> Part {
+async fn part(response: &mut ServerResponse, decoder: &mut BodyDecoder) -> Part {
     loop {
-        match decoder.next(&mut answer.upstream.buffer) {
+        match decoder.next(&mut response.upstream.buffer) {
             Ok(Decoded::Data(data)) => return Part::Data(data),
             Ok(Decoded::End) => return Part::End,
             Ok(Decoded::Incomplete) => {}
             Err(_malformed) => return Part::Cut,
         }
-        match answer.upstream.more().await {
+        match response.upstream.more().await {
             // Only an orderly close ends a body that has no length; a reset cuts it.
             Ok(0) if decoder.ends_at_close() => return Part::End,
             Ok(0) | Err(_) => return Part::Cut,
@@ -61,31 +61,31 @@
     context: RequestContext<'_>,
     admitted: &Admitted,
     progress: &mut RequestProgress,
-    answer: Answer,
+    response: ServerResponse,
     slot: &mut SlotGuard<'_>,
     out: &mut OwnedWriteHalf,
 ) -> Delivered {
-    if progress.response_started() && answer.head.status != 200 {
+    if progress.response_started() && response.head.status != 200 {
         return Delivered::Cut;
     }
-    let kind = answer
+    let kind = response
         .head
         .headers
         .get_str("content-type")
         .unwrap_or_default();
-    if admitted.streams && answer.head.status == 200 && kind.starts_with("text/event-stream") {
-        return stream(context, progress, answer, slot, out).await;
+    if admitted.streams && response.head.status == 200 && kind.starts_with("text/event-stream") {
+        return stream(context, progress, response, slot, out).await;
     }
-    short(context, progress, answer, slot, out).await
+    short(context, progress, response, slot, out).await
 }
 
 /// The head of the answer for the caller.
-fn head(answer: &ResponseHead, framing: Framing, last: bool) -> MessageBuffer {
-    let mut bytes = MessageBuffer::response(answer.status, &answer.reason);
-    bytes.forwarded_headers(&answer.headers, &[]);
+fn head(response: &ResponseHead, framing: Framing, last: bool) -> MessageBuffer {
+    let mut bytes = MessageBuffer::response(response.status, &response.reason);
+    bytes.forwarded_headers(&response.headers, &[]);
     if framing == Framing::Empty {
         // No body, but the length of what would be there may be told, as for HEAD.
-        if let Some(length) = answer.headers.get("content-length") {
+        if let Some(length) = response.headers.get("content-length") {
             bytes.header("Content-Length", length);
         }
     }
@@ -108,10 +108,14 @@
 }
 
 /// Reads `answer` to its end, or until it is too long to be held; `part_came` is called with each part.
-async fn read(answer: &mut Answer, decoder: &mut BodyDecoder, mut part_came: impl FnMut()) -> Read {
-    let mut body = answer.body.take().unwrap_or_default();
+async fn read(
+    response: &mut ServerResponse,
+    decoder: &mut BodyDecoder,
+    mut part_came: impl FnMut(),
+) -> Read {
+    let mut body = response.body.take().unwrap_or_default();
     let read = loop {
-        match part(answer, decoder).await {
+        match part(response, decoder).await {
             Part::Data(data) => body.extend_from_slice(&data),
             Part::Cut => break Read::Cut,
             Part::End => break Read::Whole,
@@ -121,27 +125,27 @@
             break Read::Long;
         }
     };
-    answer.body = Some(body);
+    response.body = Some(body);
     read
 }
 
 async fn short(
     context: RequestContext<'_>,
     progress: &mut RequestProgress,
-    mut answer: Answer,
+    mut response: ServerResponse,
     slot: &mut SlotGuard<'_>,
     out: &mut OwnedWriteHalf,
 ) -> Delivered {
-    let mut decoder = BodyDecoder::new(answer.framing);
-    match read(&mut answer, &mut decoder, || slot.record_first_token()).await {
+    let mut decoder = BodyDecoder::new(response.framing);
+    match read(&mut response, &mut decoder, || slot.record_first_token()).await {
         Read::Whole => {}
-        Read::Long => return long(context, progress, answer, decoder, out).await,
+        Read::Long => return long(context, progress, response, decoder, out).await,
         Read::Cut => return Delivered::Cut,
     }
     slot.record_first_token();
-    judge_answer(context.gateway, &answer);
-    let end = pass_whole(context, progress, &answer, out).await;
-    answer.finish(context.gateway);
+    judge_answer(context.gateway, &response);
+    let end = pass_whole(context, progress, &response, out).await;
+    response.recycle_connection(context.gateway);
     match end {
         RequestOutcome::Complete => Delivered::Whole,
         RequestOutcome::Truncated | RequestOutcome::ClientClosed => Delivered::CallerGone,
@@ -149,39 +153,39 @@
 }
 
 /// Reads the rest of a short answer; none when it breaks off or is long.
-pub async fn collect(mut answer: Answer) -> Option<Answer> {
-    let mut decoder = BodyDecoder::new(answer.framing);
-    match read(&mut answer, &mut decoder, || {}).await {
-        Read::Whole => Some(answer),
+pub async fn collect(mut response: ServerResponse) -> Option<ServerResponse> {
+    let mut decoder = BodyDecoder::new(response.framing);
+    match read(&mut response, &mut decoder, || {}).await {
+        Read::Whole => Some(response),
         Read::Long | Read::Cut => None,
     }
 }
 
-fn judge_answer(gateway: &Gateway, answer: &Answer) {
-    let verdict = if retry::is_failure(answer) {
+fn judge_answer(gateway: &Gateway, response: &ServerResponse) {
+    let verdict = if retry::is_failure(response) {
         Verdict::Failed
     } else {
         Verdict::Sound
     };
-    retry::judge(gateway, answer.server, verdict);
+    retry::judge(gateway, response.server, verdict);
 }
 
 /// Writes an answer whose body was read.
 pub async fn pass_whole(
     context: RequestContext<'_>,
     progress: &mut RequestProgress,
-    answer: &Answer,
+    response: &ServerResponse,
     out: &mut OwnedWriteHalf,
 ) -> RequestOutcome {
     let none = BytesMut::new();
-    let body = answer.body.as_ref().unwrap_or(&none);
-    let framing = match answer.framing {
+    let body = response.body.as_ref().unwrap_or(&none);
+    let framing = match response.framing {
         Framing::Empty => Framing::Empty,
         _ => Framing::Length(body.len() as u64),
     };
-    let mut bytes = head(&answer.head, framing, context.close.always);
+    let mut bytes = head(&response.head, framing, context.close.always);
     bytes.0.extend_from_slice(body);
-    progress.start_response(answer.head.status, context.gateway.now());
+    progress.start_response(response.head.status, context.gateway.now());
     match out.write_all(&bytes.0).await {
         Ok(()) => RequestOutcome::Complete,
         Err(_gone) => RequestOutcome::ClientClosed,
@@ -192,14 +196,14 @@
 async fn long(
     context: RequestContext<'_>,
     progress: &mut RequestProgress,
-    mut answer: Answer,
+    mut response: ServerResponse,
     mut decoder: BodyDecoder,
     out: &mut OwnedWriteHalf,
 ) -> Delivered {
-    let chunked = !matches!(answer.framing, Framing::Length(_));
-    let mut bytes = head(&answer.head, answer.framing, context.close.always);
-    progress.start_response(answer.head.status, context.gateway.now());
-    let mut data = answer.body.take().unwrap_or_default().freeze();
+    let chunked = !matches!(response.framing, Framing::Length(_));
+    let mut bytes = head(&response.head, response.framing, context.close.always);
+    progress.start_response(response.head.status, context.gateway.now());
+    let mut data = response.body.take().unwrap_or_default().freeze();
     loop {
         if chunked {
             bytes.chunk(&data);
@@ -210,20 +214,20 @@
             return Delivered::CallerGone;
         }
         bytes.0.clear();
-        match part(&mut answer, &mut decoder).await {
+        match part(&mut response, &mut decoder).await {
             Part::Data(next) => data = next,
             Part::Cut => return Delivered::Cut,
             Part::End => break,
         }
     }
-    judge_answer(context.gateway, &answer);
+    judge_answer(context.gateway, &response);
     if chunked {
         bytes.last_chunk();
         if out.write_all(&bytes.0).await.is_err() {
             return Delivered::CallerGone;
         }
     }
-    answer.finish(context.gateway);
+    response.recycle_connection(context.gateway);
     Delivered::Whole
 }
 
@@ -233,16 +237,16 @@
 async fn stream(
     context: RequestContext<'_>,
     progress: &mut RequestProgress,
-    mut answer: Answer,
+    mut response: ServerResponse,
     slot: &mut SlotGuard<'_>,
     out: &mut OwnedWriteHalf,
 ) -> Delivered {
-    let mut decoder = BodyDecoder::new(answer.framing);
+    let mut decoder = BodyDecoder::new(response.framing);
     let mut splitter = Splitter::default();
     let mut bytes = MessageBuffer::default();
     let number = context.gateway.dialect.event;
     loop {
-        let (whole, ended) = match part(&mut answer, &mut decoder).await {
+        let (whole, ended) = match part(&mut response, &mut decoder).await {
             Part::Data(data) => (splitter.push(&data, number, progress.last_event_id), false),
             Part::End => (None, true),
             Part::Cut => return Delivered::Cut,
@@ -258,8 +262,8 @@
         };
         slot.record_first_token();
         if !progress.response_started() {
-            bytes = head(&answer.head, Framing::Chunked, context.close.always);
-            progress.start_response(answer.head.status, context.gateway.now());
+            bytes = head(&response.head, Framing::Chunked, context.close.always);
+            progress.start_response(response.head.status, context.gateway.now());
         }
         bytes.chunk(&whole.bytes);
         if out.write_all(&bytes.0).await.is_err() {
@@ -269,15 +273,15 @@
         progress.last_event_id = whole.last.or(progress.last_event_id);
     }
     if !progress.response_started() {
-        bytes = head(&answer.head, Framing::Chunked, context.close.always);
-        progress.start_response(answer.head.status, context.gateway.now());
+        bytes = head(&response.head, Framing::Chunked, context.close.always);
+        progress.start_response(response.head.status, context.gateway.now());
     }
     bytes.chunk(&splitter.rest());
     bytes.last_chunk();
-    judge_answer(context.gateway, &answer);
+    judge_answer(context.gateway, &response);
     if out.write_all(&bytes.0).await.is_err() {
         return Delivered::CallerGone;
     }
-    answer.finish(context.gateway);
+    response.recycle_connection(context.gateway);
     Delivered::Whole
 }
--- a/crates/hawthornmill-gateway/src/proxy/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -5,7 +5,7 @@
 //! | [`read`] | bytes of a caller | a [`read::ClientRequest`] |
 //! | [`admission`] | a call and the catalog | an [`admission::Admitted`], or a [`error_response::ErrorResponse`] |
 //! | wait | an admitted call | a server, from the desk |
-//! | [`mod@send`] | a call and its server | a [`send::Sent`] |
+//! | [`mod@send`] | a call and its server | a [`send::SendOutcome`] |
 //! | [`forward`], [`events`] | a server's answer | bytes to the caller |
 //! | [`progress`] | how it ended | log line, counters |
 //!
@@ -38,7 +38,7 @@
 use progress::RequestProgress;
 use read::ClientRequest;
 use retry::Next;
-use send::{Answer, Sent, send};
+use send::{SendOutcome, ServerResponse, send};
 
 /// How a request ended for its caller's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -155,7 +155,7 @@
     out: &mut OwnedWriteHalf,
 ) -> RequestOutcome {
     let mut request = admitted.request.clone();
-    let mut fallback: Option<Answer> = None;
+    let mut fallback: Option<ServerResponse> = None;
     loop {
         let choice = match context.gateway.place(&request).await {
             Ok(choice) => choice,
@@ -202,7 +202,7 @@
     admitted: &Admitted,
     progress: &mut RequestProgress,
     choice: Choice,
-    fallback: &mut Option<Answer>,
+    fallback: &mut Option<ServerResponse>,
     out: &mut OwnedWriteHalf,
 ) -> Result<RequestOutcome, Next> {
     let (gateway, server) = (context.gateway, choice.server);
@@ -215,17 +215,17 @@
         responded: false,
     };
     match send(gateway, context.request, admitted, progress, &choice).await {
-        Sent::Answer(answer)
-            if retry::is_failure(&answer) && retry::may(gateway, admitted, progress) =>
+        SendOutcome::Response(response)
+            if retry::is_failure(&response) && retry::may(gateway, admitted, progress) =>
         {
             retry::judge(gateway, server, loads::Verdict::Failed);
-            if let Some(answer) = forward::collect(answer).await {
-                *fallback = Some(answer);
+            if let Some(response) = forward::collect(response).await {
+                *fallback = Some(response);
             }
             Err(Next::Again)
         }
-        Sent::Answer(answer) => {
-            match deliver(context, admitted, progress, answer, &mut slot, out).await {
+        SendOutcome::Response(response) => {
+            match deliver(context, admitted, progress, response, &mut slot, out).await {
                 Delivered::Whole => Ok(RequestOutcome::Complete),
                 Delivered::CallerGone => Ok(RequestOutcome::ClientClosed),
                 Delivered::Cut => {
@@ -234,17 +234,21 @@
                 }
             }
         }
-        Sent::Unreached(why) => Err(retry::after_unreached(
+        SendOutcome::Unreachable(why) => Err(retry::after_unreached(
             gateway,
             context.request,
             progress,
             server,
             &why,
         )),
-        Sent::NotRun { moved } => Err(retry::after_not_run(
-            gateway, admitted, progress, server, moved,
+        SendOutcome::NotExecuted { misdirected } => Err(retry::after_not_run(
+            gateway,
+            admitted,
+            progress,
+            server,
+            misdirected,
         )),
-        Sent::Broken(why) => {
+        SendOutcome::Interrupted(why) => {
             log_interruption(context, server, &why);
             Err(retry::after_break(gateway, admitted, progress, server))
         }
@@ -261,7 +265,7 @@
 async fn end_without_server(
     context: RequestContext<'_>,
     progress: &mut RequestProgress,
-    fallback: Option<Answer>,
+    fallback: Option<ServerResponse>,
     refusal: Refusal,
     out: &mut OwnedWriteHalf,
 ) -> RequestOutcome {
@@ -269,8 +273,8 @@
         progress.set_code(refusal.code);
         return RequestOutcome::Truncated;
     }
-    if let Some(answer) = fallback {
-        return pass_whole(context, progress, &answer, out).await;
+    if let Some(response) = fallback {
+        return pass_whole(context, progress, &response, out).await;
     }
     let response = if progress.may_have_executed() {
         ErrorResponse::new(Code::UpstreamFailed)
--- a/crates/hawthornmill-gateway/src/proxy/retry.rs
+++ b/crates/hawthornmill-gateway/src/proxy/retry.rs
@@ -11,7 +11,7 @@
 use super::admission::Admitted;
 use super::progress::RequestProgress;
 use super::read::ClientRequest;
-use super::send::Answer;
+use super::send::ServerResponse;
 use crate::gateway::Gateway;
 use crate::journal;
 
@@ -30,8 +30,8 @@
 }
 
 /// Tells whether a server's answer is a failure that another server might not give.
-pub fn is_failure(answer: &Answer) -> bool {
-    answer.head.status >= 500
+pub fn is_failure(response: &ServerResponse) -> bool {
+    response.head.status >= 500
 }
 
 /// Notes how a request to `server` ended.
@@ -101,9 +101,9 @@
     admitted: &Admitted,
     progress: &mut RequestProgress,
     server: ServerId,
-    moved: bool,
+    misdirected: bool,
 ) -> Next {
-    if moved {
+    if misdirected {
         gateway.pool.drop_idle(server);
         judge(gateway, server, Verdict::Unreachable);
     } else {
--- a/crates/hawthornmill-gateway/src/proxy/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -24,19 +24,19 @@
 use crate::pool::Upstream;
 
 /// Status of a server that is not the one expected; it has not run the request.
-const MISDIRECTED: u16 = 421;
+const MISDIRECTED_REQUEST: u16 = 421;
 /// Times the objective after which a silent server is given up; besides, twice the expected time.
 ///
 /// By then the answer is late anyway. Sooner, a server that is merely busy would lose what it has read.
-const GIVEN_UP: f64 = 2.0;
+const SILENCE_FACTOR: f64 = 2.0;
 /// Bytes of an answer's head at most.
-const MOST_HEAD: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 /// Bytes of an answer to an earlier request that are read past at most.
-const MOST_STRAY: usize = 1 << 20;
+const MAX_SKIPPED_BYTES: usize = 1 << 20;
 
 /// The begin of a server's answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ServerResponse {
     /// Its head.
     pub head: ResponseHead,
     /// How its body ends.
@@ -46,25 +46,25 @@
     /// The server that answers.
     pub server: ServerId,
     /// The connection may carry another request afterwards.
-    pub clean: bool,
+    pub reusable: bool,
     /// The body, where it was read already.
     pub body: Option<BytesMut>,
 }
 
 /// What became of a send.
 #[derive(Debug)]
-pub enum Sent {
+pub enum SendOutcome {
     /// No byte was sent.
-    Unreached(Box<str>),
-    /// The server says that it did not run the request; `moved`: it is another server by now.
-    NotRun {
+    Unreachable(Box<str>),
+    /// The server says that it did not run the request; `misdirected`: it is another server by now.
+    NotExecuted {
         /// Another server has the address.
-        moved: bool,
+        misdirected: bool,
     },
     /// It may have run.
-    Broken(Box<str>),
+    Interrupted(Box<str>),
     /// It answers.
-    Answer(Answer),
+    Response(ServerResponse),
 }
 
 /// Sends `request` to the server of `choice`.
@@ -74,7 +74,7 @@
     admitted: &Admitted,
     progress: &mut RequestProgress,
     choice: &Choice,
-) -> Sent {
+) -> SendOutcome {
     let server = choice.server;
     let target = {
         let desk = gateway.desk.borrow();
@@ -82,7 +82,7 @@
         known.map(|k| (k.entry.address, k.entry.name.clone()))
     };
     let Some((address, name)) = target else {
-        return Sent::Unreached("server is gone".into());
+        return SendOutcome::Unreachable("server is gone".into());
     };
     let now = gateway.now();
     let once = admitted.repeat == Repeat::Never;
@@ -94,31 +94,31 @@
     }
     let mut upstream = match taken {
         Ok(upstream) => upstream,
-        Err(error) => return Sent::Unreached(error.to_string().into()),
+        Err(error) => return SendOutcome::Unreachable(error.to_string().into()),
     };
     if !upstream.reused {
         gateway.meters.connected();
     }
     let bytes = encode_request(gateway, request, admitted, progress, &name);
-    let written = match write(&mut upstream, &bytes.0, progress).await {
+    let written = match write_request(&mut upstream, &bytes.0, progress).await {
         Ok(whole) => whole,
         Err(error) if !progress.bytes_sent() => {
-            return Sent::Unreached(error.to_string().into());
+            return SendOutcome::Unreachable(error.to_string().into());
         }
-        Err(error) => return Sent::Broken(error.to_string().into()),
+        Err(error) => return SendOutcome::Interrupted(error.to_string().into()),
     };
-    let answer = receive(gateway, request, upstream, server, written);
+    let response = receive_response(gateway, request, upstream, server, written);
     if !retry::is_left(admitted, progress) {
-        return answer.await;
+        return response.await;
     }
     // Dropping the connection cancels the request there before another server gets it.
-    let answer = tokio::time::timeout(patience(admitted, choice), answer).await;
-    answer.unwrap_or_else(|_elapsed| Sent::Broken("no answer in time".into()))
+    let response = tokio::time::timeout(silence_limit(admitted, choice), response).await;
+    response.unwrap_or_else(|_elapsed| SendOutcome::Interrupted("no answer in time".into()))
 }
 
 /// Time for which a server may be silent before another one gets the request.
-fn patience(admitted: &Admitted, choice: &Choice) -> Duration {
-    admitted.request.objective.mul_f64(GIVEN_UP) + choice.expected * 2
+fn silence_limit(admitted: &Admitted, choice: &Choice) -> Duration {
+    admitted.request.objective.mul_f64(SILENCE_FACTOR) + choice.expected * 2
 }
 
 /// The request as the server gets it.
@@ -130,16 +130,16 @@
     server: &str,
 ) -> MessageBuffer {
     let names = &gateway.dialect.names;
-    let mut not: Vec<&str> = vec![names.deadline, names.expect, names.account];
-    not.extend(names.reserved);
+    let mut excluded: Vec<&str> = vec![names.deadline, names.expect, names.account];
+    excluded.extend(names.reserved);
     if admitted.hide_token {
-        not.push(names.token);
+        excluded.push(names.token);
     }
     if progress.last_event_id.is_some() {
-        not.push(names.resume);
+        excluded.push(names.resume);
     }
     let mut bytes = MessageBuffer::request(&request.head.method, &request.head.target);
-    bytes.forwarded_headers(&request.head.headers, &not);
+    bytes.forwarded_headers(&request.head.headers, &excluded);
     let left = admitted
         .request
         .ends
@@ -164,7 +164,7 @@
 }
 
 /// Writes the request; false when the server answered before it had all of it.
-async fn write(
+async fn write_request(
     upstream: &mut Upstream,
     mut bytes: &[u8],
     progress: &mut RequestProgress,
@@ -210,32 +210,32 @@
     }
 }
 
-async fn receive(
+async fn receive_response(
     gateway: &Gateway,
     request: &ClientRequest,
     mut upstream: Upstream,
     server: ServerId,
     written: bool,
-) -> Sent {
+) -> SendOutcome {
     let names = &gateway.dialect.names;
-    let mut clean = written;
+    let mut reusable = written;
     loop {
-        let head = match answer_head(&mut upstream).await {
+        let head = match read_head(&mut upstream).await {
             Ok(head) => head,
-            Err(why) => return Sent::Broken(why),
+            Err(why) => return SendOutcome::Interrupted(why),
         };
         if (100..200).contains(&head.status) {
             continue;
         }
         let Ok(framing) = head.framing(&request.head.method) else {
-            return Sent::Broken("answer's length can be read in two ways".into());
+            return SendOutcome::Interrupted("answer's length can be read in two ways".into());
         };
-        let named = head.headers.get_str(names.attempt);
-        if named.is_some_and(|id| id != &*request.attempt_id) {
+        let response_id = head.headers.get_str(names.attempt);
+        if response_id.is_some_and(|id| id != &*request.attempt_id) {
             // The answer to an earlier request on this connection, come late or twice.
-            clean = false;
-            if skip(&mut upstream, framing).await.is_err() {
-                return Sent::Broken("an answer to another request doesn't end".into());
+            reusable = false;
+            if skip_body(&mut upstream, framing).await.is_err() {
+                return SendOutcome::Interrupted("an answer to another request doesn't end".into());
             }
             continue;
         }
@@ -246,47 +246,47 @@
                 .loads
                 .report(server, load, gateway.now());
         }
-        let moved = head.status == MISDIRECTED;
-        if moved || head.headers.get(names.not_run).is_some() {
-            let answer = answer(head, framing, upstream, server, clean);
-            if !moved {
-                keep_after_refusal(gateway, answer).await;
+        let misdirected = head.status == MISDIRECTED_REQUEST;
+        if misdirected || head.headers.get(names.not_run).is_some() {
+            let response = server_response(head, framing, upstream, server, reusable);
+            if !misdirected {
+                reuse_after_rejection(gateway, response).await;
             }
-            return Sent::NotRun { moved };
+            return SendOutcome::NotExecuted { misdirected };
         }
-        if named.is_none() && head.status < 400 {
-            return Sent::Broken("answer names no request".into());
+        if response_id.is_none() && head.status < 400 {
+            return SendOutcome::Interrupted("answer names no request".into());
         }
-        return Sent::Answer(answer(head, framing, upstream, server, clean));
+        return SendOutcome::Response(server_response(head, framing, upstream, server, reusable));
     }
 }
 
-fn answer(
+fn server_response(
     head: ResponseHead,
     framing: Framing,
     upstream: Upstream,
     server: ServerId,
-    clean: bool,
-) -> Answer {
-    let clean = clean && !head.closes_connection() && framing != Framing::UntilClose;
-    Answer {
+    reusable: bool,
+) -> ServerResponse {
+    let reusable = reusable && !head.closes_connection() && framing != Framing::UntilClose;
+    ServerResponse {
         head,
         framing,
         upstream,
         server,
-        clean,
+        reusable,
         body: None,
     }
 }
 
-async fn answer_head(upstream: &mut Upstream) -> Result<ResponseHead, Box<str>> {
+async fn read_head(upstream: &mut Upstream) -> Result<ResponseHead, Box<str>> {
     loop {
         match head::parse_response(&upstream.buffer) {
             Ok(Some((head, length))) => {
                 let _taken = upstream.buffer.split_to(length);
                 return Ok(head);
             }
-            Ok(None) if upstream.buffer.len() <= MOST_HEAD => {}
+            Ok(None) if upstream.buffer.len() <= MAX_HEAD_BYTES => {}
             Ok(None) => return Err("answer's head is too long".into()),
             Err(_malformed) => return Err("what came is no answer".into()),
         }
@@ -298,7 +298,7 @@
     }
 }
 
-async fn skip(upstream: &mut Upstream, framing: Framing) -> Result<(), ()> {
+async fn skip_body(upstream: &mut Upstream, framing: Framing) -> Result<(), ()> {
     if framing == Framing::UntilClose {
         return Err(());
     }
@@ -316,38 +316,41 @@
             }
             Err(_malformed) => return Err(()),
         }
-        if skipped > MOST_STRAY {
+        if skipped > MAX_SKIPPED_BYTES {
             return Err(());
         }
     }
 }
 
 /// Time for which the rest of a server's refusal is read, to keep its connection.
-const REFUSAL_REST: Duration = Duration::from_millis(50);
+const REJECTION_DRAIN: Duration = Duration::from_millis(50);
 
 /// Keeps the connection of a server that refused, if the rest of its answer comes at once.
-async fn keep_after_refusal(gateway: &Gateway, mut answer: Answer) {
-    let rest = skip(&mut answer.upstream, answer.framing);
-    if matches!(tokio::time::timeout(REFUSAL_REST, rest).await, Ok(Ok(()))) {
-        answer.finish(gateway);
+async fn reuse_after_rejection(gateway: &Gateway, mut response: ServerResponse) {
+    let rest = skip_body(&mut response.upstream, response.framing);
+    if matches!(
+        tokio::time::timeout(REJECTION_DRAIN, rest).await,
+        Ok(Ok(()))
+    ) {
+        response.recycle_connection(gateway);
     }
 }
 
-impl Answer {
+impl ServerResponse {
     /// The body is complete: keeps the connection if it can carry another request.
-    pub fn finish(self, gateway: &Gateway) {
-        if self.clean {
-            let said = keep_alive(&self.head);
-            let (most, now) = (gateway.idle_bound(self.server), gateway.now());
+    pub fn recycle_connection(self, gateway: &Gateway) {
+        if self.reusable {
+            let keep_alive = keep_alive_timeout(&self.head);
+            let (max_idle, now) = (gateway.idle_bound(self.server), gateway.now());
             gateway
                 .pool
-                .give(self.server, self.upstream, said, most, now);
+                .give(self.server, self.upstream, keep_alive, max_idle, now);
         }
     }
 }
 
 /// How long the server says that it keeps an idle connection.
-fn keep_alive(head: &ResponseHead) -> Option<Duration> {
+fn keep_alive_timeout(head: &ResponseHead) -> Option<Duration> {
     let text = head.headers.get_str("keep-alive")?;
     let timeout = text
         .split(',')
