--- a/crates/hawthornmill-gateway/src/proxy/forward.rs
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -162,12 +162,12 @@
 }
 
 fn judge_answer(gateway: &Gateway, response: &ServerResponse) {
-    let verdict = if retry::is_failure(response) {
+    let verdict = if retry::is_server_error(response) {
         Verdict::Failed
     } else {
         Verdict::Sound
     };
-    retry::judge(gateway, response.server, verdict);
+    retry::record_verdict(gateway, response.server, verdict);
 }
 
 /// Writes an answer whose body was read.
--- a/crates/hawthornmill-gateway/src/proxy/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -37,7 +37,7 @@
 use forward::{Delivered, deliver, pass_whole};
 use progress::RequestProgress;
 use read::ClientRequest;
-use retry::Next;
+use retry::RetryDecision;
 use send::{SendOutcome, ServerResponse, send};
 
 /// How a request ended for its caller's connection.
@@ -120,7 +120,7 @@
         let silent = self.admitted.request.objective.mul_f64(SILENT_FACTOR);
         let time = self.gateway.now().duration_since(self.sent_at);
         if !self.responded && time > silent {
-            retry::judge(self.gateway, self.choice.server, loads::Verdict::Failed);
+            retry::record_verdict(self.gateway, self.choice.server, loads::Verdict::Failed);
         }
         self.gateway.release(&self.choice, self.responded);
     }
@@ -165,13 +165,14 @@
             }
         };
         request.tried.push(choice.server);
-        let next = match attempt(context, admitted, progress, choice, &mut fallback, out).await {
+        let decision = match attempt(context, admitted, progress, choice, &mut fallback, out).await
+        {
             Ok(end) => return end,
-            Err(next) => next,
+            Err(decision) => decision,
         };
-        match next {
-            Next::Again => {}
-            Next::Refuse => {
+        match decision {
+            RetryDecision::Retry => {}
+            RetryDecision::Reject => {
                 let refusal = Refusal {
                     code: Code::UpstreamUnreachable,
                     cause: Cause::NoServer,
@@ -179,11 +180,11 @@
                 };
                 return end_without_server(context, progress, fallback, refusal, out).await;
             }
-            Next::Fail if progress.response_started() => {
+            RetryDecision::Fail if progress.response_started() => {
                 progress.set_code(Code::UpstreamFailed);
                 return RequestOutcome::Truncated;
             }
-            Next::Fail => {
+            RetryDecision::Fail => {
                 return send_error(
                     context,
                     progress,
@@ -204,7 +205,7 @@
     choice: Choice,
     fallback: &mut Option<ServerResponse>,
     out: &mut OwnedWriteHalf,
-) -> Result<RequestOutcome, Next> {
+) -> Result<RequestOutcome, RetryDecision> {
     let (gateway, server) = (context.gateway, choice.server);
     progress.start_attempt(gateway, context.request, &choice);
     let mut slot = SlotGuard {
@@ -216,13 +217,14 @@
     };
     match send(gateway, context.request, admitted, progress, &choice).await {
         SendOutcome::Response(response)
-            if retry::is_failure(&response) && retry::may(gateway, admitted, progress) =>
+            if retry::is_server_error(&response)
+                && retry::try_retry(gateway, admitted, progress) =>
         {
-            retry::judge(gateway, server, loads::Verdict::Failed);
+            retry::record_verdict(gateway, server, loads::Verdict::Failed);
             if let Some(response) = forward::collect(response).await {
                 *fallback = Some(response);
             }
-            Err(Next::Again)
+            Err(RetryDecision::Retry)
         }
         SendOutcome::Response(response) => {
             match deliver(context, admitted, progress, response, &mut slot, out).await {
@@ -230,18 +232,18 @@
                 Delivered::CallerGone => Ok(RequestOutcome::ClientClosed),
                 Delivered::Cut => {
                     log_interruption(context, server, "the answer broke off");
-                    Err(retry::after_break(gateway, admitted, progress, server))
+                    Err(retry::on_interrupted(gateway, admitted, progress, server))
                 }
             }
         }
-        SendOutcome::Unreachable(why) => Err(retry::after_unreached(
+        SendOutcome::Unreachable(why) => Err(retry::on_unreachable(
             gateway,
             context.request,
             progress,
             server,
             &why,
         )),
-        SendOutcome::NotExecuted { misdirected } => Err(retry::after_not_run(
+        SendOutcome::NotExecuted { misdirected } => Err(retry::on_not_executed(
             gateway,
             admitted,
             progress,
@@ -250,7 +252,7 @@
         )),
         SendOutcome::Interrupted(why) => {
             log_interruption(context, server, &why);
-            Err(retry::after_break(gateway, admitted, progress, server))
+            Err(retry::on_interrupted(gateway, admitted, progress, server))
         }
     }
 }
--- a/crates/hawthornmill-gateway/src/proxy/retry.rs
+++ b/crates/hawthornmill-gateway/src/proxy/retry.rs
@@ -16,41 +16,41 @@
 use crate::journal;
 
 /// Servers that one request may fail to reach; each costs up to a connection's time.
-const MOST_UNREACHED: u32 = 3;
+const MAX_UNREACHABLE: u32 = 3;
 
 /// What follows a failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Another server gets the request.
-    Again,
+    Retry,
     /// It has not run and is refused.
-    Refuse,
+    Reject,
     /// It may have run and fails.
     Fail,
 }
 
 /// Tells whether a server's answer is a failure that another server might not give.
-pub fn is_failure(response: &ServerResponse) -> bool {
+pub fn is_server_error(response: &ServerResponse) -> bool {
     response.head.status >= 500
 }
 
 /// Notes how a request to `server` ended.
-pub fn judge(gateway: &Gateway, server: ServerId, verdict: Verdict) {
+pub fn record_verdict(gateway: &Gateway, server: ServerId, verdict: Verdict) {
     let now = gateway.now();
     gateway.desk.borrow_mut().loads.judge(server, verdict, now);
 }
 
 /// Takes a second send for a request that may have run.
-pub fn may(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
-    admitted.repeat.allowed() && take(gateway, admitted, progress)
+pub fn try_retry(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
+    admitted.repeat.allowed() && take_budget(gateway, admitted, progress)
 }
 
 /// Tells whether the request may go to another server after one that may have run it.
-pub fn is_left(admitted: &Admitted, progress: &RequestProgress) -> bool {
+pub fn can_retry(admitted: &Admitted, progress: &RequestProgress) -> bool {
     admitted.repeat.allowed() && progress.sends < admitted.attempts
 }
 
-fn take(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
+fn take_budget(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
     if progress.sends >= admitted.attempts {
         return false;
     }
@@ -67,67 +67,67 @@
 }
 
 /// What ends a request that no other server gets: only one that has not run may be called refused.
-const fn give_up(progress: &RequestProgress) -> Next {
+const fn final_decision(progress: &RequestProgress) -> RetryDecision {
     if progress.may_have_executed() {
-        Next::Fail
+        RetryDecision::Fail
     } else {
-        Next::Refuse
+        RetryDecision::Reject
     }
 }
 
 /// The server could not be reached.
-pub fn after_unreached(
+pub fn on_unreachable(
     gateway: &Gateway,
     request: &ClientRequest,
     progress: &mut RequestProgress,
     server: ServerId,
     why: &str,
-) -> Next {
+) -> RetryDecision {
     let fields = json!({"server": gateway.server_name(server), "why": why});
     journal::trouble("server_unreached", &request.attempt_id, fields);
     gateway.pool.drop_idle(server);
-    judge(gateway, server, Verdict::Unreachable);
+    record_verdict(gateway, server, Verdict::Unreachable);
     progress.unreachable += 1;
-    if progress.unreachable <= MOST_UNREACHED {
-        Next::Again
+    if progress.unreachable <= MAX_UNREACHABLE {
+        RetryDecision::Retry
     } else {
-        give_up(progress)
+        final_decision(progress)
     }
 }
 
 /// The server says that it did not run the request.
-pub fn after_not_run(
+pub fn on_not_executed(
     gateway: &Gateway,
     admitted: &Admitted,
     progress: &mut RequestProgress,
     server: ServerId,
     misdirected: bool,
-) -> Next {
+) -> RetryDecision {
     if misdirected {
         gateway.pool.drop_idle(server);
-        judge(gateway, server, Verdict::Unreachable);
+        record_verdict(gateway, server, Verdict::Unreachable);
     } else {
-        judge(gateway, server, Verdict::Full);
+        record_verdict(gateway, server, Verdict::Full);
     }
     progress.record_not_executed();
-    if take(gateway, admitted, progress) {
-        Next::Again
+    if take_budget(gateway, admitted, progress) {
+        RetryDecision::Retry
     } else {
-        give_up(progress)
+        final_decision(progress)
     }
 }
 
 /// The server broke off, and may have run the request.
-pub fn after_break(
+pub fn on_interrupted(
     gateway: &Gateway,
     admitted: &Admitted,
     progress: &mut RequestProgress,
     server: ServerId,
-) -> Next {
-    judge(gateway, server, Verdict::Failed);
-    if may(gateway, admitted, progress) {
-        Next::Again
+) -> RetryDecision {
+    record_verdict(gateway, server, Verdict::Failed);
+    if try_retry(gateway, admitted, progress) {
+        RetryDecision::Retry
     } else {
-        Next::Fail
+        RetryDecision::Fail
     }
 }
--- a/crates/hawthornmill-gateway/src/proxy/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -108,7 +108,7 @@
         Err(error) => return SendOutcome::Interrupted(error.to_string().into()),
     };
     let response = receive_response(gateway, request, upstream, server, written);
-    if !retry::is_left(admitted, progress) {
+    if !retry::can_retry(admitted, progress) {
         return response.await;
     }
     // Dropping the connection cancels the request there before another server gets it.
