--- a/crates/hawthornmill-gateway/src/proxy/events.rs
+++ b/crates/hawthornmill-gateway/src/proxy/events.rs
@@ -6,24 +6,24 @@
 use bytes::{Bytes, BytesMut};
 
 /// Bytes of one event at most.
-const MOST_EVENT: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Whole events, with the number of the last one.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Whole {
+pub struct CompleteEvents {
     /// Their bytes.
     pub bytes: Bytes,
     /// Number of the last event that has one.
-    pub last: Option<u64>,
+    pub last_id: Option<u64>,
 }
 
 /// Bytes of a stream that are not whole events yet.
 #[derive(Debug, Default)]
-pub struct Splitter {
-    held: BytesMut,
+pub struct EventSplitter {
+    buffer: BytesMut,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Adds bytes and takes out the whole events that there are now.
     ///
     /// `number` reads the number of one event. Events up to `seen` are left out: a server that goes
@@ -31,39 +31,39 @@
     pub fn push(
         &mut self,
         data: &[u8],
-        number: impl Fn(&[u8]) -> Option<u64>,
+        event_id: impl Fn(&[u8]) -> Option<u64>,
         seen: Option<u64>,
-    ) -> Option<Whole> {
-        self.held.extend_from_slice(data);
+    ) -> Option<CompleteEvents> {
+        self.buffer.extend_from_slice(data);
         let mut out = BytesMut::new();
-        let mut last = None;
-        let mut taken = false;
-        while let Some(end) = end_of_event(&self.held) {
-            let event = self.held.split_to(end);
-            let this = number(&event);
-            if let (Some(this), Some(seen)) = (this, seen)
-                && this <= seen
+        let mut last_id = None;
+        let mut any = false;
+        while let Some(end) = end_of_event(&self.buffer) {
+            let event = self.buffer.split_to(end);
+            let id = event_id(&event);
+            if let (Some(id), Some(seen)) = (id, seen)
+                && id <= seen
             {
                 continue;
             }
-            last = this.or(last);
-            taken = true;
+            last_id = id.or(last_id);
+            any = true;
             out.extend_from_slice(&event);
         }
-        taken.then(|| Whole {
+        any.then(|| CompleteEvents {
             bytes: out.freeze(),
-            last,
+            last_id,
         })
     }
 
     /// What follows the last whole event.
-    pub fn rest(&mut self) -> Bytes {
-        self.held.split().freeze()
+    pub fn take_rest(&mut self) -> Bytes {
+        self.buffer.split().freeze()
     }
 
     /// An event is longer than any should be.
-    pub fn is_overlong(&self) -> bool {
-        self.held.len() > MOST_EVENT
+    pub fn exceeds_limit(&self) -> bool {
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 }
 
--- a/crates/hawthornmill-gateway/src/proxy/forward.rs
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -9,7 +9,7 @@
 use tokio::net::tcp::OwnedWriteHalf;
 
 use super::admission::Admitted;
-use super::events::Splitter;
+use super::events::EventSplitter;
 use super::progress::RequestProgress;
 use super::send::ServerResponse;
 use super::{RequestContext, RequestOutcome, SlotGuard, retry};
@@ -19,54 +19,54 @@
 use crate::http::write::MessageBuffer;
 
 /// Bytes of an answer that is read whole before it is passed on.
-const SHORT: usize = 64 << 10;
+const MAX_BUFFERED_BYTES: usize = 64 << 10;
 
 /// How the delivery ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Delivered {
+pub enum ForwardOutcome {
     /// The caller has the whole answer.
-    Whole,
+    Complete,
     /// The caller is gone.
-    CallerGone,
+    ClientClosed,
     /// The server broke off; what the caller has so far ends nowhere.
-    Cut,
+    Truncated,
 }
 
 /// What the server's side of an answer brought.
-enum Part {
+enum BodyPart {
     Data(bytes::Bytes),
     End,
-    Cut,
+    Truncated,
 }
 
-async fn part(response: &mut ServerResponse, decoder: &mut BodyDecoder) -> Part {
+async fn next_part(response: &mut ServerResponse, decoder: &mut BodyDecoder) -> BodyPart {
     loop {
         match decoder.next(&mut response.upstream.buffer) {
-            Ok(Decoded::Data(data)) => return Part::Data(data),
-            Ok(Decoded::End) => return Part::End,
+            Ok(Decoded::Data(data)) => return BodyPart::Data(data),
+            Ok(Decoded::End) => return BodyPart::End,
             Ok(Decoded::Incomplete) => {}
-            Err(_malformed) => return Part::Cut,
+            Err(_malformed) => return BodyPart::Truncated,
         }
         match response.upstream.more().await {
             // Only an orderly close ends a body that has no length; a reset cuts it.
-            Ok(0) if decoder.ends_at_close() => return Part::End,
-            Ok(0) | Err(_) => return Part::Cut,
+            Ok(0) if decoder.ends_at_close() => return BodyPart::End,
+            Ok(0) | Err(_) => return BodyPart::Truncated,
             Ok(_) => {}
         }
     }
 }
 
 /// Passes `answer` on.
-pub async fn deliver(
+pub async fn forward_response(
     context: RequestContext<'_>,
     admitted: &Admitted,
     progress: &mut RequestProgress,
     response: ServerResponse,
     slot: &mut SlotGuard<'_>,
     out: &mut OwnedWriteHalf,
-) -> Delivered {
+) -> ForwardOutcome {
     if progress.response_started() && response.head.status != 200 {
-        return Delivered::Cut;
+        return ForwardOutcome::Truncated;
     }
     let kind = response
         .head
@@ -74,13 +74,13 @@
         .get_str("content-type")
         .unwrap_or_default();
     if admitted.streams && response.head.status == 200 && kind.starts_with("text/event-stream") {
-        return stream(context, progress, response, slot, out).await;
+        return forward_stream(context, progress, response, slot, out).await;
     }
-    short(context, progress, response, slot, out).await
+    forward_buffered(context, progress, response, slot, out).await
 }
 
 /// The head of the answer for the caller.
-fn head(response: &ResponseHead, framing: Framing, last: bool) -> MessageBuffer {
+fn encode_head(response: &ResponseHead, framing: Framing, close: bool) -> MessageBuffer {
     let mut bytes = MessageBuffer::response(response.status, &response.reason);
     bytes.forwarded_headers(&response.headers, &[]);
     if framing == Framing::Empty {
@@ -90,7 +90,7 @@
         }
     }
     bytes.framing_header(framing);
-    if last {
+    if close {
         bytes.header("Connection", "close");
     }
     bytes.end_head();
@@ -98,70 +98,70 @@
 }
 
 /// How the reading of an answer ended.
-enum Read {
+enum Buffered {
     /// It is whole.
-    Whole,
+    Complete,
     /// It goes on, and is longer than what is held.
-    Long,
+    TooLong,
     /// The server broke off.
-    Cut,
+    Truncated,
 }
 
 /// Reads `answer` to its end, or until it is too long to be held; `part_came` is called with each part.
-async fn read(
+async fn buffer_body(
     response: &mut ServerResponse,
     decoder: &mut BodyDecoder,
-    mut part_came: impl FnMut(),
-) -> Read {
+    mut on_data: impl FnMut(),
+) -> Buffered {
     let mut body = response.body.take().unwrap_or_default();
     let read = loop {
-        match part(response, decoder).await {
-            Part::Data(data) => body.extend_from_slice(&data),
-            Part::Cut => break Read::Cut,
-            Part::End => break Read::Whole,
+        match next_part(response, decoder).await {
+            BodyPart::Data(data) => body.extend_from_slice(&data),
+            BodyPart::Truncated => break Buffered::Truncated,
+            BodyPart::End => break Buffered::Complete,
         }
-        part_came();
-        if body.len() > SHORT {
-            break Read::Long;
+        on_data();
+        if body.len() > MAX_BUFFERED_BYTES {
+            break Buffered::TooLong;
         }
     };
     response.body = Some(body);
     read
 }
 
-async fn short(
+async fn forward_buffered(
     context: RequestContext<'_>,
     progress: &mut RequestProgress,
     mut response: ServerResponse,
     slot: &mut SlotGuard<'_>,
     out: &mut OwnedWriteHalf,
-) -> Delivered {
+) -> ForwardOutcome {
     let mut decoder = BodyDecoder::new(response.framing);
-    match read(&mut response, &mut decoder, || slot.record_first_token()).await {
-        Read::Whole => {}
-        Read::Long => return long(context, progress, response, decoder, out).await,
-        Read::Cut => return Delivered::Cut,
+    match buffer_body(&mut response, &mut decoder, || slot.record_first_token()).await {
+        Buffered::Complete => {}
+        Buffered::TooLong => return forward_long(context, progress, response, decoder, out).await,
+        Buffered::Truncated => return ForwardOutcome::Truncated,
     }
     slot.record_first_token();
-    judge_answer(context.gateway, &response);
-    let end = pass_whole(context, progress, &response, out).await;
+    record_server_verdict(context.gateway, &response);
+    let end = write_buffered(context, progress, &response, out).await;
     response.recycle_connection(context.gateway);
     match end {
-        RequestOutcome::Complete => Delivered::Whole,
-        RequestOutcome::Truncated | RequestOutcome::ClientClosed => Delivered::CallerGone,
+        RequestOutcome::Complete => ForwardOutcome::Complete,
+        RequestOutcome::Truncated | RequestOutcome::ClientClosed => ForwardOutcome::ClientClosed,
     }
 }
 
 /// Reads the rest of a short answer; none when it breaks off or is long.
-pub async fn collect(mut response: ServerResponse) -> Option<ServerResponse> {
+pub async fn read_to_end(mut response: ServerResponse) -> Option<ServerResponse> {
     let mut decoder = BodyDecoder::new(response.framing);
-    match read(&mut response, &mut decoder, || {}).await {
-        Read::Whole => Some(response),
-        Read::Long | Read::Cut => None,
+    match buffer_body(&mut response, &mut decoder, || {}).await {
+        Buffered::Complete => Some(response),
+        Buffered::TooLong | Buffered::Truncated => None,
     }
 }
 
-fn judge_answer(gateway: &Gateway, response: &ServerResponse) {
+fn record_server_verdict(gateway: &Gateway, response: &ServerResponse) {
     let verdict = if retry::is_server_error(response) {
         Verdict::Failed
     } else {
@@ -171,7 +171,7 @@
 }
 
 /// Writes an answer whose body was read.
-pub async fn pass_whole(
+pub async fn write_buffered(
     context: RequestContext<'_>,
     progress: &mut RequestProgress,
     response: &ServerResponse,
@@ -183,7 +183,7 @@
         Framing::Empty => Framing::Empty,
         _ => Framing::Length(body.len() as u64),
     };
-    let mut bytes = head(&response.head, framing, context.close.always);
+    let mut bytes = encode_head(&response.head, framing, context.close.always);
     bytes.0.extend_from_slice(body);
     progress.start_response(response.head.status, context.gateway.now());
     match out.write_all(&bytes.0).await {
@@ -193,15 +193,15 @@
 }
 
 /// Passes on an answer too long to be held.
-async fn long(
+async fn forward_long(
     context: RequestContext<'_>,
     progress: &mut RequestProgress,
     mut response: ServerResponse,
     mut decoder: BodyDecoder,
     out: &mut OwnedWriteHalf,
-) -> Delivered {
+) -> ForwardOutcome {
     let chunked = !matches!(response.framing, Framing::Length(_));
-    let mut bytes = head(&response.head, response.framing, context.close.always);
+    let mut bytes = encode_head(&response.head, response.framing, context.close.always);
     progress.start_response(response.head.status, context.gateway.now());
     let mut data = response.body.take().unwrap_or_default().freeze();
     loop {
@@ -211,50 +211,53 @@
             bytes.0.extend_from_slice(&data);
         }
         if out.write_all(&bytes.0).await.is_err() {
-            return Delivered::CallerGone;
+            return ForwardOutcome::ClientClosed;
         }
         bytes.0.clear();
-        match part(&mut response, &mut decoder).await {
-            Part::Data(next) => data = next,
-            Part::Cut => return Delivered::Cut,
-            Part::End => break,
+        match next_part(&mut response, &mut decoder).await {
+            BodyPart::Data(next) => data = next,
+            BodyPart::Truncated => return ForwardOutcome::Truncated,
+            BodyPart::End => break,
         }
     }
-    judge_answer(context.gateway, &response);
+    record_server_verdict(context.gateway, &response);
     if chunked {
         bytes.last_chunk();
         if out.write_all(&bytes.0).await.is_err() {
-            return Delivered::CallerGone;
+            return ForwardOutcome::ClientClosed;
         }
     }
     response.recycle_connection(context.gateway);
-    Delivered::Whole
+    ForwardOutcome::Complete
 }
 
 /// Passes on a stream, event by event.
 ///
 /// The head waits for the first whole event: until then another server may still have the request.
-async fn stream(
+async fn forward_stream(
     context: RequestContext<'_>,
     progress: &mut RequestProgress,
     mut response: ServerResponse,
     slot: &mut SlotGuard<'_>,
     out: &mut OwnedWriteHalf,
-) -> Delivered {
+) -> ForwardOutcome {
     let mut decoder = BodyDecoder::new(response.framing);
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     let mut bytes = MessageBuffer::default();
-    let number = context.gateway.dialect.event;
+    let event_id = context.gateway.dialect.event;
     loop {
-        let (whole, ended) = match part(&mut response, &mut decoder).await {
-            Part::Data(data) => (splitter.push(&data, number, progress.last_event_id), false),
-            Part::End => (None, true),
-            Part::Cut => return Delivered::Cut,
+        let (events, ended) = match next_part(&mut response, &mut decoder).await {
+            BodyPart::Data(data) => (
+                splitter.push(&data, event_id, progress.last_event_id),
+                false,
+            ),
+            BodyPart::End => (None, true),
+            BodyPart::Truncated => return ForwardOutcome::Truncated,
         };
-        if splitter.is_overlong() {
-            return Delivered::Cut;
+        if splitter.exceeds_limit() {
+            return ForwardOutcome::Truncated;
         }
-        let Some(whole) = whole else {
+        let Some(events) = events else {
             if ended {
                 break;
             }
@@ -262,26 +265,26 @@
         };
         slot.record_first_token();
         if !progress.response_started() {
-            bytes = head(&response.head, Framing::Chunked, context.close.always);
+            bytes = encode_head(&response.head, Framing::Chunked, context.close.always);
             progress.start_response(response.head.status, context.gateway.now());
         }
-        bytes.chunk(&whole.bytes);
+        bytes.chunk(&events.bytes);
         if out.write_all(&bytes.0).await.is_err() {
-            return Delivered::CallerGone;
+            return ForwardOutcome::ClientClosed;
         }
         bytes.0.clear();
-        progress.last_event_id = whole.last.or(progress.last_event_id);
+        progress.last_event_id = events.last_id.or(progress.last_event_id);
     }
     if !progress.response_started() {
-        bytes = head(&response.head, Framing::Chunked, context.close.always);
+        bytes = encode_head(&response.head, Framing::Chunked, context.close.always);
         progress.start_response(response.head.status, context.gateway.now());
     }
-    bytes.chunk(&splitter.rest());
+    bytes.chunk(&splitter.take_rest());
     bytes.last_chunk();
-    judge_answer(context.gateway, &response);
+    record_server_verdict(context.gateway, &response);
     if out.write_all(&bytes.0).await.is_err() {
-        return Delivered::CallerGone;
+        return ForwardOutcome::ClientClosed;
     }
     response.recycle_connection(context.gateway);
-    Delivered::Whole
+    ForwardOutcome::Complete
 }
--- a/crates/hawthornmill-gateway/src/proxy/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -34,7 +34,7 @@
 use crate::journal;
 use admission::Admitted;
 use error_response::ErrorResponse;
-use forward::{Delivered, deliver, pass_whole};
+use forward::{ForwardOutcome, forward_response, write_buffered};
 use progress::RequestProgress;
 use read::ClientRequest;
 use retry::RetryDecision;
@@ -221,16 +221,16 @@
                 && retry::try_retry(gateway, admitted, progress) =>
         {
             retry::record_verdict(gateway, server, loads::Verdict::Failed);
-            if let Some(response) = forward::collect(response).await {
+            if let Some(response) = forward::read_to_end(response).await {
                 *fallback = Some(response);
             }
             Err(RetryDecision::Retry)
         }
         SendOutcome::Response(response) => {
-            match deliver(context, admitted, progress, response, &mut slot, out).await {
-                Delivered::Whole => Ok(RequestOutcome::Complete),
-                Delivered::CallerGone => Ok(RequestOutcome::ClientClosed),
-                Delivered::Cut => {
+            match forward_response(context, admitted, progress, response, &mut slot, out).await {
+                ForwardOutcome::Complete => Ok(RequestOutcome::Complete),
+                ForwardOutcome::ClientClosed => Ok(RequestOutcome::ClientClosed),
+                ForwardOutcome::Truncated => {
                     log_interruption(context, server, "the answer broke off");
                     Err(retry::on_interrupted(gateway, admitted, progress, server))
                 }
@@ -276,7 +276,7 @@
         return RequestOutcome::Truncated;
     }
     if let Some(response) = fallback {
-        return pass_whole(context, progress, &response, out).await;
+        return write_buffered(context, progress, &response, out).await;
     }
     let response = if progress.may_have_executed() {
         ErrorResponse::new(Code::UpstreamFailed)
--- a/tests/testsuite/gateway/http.rs
+++ b/tests/testsuite/gateway/http.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use hawthornmill_gateway::http::body::{BodyDecoder, Decoded};
 use hawthornmill_gateway::http::head::{self, Framing, Malformed};
-use hawthornmill_gateway::proxy::events::Splitter;
+use hawthornmill_gateway::proxy::events::EventSplitter;
 use hawthornmill_platform::request::event_number;
 use proptest::prelude::*;
 
@@ -131,12 +131,12 @@
         let mut cuts: Vec<usize> = cuts.into_iter().map(|c| c.min(text.len())).collect();
         cuts.sort_unstable();
         cuts.push(text.len());
-        let (mut splitter, mut out, mut from, mut last) = (Splitter::default(), Vec::new(), 0, None);
+        let (mut splitter, mut out, mut from, mut last) = (EventSplitter::default(), Vec::new(), 0, None);
 
         for cut in cuts {
             if let Some(whole) = splitter.push(&text[from..cut], event_number, last) {
                 out.extend_from_slice(&whole.bytes);
-                last = whole.last.or(last);
+                last = whole.last_id.or(last);
             }
             from = cut;
         }
@@ -149,7 +149,7 @@
 /// A server goes on for another one and begins with the event that the caller has already.
 #[test]
 fn events_that_the_caller_has_are_left_out() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
 
     let whole = splitter.push(
         b"id: 4\ndata: x\n\nid: 5\ndata: y\n\nid: 6",
@@ -159,6 +159,6 @@
 
     let whole = whole.expect("there is a whole event");
     assert_eq!(&*whole.bytes, b"id: 5\ndata: y\n\n");
-    assert_eq!(whole.last, Some(5));
-    assert_eq!(&*splitter.rest(), b"id: 6");
+    assert_eq!(whole.last_id, Some(5));
+    assert_eq!(&*splitter.take_rest(), b"id: 6");
 }
