--- a/crates/hawthornmill-gateway/src/proxy/admission.rs
+++ b/crates/hawthornmill-gateway/src/proxy/admission.rs
@@ -13,9 +13,9 @@
 use crate::gateway::{Gateway, Phase};
 
 /// Time to come back when the process lacks the newest catalog; the store and peers answer in milliseconds.
-const UNKNOWN_AGAIN: Duration = Duration::from_millis(300);
+const CATALOG_RETRY: Duration = Duration::from_millis(300);
 /// Time to come back when the process is about to end: at once, to another address.
-const CLOSED_AGAIN: Duration = Duration::from_millis(10);
+const SHUTDOWN_RETRY: Duration = Duration::from_millis(10);
 
 /// A request that may be served.
 #[derive(Debug)]
@@ -25,15 +25,15 @@
     /// How often it may run.
     pub repeat: Repeat,
     /// Its answer is a stream of events.
-    pub streams: bool,
+    pub streaming: bool,
     /// Servers to which it may be sent at most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Account name that servers are shown.
-    pub account: Option<Box<str>>,
+    pub account_name: Option<Box<str>>,
     /// Callers carry tokens here, so servers must not see the field that holds them.
-    pub hide_token: bool,
+    pub strip_token: bool,
     /// Route name for logs.
-    pub route: Box<str>,
+    pub route_name: Box<str>,
     /// Service name for logs.
     pub service_name: Box<str>,
 }
@@ -46,24 +46,24 @@
     if gateway.phase() == Phase::Closed {
         return Err(ErrorResponse::with_retry_after(
             Code::NotReady,
-            CLOSED_AGAIN,
+            SHUTDOWN_RETRY,
         ));
     }
     let Some(table) = gateway.table() else {
         return Err(ErrorResponse::with_retry_after(
             Code::NotReady,
-            UNKNOWN_AGAIN,
+            CATALOG_RETRY,
         ));
     };
     if !gateway.listed.get() || gateway.is_outdated() {
         return Err(ErrorResponse::with_retry_after(
             Code::NotReady,
-            UNKNOWN_AGAIN,
+            CATALOG_RETRY,
         ));
     }
-    let fields = &request.head.headers;
+    let headers = &request.head.headers;
     let names = &gateway.dialect.names;
-    let mut hosts = fields.get_all("host");
+    let mut hosts = headers.get_all("host");
     let (Some(host), None) = (hosts.next(), hosts.next()) else {
         return Err(ErrorResponse::new(Code::BadHeader));
     };
@@ -71,23 +71,23 @@
     let path = request.head.path();
     let route = table
         .route(host, path)
-        .ok_or_else(|| unknown(gateway, Code::NoSuchCall))?;
-    let token = fields
+        .ok_or_else(|| not_in_catalog(gateway, Code::NoSuchCall))?;
+    let token = headers
         .get(names.token)
-        .and_then(|v| bearer(v, names.scheme));
+        .and_then(|v| parse_token(v, names.scheme));
     let caller = table
         .caller(route, token)
-        .ok_or_else(|| unknown(gateway, Code::BadToken))?;
-    let left = time_left(fields.get(names.deadline))?;
+        .ok_or_else(|| not_in_catalog(gateway, Code::BadToken))?;
+    let left = parse_deadline(headers.get(names.deadline))?;
     let shape =
-        (gateway.dialect.shape)(fields).map_err(|_why| ErrorResponse::new(Code::BadHeader))?;
+        (gateway.dialect.shape)(headers).map_err(|_why| ErrorResponse::new(Code::BadHeader))?;
     let service = split(route, rand::random());
     let known = table.service(service);
     let account = match caller {
         Caller::Known(account) => Some(account),
         Caller::Anyone => None,
     };
-    let queued = Request {
+    let pending = Request {
         account: account.map(|a| a.id),
         service,
         engine: known.and_then(|s| s.engine),
@@ -99,13 +99,13 @@
         tried: SmallVec::new(),
     };
     Ok(Admitted {
-        request: queued,
+        request: pending,
         repeat: route.repeat,
-        streams: route.streams,
-        attempts: route.attempts.max(1),
-        account: account.map(|a| a.name.clone()),
-        hide_token: table.has_accounts(),
-        route: route.name.clone(),
+        streaming: route.streams,
+        max_attempts: route.attempts.max(1),
+        account_name: account.map(|a| a.name.clone()),
+        strip_token: table.has_accounts(),
+        route_name: route.name.clone(),
         service_name: known.map_or_else(|| "unknown".into(), |s| s.name.clone()),
     })
 }
@@ -113,22 +113,22 @@
 /// Answers that the catalog in force doesn't know a route or a token.
 ///
 /// Only the newest catalog can say so for good.
-fn unknown(gateway: &Gateway, code: Code) -> ErrorResponse {
+fn not_in_catalog(gateway: &Gateway, code: Code) -> ErrorResponse {
     if gateway.lag.borrow().is_some() {
-        ErrorResponse::with_retry_after(Code::NotReady, UNKNOWN_AGAIN)
+        ErrorResponse::with_retry_after(Code::NotReady, CATALOG_RETRY)
     } else {
         ErrorResponse::new(code)
     }
 }
 
-fn bearer<'a>(value: &'a [u8], scheme: &str) -> Option<&'a [u8]> {
+fn parse_token<'a>(value: &'a [u8], scheme: &str) -> Option<&'a [u8]> {
     let (word, rest) = value.split_at_checked(scheme.len())?;
     let token = rest.trim_ascii();
     (word.eq_ignore_ascii_case(scheme.as_bytes()) && rest.starts_with(b" ") && !token.is_empty())
         .then_some(token)
 }
 
-fn time_left(value: Option<&[u8]>) -> Result<Option<Duration>, ErrorResponse> {
+fn parse_deadline(value: Option<&[u8]>) -> Result<Option<Duration>, ErrorResponse> {
     let Some(value) = value else {
         return Ok(None);
     };
--- a/crates/hawthornmill-gateway/src/proxy/forward.rs
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -73,7 +73,7 @@
         .headers
         .get_str("content-type")
         .unwrap_or_default();
-    if admitted.streams && response.head.status == 200 && kind.starts_with("text/event-stream") {
+    if admitted.streaming && response.head.status == 200 && kind.starts_with("text/event-stream") {
         return forward_stream(context, progress, response, slot, out).await;
     }
     forward_buffered(context, progress, response, slot, out).await
--- a/crates/hawthornmill-gateway/src/proxy/progress.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -64,9 +64,9 @@
 impl RequestProgress {
     /// The request may be served.
     pub fn record_admitted(&mut self, request: &ClientRequest, admitted: &Admitted) {
-        self.admitted = Some((admitted.route.clone(), admitted.service_name.clone()));
+        self.admitted = Some((admitted.route_name.clone(), admitted.service_name.clone()));
         let fields = json!({
-            "route": admitted.route, "service": admitted.service_name, "account": admitted.account,
+            "route": admitted.route_name, "service": admitted.service_name, "account": admitted.account_name,
             "prompt_tokens": admitted.request.shape.prompt, "body_bytes": request.body.len(),
             "body_ms": request.received.duration_since(request.head_received).as_millis() as u64,
             "time_left_ms": admitted.request.ends.duration_since(request.received).as_millis() as u64,
--- a/crates/hawthornmill-gateway/src/proxy/retry.rs
+++ b/crates/hawthornmill-gateway/src/proxy/retry.rs
@@ -47,11 +47,11 @@
 
 /// Tells whether the request may go to another server after one that may have run it.
 pub fn can_retry(admitted: &Admitted, progress: &RequestProgress) -> bool {
-    admitted.repeat.allowed() && progress.sends < admitted.attempts
+    admitted.repeat.allowed() && progress.sends < admitted.max_attempts
 }
 
 fn take_budget(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
-    if progress.sends >= admitted.attempts {
+    if progress.sends >= admitted.max_attempts {
         return false;
     }
     let service = admitted.request.service;
--- a/crates/hawthornmill-gateway/src/proxy/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -132,7 +132,7 @@
     let names = &gateway.dialect.names;
     let mut excluded: Vec<&str> = vec![names.deadline, names.expect, names.account];
     excluded.extend(names.reserved);
-    if admitted.hide_token {
+    if admitted.strip_token {
         excluded.push(names.token);
     }
     if progress.last_event_id.is_some() {
@@ -146,7 +146,7 @@
         .saturating_duration_since(gateway.now());
     bytes.header(names.deadline, left.as_millis().to_string());
     bytes.header(names.expect, server);
-    if let Some(account) = &admitted.account {
+    if let Some(account) = &admitted.account_name {
         bytes.header(names.account, account.as_bytes());
     }
     if let Some(event) = progress.last_event_id {
