--- a/crates/hawthornmill-tools/src/check/catalog.rs
+++ b/crates/hawthornmill-tools/src/check/catalog.rs
@@ -21,8 +21,8 @@
             ..Fault::unreadable(file, "")
         }]
     };
-    let catalog =
-        hawthornmill_platform::catalog::read(&bytes).map_err(|what| fault(Code::BadValue, what))?;
+    let catalog = hawthornmill_platform::catalog::parse(&bytes)
+        .map_err(|what| fault(Code::BadValue, what))?;
     check(&catalog).map_err(|(code, what)| fault(code, what))?;
     Ok(catalog)
 }
--- a/src/bin/hawthornmill-gateway.rs
+++ b/src/bin/hawthornmill-gateway.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use argh::FromArgs;
-use hawthornmill_platform::SETTINGS_VARIABLE;
+use hawthornmill_platform::SETTINGS_ENV_VAR;
 
 #[global_allocator]
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
@@ -21,10 +21,10 @@
     let args: Args = argh::from_env();
     let named = args
         .config
-        .or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
+        .or_else(|| std::env::var_os(SETTINGS_ENV_VAR).map(PathBuf::from));
     let Some(config) = named else {
-        eprintln!("no settings file: give --config or set {SETTINGS_VARIABLE}");
+        eprintln!("no settings file: give --config or set {SETTINGS_ENV_VAR}");
         return ExitCode::from(2);
     };
-    hawthornmill_gateway::daemon::main(&config, hawthornmill_platform::dialect()).into()
+    hawthornmill_gateway::daemon::main(&config, hawthornmill_platform::adapter()).into()
 }
--- a/tests/testsuite/gateway/catching_up.rs
+++ b/tests/testsuite/gateway/catching_up.rs
@@ -310,7 +310,7 @@
         let fleet = Fleet::start(1, 1).await;
         let front = fleet.gateways[0].front();
         let ahead = Peer::bind(&fleet, 1).await;
-        let catalog = hawthornmill_platform::catalog::read(with_many_routes(2).as_bytes());
+        let catalog = hawthornmill_platform::catalog::parse(with_many_routes(2).as_bytes());
         let knowledge = Knowledge {
             catalog: Some(catalog.expect("the catalog is sound")),
             servers: None,
--- a/tests/testsuite/gateway/http.rs
+++ b/tests/testsuite/gateway/http.rs
@@ -4,7 +4,7 @@
 use hawthornmill_gateway::http::body::{BodyDecoder, Decoded};
 use hawthornmill_gateway::http::head::{self, Framing, Malformed};
 use hawthornmill_gateway::proxy::events::EventSplitter;
-use hawthornmill_platform::request::event_number;
+use hawthornmill_platform::request::event_id;
 use proptest::prelude::*;
 
 fn framing(fields: &str) -> Result<Framing, Malformed> {
@@ -113,7 +113,7 @@
         let _request = head::parse_request(&bytes);
         let _answer = head::parse_response(&bytes);
         let _body = decode(Framing::Chunked, &[&bytes]);
-        let _number = event_number(&bytes);
+        let _number = event_id(&bytes);
     }
 
     #[test]
@@ -134,7 +134,7 @@
         let (mut splitter, mut out, mut from, mut last) = (EventSplitter::default(), Vec::new(), 0, None);
 
         for cut in cuts {
-            if let Some(whole) = splitter.push(&text[from..cut], event_number, last) {
+            if let Some(whole) = splitter.push(&text[from..cut], event_id, last) {
                 out.extend_from_slice(&whole.bytes);
                 last = whole.last_id.or(last);
             }
@@ -153,7 +153,7 @@
 
     let whole = splitter.push(
         b"id: 4\ndata: x\n\nid: 5\ndata: y\n\nid: 6",
-        event_number,
+        event_id,
         Some(4),
     );
 
--- a/tests/testsuite/gateway/translation.rs
+++ b/tests/testsuite/gateway/translation.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_configuration_becomes_a_catalog() {
-    let catalog = catalog::read(CONFIG.as_bytes()).expect("the configuration can be read");
+    let catalog = catalog::parse(CONFIG.as_bytes()).expect("the configuration can be read");
 
     let [first, second] = &*catalog.routes else {
         panic!("two routes")
@@ -50,7 +50,7 @@
 fn a_stream_that_may_not_be_resumed_runs_once() {
     let text = CONFIG.replace("\"resumable\":true", "\"resumable\":false");
 
-    let catalog = catalog::read(text.as_bytes()).expect("the configuration can be read");
+    let catalog = catalog::parse(text.as_bytes()).expect("the configuration can be read");
 
     assert_eq!(catalog.routes[0].repeat, Repeat::Never);
 }
@@ -73,7 +73,7 @@
         r#"{"service":"s","address":"10.0.0.1:80","zone":"z","slots":6,"state":"ready","born":"x"}"#,
     ];
 
-    let entry = registration::read("i-1", sound.as_bytes()).expect("the entry can be read");
+    let entry = registration::parse("i-1", sound.as_bytes()).expect("the entry can be read");
 
     assert_eq!(
         (&*entry.name, entry.slots, entry.draining, entry.born),
@@ -81,7 +81,7 @@
     );
     for text in faulty {
         assert!(
-            registration::read("i-1", text.as_bytes()).is_err(),
+            registration::parse("i-1", text.as_bytes()).is_err(),
             "{text}"
         );
     }
@@ -92,8 +92,8 @@
     let list = br#"{"entries":[{"key":"servers/a","value":"e30=","revision":4,"created":2,"lease":0}],"hasMore":true,"asOf":9}"#;
     let wait = br#"{"events":[{"key":"servers/a","revision":5,"deleted":true}],"asOf":5}"#;
 
-    let list = store::page(list).expect("the list can be read");
-    let wait = store::page(wait).expect("the answer can be read");
+    let list = store::parse_page(list).expect("the list can be read");
+    let wait = store::parse_page(wait).expect("the answer can be read");
 
     assert!(list.more);
     assert_eq!(
@@ -101,14 +101,17 @@
         (9, Some(&b"{}"[..]))
     );
     assert_eq!(wait.items[0].value, None);
-    assert_eq!(store::page(br#"{"entries":[{"key":"a","rev"#).ok(), None);
-    assert_eq!(store::page(b"<html>").ok(), None);
+    assert_eq!(
+        store::parse_page(br#"{"entries":[{"key":"a","rev"#).ok(),
+        None
+    );
+    assert_eq!(store::parse_page(b"<html>").ok(), None);
 }
 
 fn shape_of(fields: &str) -> Option<hawthornmill::routing::shape::Shape> {
     let text = format!("POST /a HTTP/1.1\r\n{fields}\r\n");
     let (head, _) = head::parse_request(text.as_bytes()).ok()??;
-    request::shape(&head.headers).ok()
+    request::parse_shape(&head.headers).ok()
 }
 
 #[test]
@@ -139,24 +142,24 @@
 #[test]
 fn the_directory_is_asked_and_answers() {
     let question =
-        directory::question("/v1/resolve?name=h&region=r&zone=z%2D1").expect("it is this call");
-    let answer = directory::addresses(&["10.1.0.33:8783".parse().expect("an address")], 1.5);
+        directory::parse_query("/v1/resolve?name=h&region=r&zone=z%2D1").expect("it is this call");
+    let answer = directory::encode_addresses(&["10.1.0.33:8783".parse().expect("an address")], 1.5);
 
     assert_eq!((&*question.domain, &*question.region), ("z-1", "r"));
-    assert!(directory::question("/v1/other").is_none());
+    assert!(directory::parse_query("/v1/other").is_none());
     assert_eq!(answer, br#"{"addresses":["10.1.0.33:8783"],"ttlS":1.5}"#);
 }
 
 proptest! {
     #[test]
     fn random_bytes_are_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        prop_assert!(catalog::read(&bytes).is_err());
-        prop_assert!(registration::read("i", &bytes).is_err());
-        prop_assert!(store::page(&bytes).is_err());
+        prop_assert!(catalog::parse(&bytes).is_err());
+        prop_assert!(registration::parse("i", &bytes).is_err());
+        prop_assert!(store::parse_page(&bytes).is_err());
     }
 
     #[test]
     fn a_configuration_that_is_cut_is_refused(end in 0_usize..CONFIG.len()) {
-        prop_assert!(catalog::read(&CONFIG.as_bytes()[..end]).is_err());
+        prop_assert!(catalog::parse(&CONFIG.as_bytes()[..end]).is_err());
     }
 }
