--- a/crates/hawthornmill-gateway/src/door.rs
+++ b/crates/hawthornmill-gateway/src/door.rs
@@ -18,8 +18,8 @@
 
 use crate::gateway::{Gateway, Phase};
 use crate::http::head::{self, Framing};
+use crate::proxy::error_response::ErrorResponse;
 use crate::serve;
-use crate::trip::reply::Reply;
 
 /// Connections that are served at once; the rest of the descriptors is for servers.
 const MOST_CONNECTIONS: usize = 2_600;
@@ -99,7 +99,11 @@
     if recv(stream.as_raw_fd(), &mut request, MsgFlags::MSG_DONTWAIT).is_err() {
         return;
     }
-    let bytes = Reply::again(Code::InstanceFull, COME_BACK).bytes(gateway, Some(&attempt), true);
+    let bytes = ErrorResponse::with_retry_after(Code::InstanceFull, COME_BACK).encode(
+        gateway,
+        Some(&attempt),
+        true,
+    );
     // A caller that is gone needs no answer, and the little that is written fits an empty socket.
     let _sent = send(stream.as_raw_fd(), &bytes.0, MsgFlags::MSG_DONTWAIT);
     gateway.turned.borrow_mut().told.push(attempt);
@@ -113,13 +117,13 @@
     let look = MsgFlags::MSG_DONTWAIT | MsgFlags::MSG_PEEK;
     let length = recv(stream.as_raw_fd(), &mut buffer, look).ok()?;
     let bytes = &buffer[..length];
-    let (head, end) = head::request(bytes).ok()??;
+    let (head, end) = head::parse_request(bytes).ok()??;
     let body = match head.framing().ok()? {
         Framing::Empty => 0,
         Framing::Length(body) => usize::try_from(body).ok()?,
         Framing::Chunked | Framing::UntilClose => return None,
     };
     let whole = end + body == length && length < MOST_READ;
-    let attempt = head.fields.text(gateway.dialect.names.attempt)?;
+    let attempt = head.headers.get_str(gateway.dialect.names.attempt)?;
     whole.then(|| attempt.into())
 }
--- a/crates/hawthornmill-gateway/src/http/write.rs
+++ b/crates/hawthornmill-gateway/src/http/write.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write as _;
 
-use super::head::{Field, Fields, Framing};
+use super::head::{Framing, Header, Headers};
 
 /// Fields that concern one connection only.
 const HOP: &[&str] = &[
@@ -20,9 +20,9 @@
 
 /// Bytes under construction.
 #[derive(Debug, Default)]
-pub struct Bytes(pub Vec<u8>);
+pub struct MessageBuffer(pub Vec<u8>);
 
-impl Bytes {
+impl MessageBuffer {
     /// Starts a request.
     pub fn request(method: &str, target: &str) -> Self {
         let mut bytes = Self(Vec::with_capacity(1024));
@@ -31,7 +31,7 @@
     }
 
     /// Starts an answer.
-    pub fn answer(status: u16, reason: &str) -> Self {
+    pub fn response(status: u16, reason: &str) -> Self {
         let mut bytes = Self(Vec::with_capacity(1024));
         let mut number = [0_u8; 3];
         for (digit, unit) in number.iter_mut().zip([100, 10, 1]) {
@@ -50,31 +50,31 @@
     }
 
     /// Adds a field.
-    pub fn field(&mut self, name: &str, value: impl AsRef<[u8]>) {
+    pub fn header(&mut self, name: &str, value: impl AsRef<[u8]>) {
         self.text(&[name, ": "]);
         self.0.extend_from_slice(value.as_ref());
         self.0.extend_from_slice(b"\r\n");
     }
 
     /// Adds those of `fields` that go beyond one connection, but for the length and those in `not`.
-    pub fn fields(&mut self, fields: &Fields, not: &[&str]) {
+    pub fn forwarded_headers(&mut self, fields: &Headers, not: &[&str]) {
         for field in fields.iter().filter(|f| goes_on(fields, f, not)) {
-            self.field(&field.name, &field.value);
+            self.header(&field.name, &field.value);
         }
     }
 
     /// Adds what says where the body ends.
-    pub fn framing(&mut self, framing: Framing) {
+    pub fn framing_header(&mut self, framing: Framing) {
         match framing {
             Framing::Empty => {}
-            Framing::Length(bytes) => self.field("Content-Length", bytes.to_string()),
+            Framing::Length(bytes) => self.header("Content-Length", bytes.to_string()),
             // A body that ended with its connection goes on in chunks, so that its end shows.
-            Framing::Chunked | Framing::UntilClose => self.field("Transfer-Encoding", "chunked"),
+            Framing::Chunked | Framing::UntilClose => self.header("Transfer-Encoding", "chunked"),
         }
     }
 
     /// Ends the head.
-    pub fn end(&mut self) {
+    pub fn end_head(&mut self) {
         self.0.extend_from_slice(b"\r\n");
     }
 
@@ -95,9 +95,9 @@
     }
 }
 
-fn goes_on(all: &Fields, field: &Field, not: &[&str]) -> bool {
+fn goes_on(all: &Headers, field: &Header, not: &[&str]) -> bool {
     let name = &*field.name;
     let among = |list: &[&str]| list.iter().any(|n| n.eq_ignore_ascii_case(name));
     let framing = name.eq_ignore_ascii_case("content-length");
-    !framing && !among(HOP) && !among(not) && !all.lists("connection", name)
+    !framing && !among(HOP) && !among(not) && !all.has_token("connection", name)
 }
--- a/crates/hawthornmill-gateway/src/trip/admit.rs
+++ b/crates/hawthornmill-gateway/src/proxy/admission.rs
@@ -8,14 +8,14 @@
 use hawthornmill::routing::table::{Caller, split};
 use smallvec::SmallVec;
 
-use super::read::Call;
-use super::reply::Reply;
+use super::error_response::ErrorResponse;
+use super::read::ClientRequest;
 use crate::gateway::{Gateway, Phase};
 
 /// Time to come back when the process lacks the newest catalog; the store and peers answer in milliseconds.
-const UNKNOWN_AGAIN: Duration = Duration::from_millis(300);
+const CATALOG_RETRY: Duration = Duration::from_millis(300);
 /// Time to come back when the process is about to end: at once, to another address.
-const CLOSED_AGAIN: Duration = Duration::from_millis(10);
+const SHUTDOWN_RETRY: Duration = Duration::from_millis(10);
 
 /// A request that may be served.
 #[derive(Debug)]
@@ -25,15 +25,15 @@
     /// How often it may run.
     pub repeat: Repeat,
     /// Its answer is a stream of events.
-    pub streams: bool,
+    pub streaming: bool,
     /// Servers to which it may be sent at most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Account name that servers are shown.
-    pub account: Option<Box<str>>,
+    pub account_name: Option<Box<str>>,
     /// Callers carry tokens here, so servers must not see the field that holds them.
-    pub hide_token: bool,
+    pub strip_token: bool,
     /// Route name for logs.
-    pub route: Box<str>,
+    pub route_name: Box<str>,
     /// Service name for logs.
     pub service_name: Box<str>,
 }
@@ -42,60 +42,70 @@
 ///
 /// # Errors
 /// The answer that refuses it; it has not run then.
-pub fn admit(gateway: &Gateway, call: &Call) -> Result<Admitted, Reply> {
+pub fn admit(gateway: &Gateway, request: &ClientRequest) -> Result<Admitted, ErrorResponse> {
     if gateway.phase() == Phase::Closed {
-        return Err(Reply::again(Code::NotReady, CLOSED_AGAIN));
+        return Err(ErrorResponse::with_retry_after(
+            Code::NotReady,
+            SHUTDOWN_RETRY,
+        ));
     }
     let Some(table) = gateway.table() else {
-        return Err(Reply::again(Code::NotReady, UNKNOWN_AGAIN));
+        return Err(ErrorResponse::with_retry_after(
+            Code::NotReady,
+            CATALOG_RETRY,
+        ));
     };
     if !gateway.listed.get() || gateway.is_outdated() {
-        return Err(Reply::again(Code::NotReady, UNKNOWN_AGAIN));
+        return Err(ErrorResponse::with_retry_after(
+            Code::NotReady,
+            CATALOG_RETRY,
+        ));
     }
-    let fields = &call.head.fields;
+    let headers = &request.head.headers;
     let names = &gateway.dialect.names;
-    let mut hosts = fields.all("host");
+    let mut hosts = headers.get_all("host");
     let (Some(host), None) = (hosts.next(), hosts.next()) else {
-        return Err(Reply::new(Code::BadHeader));
+        return Err(ErrorResponse::new(Code::BadHeader));
     };
-    let host = std::str::from_utf8(host).map_err(|_bytes| Reply::new(Code::BadHeader))?;
-    let path = call.head.path();
+    let host = std::str::from_utf8(host).map_err(|_bytes| ErrorResponse::new(Code::BadHeader))?;
+    let path = request.head.path();
     let route = table
         .route(host, path)
-        .ok_or_else(|| unknown(gateway, Code::NoSuchCall))?;
-    let token = fields
+        .ok_or_else(|| not_in_catalog(gateway, Code::NoSuchCall))?;
+    let token = headers
         .get(names.token)
-        .and_then(|v| bearer(v, names.scheme));
+        .and_then(|v| parse_token(v, names.scheme));
     let caller = table
         .caller(route, token)
-        .ok_or_else(|| unknown(gateway, Code::BadToken))?;
-    let left = time_left(fields.get(names.deadline))?;
-    let shape = (gateway.dialect.shape)(fields).map_err(|_why| Reply::new(Code::BadHeader))?;
+        .ok_or_else(|| not_in_catalog(gateway, Code::BadToken))?;
+    let left = parse_deadline(headers.get(names.deadline))?;
+    let shape =
+        (gateway.dialect.shape)(headers).map_err(|_why| ErrorResponse::new(Code::BadHeader))?;
     let service = split(route, rand::random());
     let known = table.service(service);
     let account = match caller {
         Caller::Known(account) => Some(account),
         Caller::Anyone => None,
     };
-    let request = Request {
+    let pending = Request {
         account: account.map(|a| a.id),
         service,
         engine: known.and_then(|s| s.engine),
         shape,
         priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
         objective: route.objective,
-        came: call.came,
-        ends: call.came + left.map_or(route.timeout, |l| l.min(route.timeout)),
+        came: request.received,
+        ends: request.received + left.map_or(route.timeout, |l| l.min(route.timeout)),
         tried: SmallVec::new(),
     };
     Ok(Admitted {
-        request,
+        request: pending,
         repeat: route.repeat,
-        streams: route.streams,
-        attempts: route.attempts.max(1),
-        account: account.map(|a| a.name.clone()),
-        hide_token: table.has_accounts(),
-        route: route.name.clone(),
+        streaming: route.streams,
+        max_attempts: route.attempts.max(1),
+        account_name: account.map(|a| a.name.clone()),
+        strip_token: table.has_accounts(),
+        route_name: route.name.clone(),
         service_name: known.map_or_else(|| "unknown".into(), |s| s.name.clone()),
     })
 }
@@ -103,29 +113,29 @@
 /// Answers that the catalog in force doesn't know a route or a token.
 ///
 /// Only the newest catalog can say so for good.
-fn unknown(gateway: &Gateway, code: Code) -> Reply {
+fn not_in_catalog(gateway: &Gateway, code: Code) -> ErrorResponse {
     if gateway.lag.borrow().is_some() {
-        Reply::again(Code::NotReady, UNKNOWN_AGAIN)
+        ErrorResponse::with_retry_after(Code::NotReady, CATALOG_RETRY)
     } else {
-        Reply::new(code)
+        ErrorResponse::new(code)
     }
 }
 
-fn bearer<'a>(value: &'a [u8], scheme: &str) -> Option<&'a [u8]> {
+fn parse_token<'a>(value: &'a [u8], scheme: &str) -> Option<&'a [u8]> {
     let (word, rest) = value.split_at_checked(scheme.len())?;
     let token = rest.trim_ascii();
     (word.eq_ignore_ascii_case(scheme.as_bytes()) && rest.starts_with(b" ") && !token.is_empty())
         .then_some(token)
 }
 
-fn time_left(value: Option<&[u8]>) -> Result<Option<Duration>, Reply> {
+fn parse_deadline(value: Option<&[u8]>) -> Result<Option<Duration>, ErrorResponse> {
     let Some(value) = value else {
         return Ok(None);
     };
-    let text = std::str::from_utf8(value).map_err(|_bytes| Reply::new(Code::BadHeader))?;
+    let text = std::str::from_utf8(value).map_err(|_bytes| ErrorResponse::new(Code::BadHeader))?;
     let millis: u64 = text
         .trim()
         .parse()
-        .map_err(|_number| Reply::new(Code::BadHeader))?;
+        .map_err(|_number| ErrorResponse::new(Code::BadHeader))?;
     Ok(Some(Duration::from_millis(millis)))
 }
--- a/crates/hawthornmill-gateway/src/trip/settle.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -7,16 +7,16 @@
 use hawthornmill::routing::request::{Refusal, Request};
 use serde_json::json;
 
-use super::admit::Admitted;
-use super::read::Call;
-use super::reply::Reply;
-use super::{End, Way};
+use super::admission::Admitted;
+use super::error_response::ErrorResponse;
+use super::read::ClientRequest;
+use super::{RequestContext, RequestOutcome};
 use crate::gateway::Gateway;
 use crate::journal;
 
 /// Writes why the scheduler turned a request away.
-pub fn note_refusal(way: Way<'_>, request: &Request, refusal: &Refusal) {
-    let (gateway, now) = (way.gateway, way.gateway.now());
+pub fn log_rejection(context: RequestContext<'_>, request: &Request, refusal: &Refusal) {
+    let (gateway, now) = (context.gateway, context.gateway.now());
     let scheduler = gateway.scheduler.borrow();
     let outlook = scheduler.decision_context(request, now);
     let fields = json!({
@@ -30,7 +30,7 @@
         "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
         "link_wait_ms": gateway.link.borrow().wait(now).as_millis() as u64,
     });
-    journal::trouble("refused", &way.call.attempt, fields);
+    journal::trouble("refused", &context.request.attempt_id, fields);
 }
 
 /// How long this instance has known of a newer catalog than its own.
@@ -41,114 +41,123 @@
 
 /// What is known of one request on its way.
 #[derive(Debug, Default)]
-pub struct Trip {
+pub struct RequestProgress {
     /// Servers that had a byte of it.
-    pub arrivals: u32,
+    pub sends: u32,
     /// Servers that could not be reached.
-    pub unreached: u32,
+    pub unreachable: u32,
     /// Number of the last whole event that the caller has.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// Status that the caller got; 0 when none.
     pub status: u16,
     /// An earlier server had a byte of it and never said that it did not run it.
-    earlier: bool,
+    earlier_uncertain: bool,
     /// The server in turn has a byte of it.
-    this: bool,
-    told_again: bool,
+    bytes_sent: bool,
+    has_retry_after: bool,
     code: Option<Code>,
     admitted: Option<(Box<str>, Box<str>)>,
     servers: Vec<Box<str>>,
-    begun: Option<Instant>,
+    response_start: Option<Instant>,
 }
 
-impl Trip {
+impl RequestProgress {
     /// The request may be served.
-    pub fn admitted(&mut self, call: &Call, admitted: &Admitted) {
-        self.admitted = Some((admitted.route.clone(), admitted.service_name.clone()));
+    pub fn record_admitted(&mut self, request: &ClientRequest, admitted: &Admitted) {
+        self.admitted = Some((admitted.route_name.clone(), admitted.service_name.clone()));
         let fields = json!({
-            "route": admitted.route, "service": admitted.service_name, "account": admitted.account,
-            "prompt_tokens": admitted.request.shape.prompt_tokens, "body_bytes": call.body.len(),
-            "body_ms": call.came.duration_since(call.began).as_millis() as u64,
-            "time_left_ms": admitted.request.ends.duration_since(call.came).as_millis() as u64,
+            "route": admitted.route_name, "service": admitted.service_name, "account": admitted.account_name,
+            "prompt_tokens": admitted.request.shape.prompt_tokens, "body_bytes": request.body.len(),
+            "body_ms": request.received.duration_since(request.head_received).as_millis() as u64,
+            "time_left_ms": admitted.request.ends.duration_since(request.received).as_millis() as u64,
         });
-        journal::step("admitted", &call.attempt, fields);
+        journal::step("admitted", &request.attempt_id, fields);
     }
 
     /// The request goes to a server.
-    pub fn sending(&mut self, gateway: &Gateway, call: &Call, choice: &Placement) {
+    pub fn start_attempt(
+        &mut self,
+        gateway: &Gateway,
+        request: &ClientRequest,
+        choice: &Placement,
+    ) {
         let name = gateway.server_name(choice.server);
-        let waited = gateway.now().duration_since(call.came);
+        let waited = gateway.now().duration_since(request.received);
         let fields = json!({
-            "server": name, "waited_ms": waited.as_millis() as u64, "send": self.arrivals + 1,
+            "server": name, "waited_ms": waited.as_millis() as u64, "send": self.sends + 1,
             "tokens_before_first": choice.queued_prefill, "tokens_again": choice.duplicate_prefill, "stray": choice.spilled, "expected_ms": choice.expected_ttft.as_millis() as u64,
             "catalog": gateway.version(), "lag_ms": lag_ms(gateway), "registrations": gateway.scheduler.borrow().registry.latest(),
         });
-        journal::step("sent", &call.attempt, fields);
+        journal::step("sent", &request.attempt_id, fields);
         self.servers.push(name);
-        self.earlier |= std::mem::take(&mut self.this);
+        self.earlier_uncertain |= std::mem::take(&mut self.bytes_sent);
     }
 
     /// The first bytes are with the server.
-    pub const fn sent_bytes(&mut self) {
-        if !self.this {
-            self.this = true;
-            self.arrivals += 1;
+    pub const fn record_sent(&mut self) {
+        if !self.bytes_sent {
+            self.bytes_sent = true;
+            self.sends += 1;
         }
     }
 
     /// Tells whether the server in turn has a byte of it.
-    pub const fn is_sent(&self) -> bool {
-        self.this
+    pub const fn bytes_sent(&self) -> bool {
+        self.bytes_sent
     }
 
     /// Tells whether a server may have run it, or still runs it.
-    pub const fn may_have_run(&self) -> bool {
-        self.earlier || self.this
+    pub const fn may_have_executed(&self) -> bool {
+        self.earlier_uncertain || self.bytes_sent
     }
 
     /// The server in turn says that it did not run it.
-    pub const fn not_run(&mut self) {
-        self.this = false;
+    pub const fn record_not_executed(&mut self) {
+        self.bytes_sent = false;
     }
 
     /// The answer has begun with `status`.
-    pub fn answering(&mut self, status: u16, now: Instant) {
+    pub fn start_response(&mut self, status: u16, now: Instant) {
         self.status = status;
-        self.begun.get_or_insert(now);
+        self.response_start.get_or_insert(now);
     }
 
     /// Tells whether its caller has the begin of an answer.
-    pub const fn is_answering(&self) -> bool {
-        self.begun.is_some()
+    pub const fn response_started(&self) -> bool {
+        self.response_start.is_some()
     }
 
     /// The gateway refused it with a time to come back.
-    pub const fn is_refused(&self) -> bool {
-        self.told_again
+    pub const fn has_retry_after(&self) -> bool {
+        self.has_retry_after
     }
 
     /// Why it ends as it does.
-    pub const fn note_code(&mut self, code: Code) {
+    pub const fn set_code(&mut self, code: Code) {
         self.code = Some(code);
     }
 
     /// The gateway answers itself.
-    pub const fn note_reply(&mut self, reply: &Reply) {
-        self.code = Some(reply.code);
-        self.status = reply.code.status();
-        self.told_again = reply.again.is_some();
+    pub const fn record_error(&mut self, response: &ErrorResponse) {
+        self.code = Some(response.code);
+        self.status = response.code.status();
+        self.has_retry_after = response.retry_after.is_some();
     }
 
     /// Writes the request's last line and counts it.
-    pub fn settle(&self, gateway: &Gateway, call: &Call, end: End) {
+    pub fn finish(&self, gateway: &Gateway, request: &ClientRequest, end: RequestOutcome) {
         let now = gateway.now();
         let outcome = match end {
-            End::Left => "caller_left",
-            End::Broken => "broken_off",
-            End::Whole if self.code.is_some_and(|c| matches!(c.status(), 429 | 503)) => "refused",
-            End::Whole if self.code.is_some() => "failed",
-            End::Whole if self.status >= 500 => "server_failed",
-            End::Whole => "answered",
+            RequestOutcome::ClientClosed => "caller_left",
+            RequestOutcome::Truncated => "broken_off",
+            RequestOutcome::Complete
+                if self.code.is_some_and(|c| matches!(c.status(), 429 | 503)) =>
+            {
+                "refused"
+            }
+            RequestOutcome::Complete if self.code.is_some() => "failed",
+            RequestOutcome::Complete if self.status >= 500 => "server_failed",
+            RequestOutcome::Complete => "answered",
         };
         let (route, service) = match &self.admitted {
             Some((route, service)) => (&**route, &**service),
@@ -157,15 +166,15 @@
         gateway.meters.ended(service, outcome);
         let fields = json!({
             "outcome": outcome, "status": self.status, "code": self.code.map(Code::number),
-            "route": route, "service": service, "servers": self.servers, "sends": self.arrivals,
-            "last_event": self.last_event, "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
-            "begin_ms": self.begun.map(|b| b.duration_since(call.came).as_millis() as u64),
-            "took_ms": now.duration_since(call.came).as_millis() as u64,
+            "route": route, "service": service, "servers": self.servers, "sends": self.sends,
+            "last_event": self.last_event_id, "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
+            "begin_ms": self.response_start.map(|b| b.duration_since(request.received).as_millis() as u64),
+            "took_ms": now.duration_since(request.received).as_millis() as u64,
         });
         if outcome == "answered" {
-            journal::step("ended", &call.attempt, fields);
+            journal::step("ended", &request.attempt_id, fields);
         } else {
-            journal::trouble("ended", &call.attempt, fields);
+            journal::trouble("ended", &request.attempt_id, fields);
         }
     }
 }
--- a/crates/hawthornmill-gateway/src/trip/read.rs
+++ b/crates/hawthornmill-gateway/src/proxy/read.rs
@@ -10,7 +10,7 @@
 use tokio::net::tcp::OwnedWriteHalf;
 
 use crate::gateway::{Gateway, Phase};
-use crate::http::body::{Decoder, Piece};
+use crate::http::body::{BodyDecoder, Decoded};
 use crate::http::head::{self, Framing, RequestHead};
 use crate::serve::Reader;
 
@@ -19,94 +19,103 @@
 
 /// A request as it came.
 #[derive(Debug)]
-pub struct Call {
+pub struct ClientRequest {
     /// Its head.
     pub head: RequestHead,
     /// Its body.
     pub body: Bytes,
     /// Identity that the caller gave this attempt.
-    pub attempt: Box<str>,
+    pub attempt_id: Box<str>,
     /// When its head had come.
-    pub began: Instant,
+    pub head_received: Instant,
     /// When it had come whole.
-    pub came: Instant,
-    held: Rc<Gateway>,
+    pub received: Instant,
+    gateway: Rc<Gateway>,
 }
 
-impl Drop for Call {
+impl Drop for ClientRequest {
     fn drop(&mut self) {
-        let bodies = &self.held.bodies;
+        let bodies = &self.gateway.bodies;
         bodies.set(bodies.get() - self.body.len());
     }
 }
 
 /// What a connection brings next.
 #[derive(Debug)]
-pub enum Next {
+pub enum ReadOutcome {
     /// A request.
-    Call(Call),
+    Request(ClientRequest),
     /// Something that must be refused; the connection can't be used further.
-    Refuse(Code),
+    Reject(Code),
     /// Nothing more.
     Closed,
 }
 
 /// Reads the next request of a connection.
-pub async fn next(gateway: &Rc<Gateway>, reader: &mut Reader, out: &mut OwnedWriteHalf) -> Next {
+pub async fn read_request(
+    gateway: &Rc<Gateway>,
+    reader: &mut Reader,
+    out: &mut OwnedWriteHalf,
+) -> ReadOutcome {
     let limits = gateway
         .table()
         .map_or_else(Limits::default, |t| *t.limits());
     if reader.buffer.is_empty() && !first_byte(gateway, reader, limits.idle_time).await {
-        return Next::Closed;
+        return ReadOutcome::Closed;
     }
     let head = tokio::time::timeout(limits.header_time, whole_head(reader, limits.header_bytes));
     let head = match head.await {
         Ok(Ok(Some(head))) => head,
-        Ok(Ok(None)) => return Next::Closed,
-        Ok(Err(code)) => return Next::Refuse(code),
-        Err(_elapsed) => return Next::Refuse(Code::HeadTooSlow),
+        Ok(Ok(None)) => return ReadOutcome::Closed,
+        Ok(Err(code)) => return ReadOutcome::Reject(code),
+        Err(_elapsed) => return ReadOutcome::Reject(Code::HeadTooSlow),
     };
     let Ok(framing) = head.framing() else {
-        return Next::Refuse(Code::BadHeader);
+        return ReadOutcome::Reject(Code::BadHeader);
     };
     let known = match framing {
         Framing::Length(bytes) => bytes as usize,
         _ => 0,
     };
     if known > limits.body_bytes {
-        return Next::Refuse(Code::BodyTooLarge);
+        return ReadOutcome::Reject(Code::BodyTooLarge);
     }
     if gateway.bodies.get() + known > MOST_BODIES {
-        return Next::Refuse(Code::InstanceFull);
+        return ReadOutcome::Reject(Code::InstanceFull);
     }
-    if framing != Framing::Empty && head.fields.lists("expect", "100-continue") {
+    if framing != Framing::Empty && head.headers.has_token("expect", "100-continue") {
         let go_on = out.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
         if go_on.is_err() {
-            return Next::Closed;
+            return ReadOutcome::Closed;
         }
     }
     let began = gateway.now();
     let body = whole_body(reader, framing, limits.body_bytes, limits.idle_time).await;
     match body {
-        Ok(Some(body)) => Next::Call(call(gateway, head, body, began)),
-        Ok(None) => Next::Closed,
-        Err(code) => Next::Refuse(code),
+        Ok(Some(body)) => ReadOutcome::Request(client_request(gateway, head, body, began)),
+        Ok(None) => ReadOutcome::Closed,
+        Err(code) => ReadOutcome::Reject(code),
     }
 }
 
-fn call(gateway: &Rc<Gateway>, head: RequestHead, body: Bytes, began: Instant) -> Call {
+fn client_request(
+    gateway: &Rc<Gateway>,
+    head: RequestHead,
+    body: Bytes,
+    began: Instant,
+) -> ClientRequest {
     gateway.bodies.set(gateway.bodies.get() + body.len());
     let attempt = head
-        .fields
-        .text(gateway.dialect.names.attempt)
+        .headers
+        .get_str(gateway.dialect.names.attempt)
         .unwrap_or_default();
-    Call {
-        attempt: attempt.into(),
+    ClientRequest {
+        attempt_id: attempt.into(),
         head,
         body,
-        began,
-        came: gateway.now(),
-        held: Rc::clone(gateway),
+        head_received: began,
+        received: gateway.now(),
+        gateway: Rc::clone(gateway),
     }
 }
 
@@ -125,11 +134,11 @@
 
 async fn whole_head(reader: &mut Reader, most: usize) -> Result<Option<RequestHead>, Code> {
     loop {
-        match head::request(&reader.buffer) {
+        match head::parse_request(&reader.buffer) {
             Ok(Some((_, length))) if length > most => return Err(Code::HeadersTooLarge),
             Ok(Some((head, length))) => {
                 let _taken = reader.buffer.split_to(length);
-                return if head.current {
+                return if head.is_http11 {
                     Ok(Some(head))
                 } else {
                     Err(Code::OldVersion)
@@ -154,13 +163,13 @@
     most: usize,
     idle: Duration,
 ) -> Result<Option<Bytes>, Code> {
-    let mut decoder = Decoder::new(framing);
+    let mut decoder = BodyDecoder::new(framing);
     let mut body = BytesMut::new();
     loop {
         match decoder.next(&mut reader.buffer) {
-            Ok(Piece::Data(data)) => body.extend_from_slice(&data),
-            Ok(Piece::End) => return Ok(Some(body.freeze())),
-            Ok(Piece::More) => match tokio::time::timeout(idle, reader.more()).await {
+            Ok(Decoded::Data(data)) => body.extend_from_slice(&data),
+            Ok(Decoded::End) => return Ok(Some(body.freeze())),
+            Ok(Decoded::Incomplete) => match tokio::time::timeout(idle, reader.more()).await {
                 Ok(Ok(bytes)) if bytes > 0 => {}
                 Ok(_) => return Ok(None),
                 Err(_elapsed) => return Err(Code::HeadTooSlow),
--- a/crates/hawthornmill-gateway/src/trip/again.rs
+++ b/crates/hawthornmill-gateway/src/proxy/retry.rs
@@ -8,34 +8,34 @@
 use hawthornmill::routing::loads::ServerOutcome;
 use serde_json::json;
 
-use super::admit::Admitted;
-use super::read::Call;
-use super::send::Answer;
-use super::settle::Trip;
+use super::admission::Admitted;
+use super::progress::RequestProgress;
+use super::read::ClientRequest;
+use super::send::ServerResponse;
 use crate::gateway::Gateway;
 use crate::journal;
 
 /// Servers that one request may fail to reach; each costs up to a connection's time.
-const MOST_UNREACHED: u32 = 3;
+const MAX_UNREACHABLE: u32 = 3;
 
 /// What follows a failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Another server gets the request.
-    Again,
+    Retry,
     /// It has not run and is refused.
-    Refuse,
+    Reject,
     /// It may have run and fails.
     Fail,
 }
 
 /// Tells whether a server's answer is a failure that another server might not give.
-pub fn is_failure(answer: &Answer) -> bool {
-    answer.head.status >= 500
+pub fn is_server_error(response: &ServerResponse) -> bool {
+    response.head.status >= 500
 }
 
 /// Notes how a request to `server` ended.
-pub fn judge(gateway: &Gateway, server: ServerId, verdict: ServerOutcome) {
+pub fn record_verdict(gateway: &Gateway, server: ServerId, verdict: ServerOutcome) {
     let now = gateway.now();
     gateway
         .scheduler
@@ -45,17 +45,17 @@
 }
 
 /// Takes a second send for a request that may have run.
-pub fn may(gateway: &Gateway, admitted: &Admitted, trip: &mut Trip) -> bool {
-    admitted.repeat.allowed() && take(gateway, admitted, trip)
+pub fn try_retry(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
+    admitted.repeat.allowed() && take_budget(gateway, admitted, progress)
 }
 
 /// Tells whether the request may go to another server after one that may have run it.
-pub fn is_left(admitted: &Admitted, trip: &Trip) -> bool {
-    admitted.repeat.allowed() && trip.arrivals < admitted.attempts
+pub fn can_retry(admitted: &Admitted, progress: &RequestProgress) -> bool {
+    admitted.repeat.allowed() && progress.sends < admitted.max_attempts
 }
 
-fn take(gateway: &Gateway, admitted: &Admitted, trip: &mut Trip) -> bool {
-    if trip.arrivals >= admitted.attempts {
+fn take_budget(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
+    if progress.sends >= admitted.max_attempts {
         return false;
     }
     let service = admitted.request.service;
@@ -71,67 +71,67 @@
 }
 
 /// What ends a request that no other server gets: only one that has not run may be called refused.
-const fn give_up(trip: &Trip) -> Next {
-    if trip.may_have_run() {
-        Next::Fail
+const fn final_decision(progress: &RequestProgress) -> RetryDecision {
+    if progress.may_have_executed() {
+        RetryDecision::Fail
     } else {
-        Next::Refuse
+        RetryDecision::Reject
     }
 }
 
 /// The server could not be reached.
-pub fn after_unreached(
+pub fn on_unreachable(
     gateway: &Gateway,
-    call: &Call,
-    trip: &mut Trip,
+    request: &ClientRequest,
+    progress: &mut RequestProgress,
     server: ServerId,
     why: &str,
-) -> Next {
+) -> RetryDecision {
     let fields = json!({"server": gateway.server_name(server), "why": why});
-    journal::trouble("server_unreached", &call.attempt, fields);
+    journal::trouble("server_unreached", &request.attempt_id, fields);
     gateway.pool.drop_idle(server);
-    judge(gateway, server, ServerOutcome::Unreachable);
-    trip.unreached += 1;
-    if trip.unreached <= MOST_UNREACHED {
-        Next::Again
+    record_verdict(gateway, server, ServerOutcome::Unreachable);
+    progress.unreachable += 1;
+    if progress.unreachable <= MAX_UNREACHABLE {
+        RetryDecision::Retry
     } else {
-        give_up(trip)
+        final_decision(progress)
     }
 }
 
 /// The server says that it did not run the request.
-pub fn after_not_run(
+pub fn on_not_executed(
     gateway: &Gateway,
     admitted: &Admitted,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     server: ServerId,
-    moved: bool,
-) -> Next {
-    if moved {
+    misdirected: bool,
+) -> RetryDecision {
+    if misdirected {
         gateway.pool.drop_idle(server);
-        judge(gateway, server, ServerOutcome::Unreachable);
+        record_verdict(gateway, server, ServerOutcome::Unreachable);
     } else {
-        judge(gateway, server, ServerOutcome::Full);
+        record_verdict(gateway, server, ServerOutcome::Full);
     }
-    trip.not_run();
-    if take(gateway, admitted, trip) {
-        Next::Again
+    progress.record_not_executed();
+    if take_budget(gateway, admitted, progress) {
+        RetryDecision::Retry
     } else {
-        give_up(trip)
+        final_decision(progress)
     }
 }
 
 /// The server broke off, and may have run the request.
-pub fn after_break(
+pub fn on_interrupted(
     gateway: &Gateway,
     admitted: &Admitted,
-    trip: &mut Trip,
+    progress: &mut RequestProgress,
     server: ServerId,
-) -> Next {
-    judge(gateway, server, ServerOutcome::Failed);
-    if may(gateway, admitted, trip) {
-        Next::Again
+) -> RetryDecision {
+    record_verdict(gateway, server, ServerOutcome::Failed);
+    if try_retry(gateway, admitted, progress) {
+        RetryDecision::Retry
     } else {
-        Next::Fail
+        RetryDecision::Fail
     }
 }
--- a/crates/hawthornmill-gateway/src/serve.rs
+++ b/crates/hawthornmill-gateway/src/serve.rs
@@ -12,10 +12,10 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
 use crate::gateway::{Gateway, Phase};
-use crate::trip::read::{Next, next};
-use crate::trip::reply::Reply;
-use crate::trip::settle::Trip;
-use crate::trip::{Closing, End, Way, carry};
+use crate::proxy::error_response::ErrorResponse;
+use crate::proxy::progress::RequestProgress;
+use crate::proxy::read::{ReadOutcome, read_request};
+use crate::proxy::{ConnectionClose, RequestContext, RequestOutcome, handle_request};
 
 /// Connections from which a refused caller's is closed: it comes back on a new one, and the old one
 /// would lie idle until its time is over.
@@ -103,32 +103,35 @@
         buffer: BytesMut::with_capacity(2048),
     };
     loop {
-        let call = match next(gateway, &mut reader, out).await {
-            Next::Call(call) => call,
-            Next::Refuse(code) => return turn_away(gateway, code, &mut reader, out).await,
-            Next::Closed => return,
+        let request = match read_request(gateway, &mut reader, out).await {
+            ReadOutcome::Request(request) => request,
+            ReadOutcome::Reject(code) => return turn_away(gateway, code, &mut reader, out).await,
+            ReadOutcome::Closed => return,
         };
         let _flying = Open::count(&gateway.flying);
         let elsewhere = gateway.phase() >= Phase::Leaving || gateway.is_outdated();
-        let last = call.head.closes() || elsewhere;
+        let last = request.head.closes_connection() || elsewhere;
         let crowded = gateway.connections.get() > MANY_CONNECTIONS;
-        let mut trip = Trip::default();
-        let way = Way {
+        let mut progress = RequestProgress::default();
+        let context = RequestContext {
             gateway,
-            call: &call,
-            closing: Closing { last, crowded },
+            request: &request,
+            close: ConnectionClose {
+                always: last,
+                on_rejection: crowded,
+            },
         };
         let end = if reader.has_left() {
-            End::Left
+            RequestOutcome::ClientClosed
         } else {
             tokio::select! {
                 biased;
-                end = carry(way, &mut trip, out) => end,
-                () = reader.gone() => End::Left,
+                end = handle_request(context, &mut progress, out) => end,
+                () = reader.gone() => RequestOutcome::ClientClosed,
             }
         };
-        trip.settle(gateway, &call, end);
-        if end != End::Whole || last || (crowded && trip.is_refused()) {
+        progress.finish(gateway, &request, end);
+        if end != RequestOutcome::Complete || last || (crowded && progress.has_retry_after()) {
             return;
         }
     }
@@ -136,8 +139,8 @@
 
 /// Answers what is no request, and reads on for a moment so that the answer arrives.
 async fn turn_away(gateway: &Gateway, code: Code, reader: &mut Reader, out: &mut OwnedWriteHalf) {
-    let reply = Reply::new(code);
-    if reply.write(gateway, None, true, out).await.is_err() {
+    let response = ErrorResponse::new(code);
+    if response.write(gateway, None, true, out).await.is_err() {
         return;
     }
     let rest = async {
--- a/crates/hawthornmill-gateway/src/store.rs
+++ b/crates/hawthornmill-gateway/src/store.rs
@@ -18,9 +18,9 @@
 
 use crate::dialect::{Item, Page};
 use crate::gateway::Gateway;
-use crate::http::body::{Decoder, Piece};
+use crate::http::body::{BodyDecoder, Decoded};
 use crate::http::head;
-use crate::http::write::Bytes;
+use crate::http::write::MessageBuffer;
 use crate::journal;
 use crate::pool::connect;
 
@@ -302,9 +302,9 @@
             Some(link) => link,
             None => connect(address).await?,
         };
-        let mut request = Bytes::request("GET", path);
-        request.field("Host", address.to_string());
-        request.end();
+        let mut request = MessageBuffer::request("GET", path);
+        request.header("Host", address.to_string());
+        request.end_head();
         link.write_all(&request.0).await?;
         let (status, body, keep) = read_answer(&mut link).await?;
         // Kept only now: a call that is given up half-way drops its connection.
@@ -321,7 +321,7 @@
     let broken = || std::io::Error::from(std::io::ErrorKind::InvalidData);
     let mut buffer = BytesMut::with_capacity(4096);
     let (head, length) = loop {
-        if let Some(found) = head::answer(&buffer).map_err(|_head| broken())? {
+        if let Some(found) = head::parse_response(&buffer).map_err(|_head| broken())? {
             break found;
         }
         if link.read_buf(&mut buffer).await? == 0 || buffer.len() > MOST_BYTES {
@@ -329,15 +329,15 @@
         }
     };
     let _head = buffer.split_to(length);
-    let mut decoder = Decoder::new(head.framing("GET").map_err(|_framing| broken())?);
+    let mut decoder = BodyDecoder::new(head.framing("GET").map_err(|_framing| broken())?);
     let mut body = Vec::new();
     loop {
         match decoder.next(&mut buffer).map_err(|_body| broken())? {
-            Piece::Data(data) => body.extend_from_slice(&data),
-            Piece::End => break,
-            Piece::More => {
+            Decoded::Data(data) => body.extend_from_slice(&data),
+            Decoded::End => break,
+            Decoded::Incomplete => {
                 if link.read_buf(&mut buffer).await? == 0 {
-                    if decoder.ends_with_connection() {
+                    if decoder.ends_at_close() {
                         break;
                     }
                     return Err(broken());
@@ -348,6 +348,6 @@
             return Err(broken());
         }
     }
-    let keep = !head.closes() && !decoder.ends_with_connection() && buffer.is_empty();
+    let keep = !head.closes_connection() && !decoder.ends_at_close() && buffer.is_empty();
     Ok((head.status, body, keep))
 }
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use hawthornmill_gateway::http::body::{Decoder, Piece};
-use hawthornmill_gateway::http::head::{self, AnswerHead};
+use hawthornmill_gateway::http::body::{BodyDecoder, Decoded};
+use hawthornmill_gateway::http::head::{self, ResponseHead};
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -204,7 +204,7 @@
 async fn read(link: &mut Link) -> (Outcome, bool) {
     let (stream, buffer) = link;
     let head = loop {
-        match head::answer(buffer) {
+        match head::parse_response(buffer) {
             Ok(Some((head, length))) => {
                 let _head = buffer.split_to(length);
                 break head;
@@ -219,31 +219,35 @@
     let Ok(framing) = head.framing("POST") else {
         return (Outcome::Nonsense, false);
     };
-    let mut decoder = Decoder::new(framing);
+    let mut decoder = BodyDecoder::new(framing);
     let (mut body, mut whole) = (Vec::new(), false);
     loop {
         match decoder.next(buffer) {
-            Ok(Piece::Data(data)) => body.extend_from_slice(&data),
-            Ok(Piece::End) => {
+            Ok(Decoded::Data(data)) => body.extend_from_slice(&data),
+            Ok(Decoded::End) => {
                 whole = true;
                 break;
             }
-            Ok(Piece::More) if matches!(stream.read_buf(buffer).await, Ok(n) if n > 0) => {}
-            Ok(Piece::More) => break,
+            Ok(Decoded::Incomplete) if matches!(stream.read_buf(buffer).await, Ok(n) if n > 0) => {}
+            Ok(Decoded::Incomplete) => break,
             Err(_malformed) => return (Outcome::Nonsense, false),
         }
     }
-    let usable = whole && !head.closes();
+    let usable = whole && !head.closes_connection();
     (answer(&head, whole, &body), usable)
 }
 
-fn answer(head: &AnswerHead, whole: bool, body: &[u8]) -> Outcome {
+fn answer(head: &ResponseHead, whole: bool, body: &[u8]) -> Outcome {
     Outcome::Answer {
         status: head.status,
         whole,
-        stamped: head.fields.get("server-stamp").is_some(),
-        names: head.fields.text("attempt-id").unwrap_or_default().into(),
+        stamped: head.headers.get("server-stamp").is_some(),
+        names: head
+            .headers
+            .get_str("attempt-id")
+            .unwrap_or_default()
+            .into(),
         body: String::from_utf8_lossy(body).into(),
-        again: head.fields.get("retry-after").is_some(),
+        again: head.headers.get("retry-after").is_some(),
     }
 }
--- a/tests/testsuite/gateway/http.rs
+++ b/tests/testsuite/gateway/http.rs
@@ -1,15 +1,15 @@
 //! Heads, bodies and events, byte by byte.
 
 use bytes::BytesMut;
-use hawthornmill_gateway::http::body::{Decoder, Piece};
+use hawthornmill_gateway::http::body::{BodyDecoder, Decoded};
 use hawthornmill_gateway::http::head::{self, Framing, Malformed};
-use hawthornmill_gateway::trip::events::Splitter;
-use hawthornmill_platform::request::event_number;
+use hawthornmill_gateway::proxy::events::EventSplitter;
+use hawthornmill_platform::request::event_id;
 use proptest::prelude::*;
 
 fn framing(fields: &str) -> Result<Framing, Malformed> {
     let text = format!("POST /a HTTP/1.1\r\nHost: h\r\n{fields}\r\n");
-    let (head, _) = head::request(text.as_bytes())?.expect("the head is whole");
+    let (head, _) = head::parse_request(text.as_bytes())?.expect("the head is whole");
     head.framing()
 }
 
@@ -51,24 +51,28 @@
         "GET /a HTTP/1.1\r\nA B: c\r\n\r\n",
         "GET /a HTTP/1.1\r\n a: b\r\n\r\n",
     ] {
-        assert_eq!(head::request(text.as_bytes()), Err(Malformed), "{text}");
+        assert_eq!(
+            head::parse_request(text.as_bytes()),
+            Err(Malformed),
+            "{text}"
+        );
     }
 }
 
 /// All pieces of a body; none when it is malformed or incomplete.
 fn decode(framing: Framing, parts: &[&[u8]]) -> Option<(Vec<u8>, Vec<u8>)> {
-    let mut decoder = Decoder::new(framing);
+    let mut decoder = BodyDecoder::new(framing);
     let mut buffer = BytesMut::new();
     let mut body = Vec::new();
     let mut parts = parts.iter();
     loop {
         match decoder.next(&mut buffer).ok()? {
-            Piece::Data(data) => body.extend_from_slice(&data),
-            Piece::End => {
+            Decoded::Data(data) => body.extend_from_slice(&data),
+            Decoded::End => {
                 parts.for_each(|part| buffer.extend_from_slice(part));
                 return Some((body, buffer.to_vec()));
             }
-            Piece::More => buffer.extend_from_slice(parts.next()?),
+            Decoded::Incomplete => buffer.extend_from_slice(parts.next()?),
         }
     }
 }
@@ -106,15 +110,15 @@
 proptest! {
     #[test]
     fn random_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let _request = head::request(&bytes);
-        let _answer = head::answer(&bytes);
+        let _request = head::parse_request(&bytes);
+        let _answer = head::parse_response(&bytes);
         let _body = decode(Framing::Chunked, &[&bytes]);
-        let _number = event_number(&bytes);
+        let _number = event_id(&bytes);
     }
 
     #[test]
     fn a_chunked_body_comes_back_whole(body in proptest::collection::vec(any::<u8>(), 1..500), size in 1_usize..50) {
-        let mut text = hawthornmill_gateway::http::write::Bytes::default();
+        let mut text = hawthornmill_gateway::http::write::MessageBuffer::default();
         body.chunks(size).for_each(|chunk| text.chunk(chunk));
         text.last_chunk();
 
@@ -127,12 +131,12 @@
         let mut cuts: Vec<usize> = cuts.into_iter().map(|c| c.min(text.len())).collect();
         cuts.sort_unstable();
         cuts.push(text.len());
-        let (mut splitter, mut out, mut from, mut last) = (Splitter::default(), Vec::new(), 0, None);
+        let (mut splitter, mut out, mut from, mut last) = (EventSplitter::default(), Vec::new(), 0, None);
 
         for cut in cuts {
-            if let Some(whole) = splitter.push(&text[from..cut], event_number, last) {
+            if let Some(whole) = splitter.push(&text[from..cut], event_id, last) {
                 out.extend_from_slice(&whole.bytes);
-                last = whole.last.or(last);
+                last = whole.last_id.or(last);
             }
             from = cut;
         }
@@ -145,16 +149,16 @@
 /// A server goes on for another one and begins with the event that the caller has already.
 #[test]
 fn events_that_the_caller_has_are_left_out() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
 
     let whole = splitter.push(
         b"id: 4\ndata: x\n\nid: 5\ndata: y\n\nid: 6",
-        event_number,
+        event_id,
         Some(4),
     );
 
     let whole = whole.expect("there is a whole event");
     assert_eq!(&*whole.bytes, b"id: 5\ndata: y\n\n");
-    assert_eq!(whole.last, Some(5));
-    assert_eq!(&*splitter.rest(), b"id: 6");
+    assert_eq!(whole.last_id, Some(5));
+    assert_eq!(&*splitter.take_rest(), b"id: 6");
 }
--- a/tests/testsuite/gateway/server.rs
+++ b/tests/testsuite/gateway/server.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use hawthornmill_gateway::http::body::{Decoder, Piece};
+use hawthornmill_gateway::http::body::{BodyDecoder, Decoded};
 use hawthornmill_gateway::http::head::{self, RequestHead};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -174,8 +174,8 @@
         };
         self.lock().script.pop_front();
         let id = head
-            .fields
-            .text("attempt-id")
+            .headers
+            .get_str("attempt-id")
             .unwrap_or_default()
             .to_owned();
         let fields = [("Attempt-Id", id.as_str()), ("Server-Stamp", "early")];
@@ -195,8 +195,8 @@
     /// Does one act; false when the connection is over.
     async fn act(&self, link: &mut TcpStream, head: &RequestHead, act: Act, sent: usize) -> bool {
         let id = head
-            .fields
-            .text("attempt-id")
+            .headers
+            .get_str("attempt-id")
             .unwrap_or_default()
             .to_owned();
         let stamp = format!("{}.{sent}", self.name);
@@ -274,10 +274,10 @@
         count: u64,
         cut: bool,
     ) -> bool {
-        let id = head.fields.text("attempt-id").unwrap_or_default();
+        let id = head.headers.get_str("attempt-id").unwrap_or_default();
         let after: u64 = head
-            .fields
-            .text("last-event-id")
+            .headers
+            .get_str("last-event-id")
             .and_then(|t| t.parse().ok())
             .unwrap_or(0);
         let text = format!(
@@ -308,7 +308,7 @@
 
 async fn read_head(link: &mut TcpStream, buffer: &mut BytesMut) -> Option<RequestHead> {
     loop {
-        if let Some((head, length)) = head::request(buffer).ok()? {
+        if let Some((head, length)) = head::parse_request(buffer).ok()? {
             let _head = buffer.split_to(length);
             return Some(head);
         }
@@ -323,13 +323,13 @@
     buffer: &mut BytesMut,
     head: &RequestHead,
 ) -> Option<Vec<u8>> {
-    let mut decoder = Decoder::new(head.framing().ok()?);
+    let mut decoder = BodyDecoder::new(head.framing().ok()?);
     let mut body = Vec::new();
     loop {
         match decoder.next(buffer).ok()? {
-            Piece::Data(data) => body.extend_from_slice(&data),
-            Piece::End => return Some(body),
-            Piece::More => {
+            Decoded::Data(data) => body.extend_from_slice(&data),
+            Decoded::End => return Some(body),
+            Decoded::Incomplete => {
                 if link.read_buf(buffer).await.ok()? == 0 {
                     return None;
                 }
