--- a/crates/hawthornmill-gateway/src/daemon.rs
+++ b/crates/hawthornmill-gateway/src/daemon.rs
@@ -15,8 +15,8 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::{LocalSet, spawn_local};
 
+use crate::adapter::Adapter;
 use crate::datagrams::{self, Datagrams};
-use crate::dialect::Dialect;
 use crate::gateway::{Gateway, Phase, sweeps, ticks, turns};
 use crate::settings::Settings;
 use crate::side::Side;
@@ -35,7 +35,7 @@
 const REREAD: Duration = Duration::from_secs(1);
 
 /// Runs a gateway until it is told to stop; the result is the process's exit code.
-pub fn main(config: &Path, dialect: Dialect) -> u8 {
+pub fn main(config: &Path, adapter: Adapter) -> u8 {
     let settings = match Settings::load(config) {
         Ok(settings) => settings,
         Err(faults) => return report(&faults),
@@ -44,7 +44,7 @@
         .enable_all()
         .build();
     match runtime {
-        Ok(runtime) => LocalSet::new().block_on(&runtime, run(settings, config, &dialect)),
+        Ok(runtime) => LocalSet::new().block_on(&runtime, run(settings, config, &adapter)),
         Err(error) => {
             eprintln!("the runtime can't start: {error}");
             1
@@ -79,7 +79,7 @@
     })
 }
 
-async fn run(settings: Settings, config: &Path, dialect: &Dialect) -> u8 {
+async fn run(settings: Settings, config: &Path, adapter: &Adapter) -> u8 {
     let sockets = match bind(&settings).await {
         Ok(sockets) => sockets,
         Err(faults) => return report(&faults),
@@ -88,7 +88,7 @@
         eprintln!("signals or the log can't be had");
         return 1;
     };
-    let gateway = Gateway::new(settings, *dialect, Clock::system(), incarnation());
+    let gateway = Gateway::new(settings, *adapter, Clock::system(), incarnation());
     let name = gateway.settings().name.clone();
     journal::belief(
         "start",
--- a/crates/hawthornmill-gateway/src/door.rs
+++ b/crates/hawthornmill-gateway/src/door.rs
@@ -120,6 +120,6 @@
         Framing::Chunked | Framing::UntilClose => return None,
     };
     let whole = end + body == length && length < MOST_READ;
-    let attempt = head.fields.text(gateway.dialect.names.attempt)?;
+    let attempt = head.fields.text(gateway.adapter.headers.attempt_id)?;
     whole.then(|| attempt.into())
 }
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -27,8 +27,8 @@
 use slotmap::SecondaryMap;
 use tokio::sync::{Notify, oneshot, watch};
 
+use crate::adapter::Adapter;
 use crate::awaited::Awaited;
-use crate::dialect::Dialect;
 use crate::journal;
 use crate::meters::Meters;
 use crate::pool::Pool;
@@ -64,7 +64,7 @@
     /// Settings in force.
     pub settings: RefCell<Rc<Settings>>,
     /// The adapter.
-    pub dialect: Dialect,
+    pub adapter: Adapter,
     /// Source of time.
     pub clock: Clock,
     /// This instance's key.
@@ -119,7 +119,7 @@
     /// The state of a process that has heard nothing yet.
     pub fn new(
         settings: Settings,
-        dialect: Dialect,
+        adapter: Adapter,
         clock: Clock,
         incarnation: Incarnation,
     ) -> Rc<Self> {
@@ -133,7 +133,7 @@
         Rc::new(Self {
             me: InstanceId::of(&settings.name),
             settings: RefCell::new(Rc::new(settings)),
-            dialect,
+            adapter,
             clock,
             incarnation,
             desk: RefCell::new(desk),
--- a/crates/hawthornmill-gateway/src/lib.rs
+++ b/crates/hawthornmill-gateway/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A process has one thread. Every task borrows the shared [`gateway::Gateway`] for the length of a
 //! call. Decisions are those of [`hawthornmill::routing`]; what the wire looks like comes from an
-//! adapter as a [`dialect::Dialect`].
+//! adapter as a [`adapter::Adapter`].
 //!
 //! | module | owns |
 //! |---|---|
@@ -18,11 +18,11 @@
 //! | [`http`] | heads and bodies |
 //! | [`settings`], [`daemon`] | the process |
 
+pub mod adapter;
 pub mod awaited;
 pub mod catching_up;
 pub mod daemon;
 pub mod datagrams;
-pub mod dialect;
 pub mod door;
 pub mod gateway;
 pub mod http;
--- a/crates/hawthornmill-gateway/src/side.rs
+++ b/crates/hawthornmill-gateway/src/side.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::dialect::Question;
+use crate::adapter::DirectoryQuery;
 use crate::gateway::Gateway;
 use crate::http::head;
 use crate::http::write::Bytes;
@@ -101,16 +101,16 @@
 const TEXT: &str = "text/plain";
 
 fn answer(gateway: &Gateway, head: &head::RequestHead, side: Side) -> Answer {
-    let surface = &gateway.dialect.surface;
+    let discovery = &gateway.adapter.discovery;
     match side {
-        Side::Ready if head.path() == surface.ready => {
+        Side::Ready if head.path() == discovery.ready_path => {
             if gateway.is_ready() {
                 (200, "OK", TEXT, b"ready\n".to_vec())
             } else {
                 (503, "Service Unavailable", TEXT, b"not ready\n".to_vec())
             }
         }
-        Side::Directory => match (surface.question)(&head.target) {
+        Side::Directory => match (discovery.parse_query)(&head.target) {
             Some(question) => named(gateway, &question),
             None => (404, "Not Found", TEXT, b"no such call\n".to_vec()),
         },
@@ -119,7 +119,7 @@
     }
 }
 
-fn named(gateway: &Gateway, question: &Question) -> Answer {
+fn named(gateway: &Gateway, question: &DirectoryQuery) -> Answer {
     let addresses = addresses(gateway, question);
     if addresses.is_empty() {
         return (
@@ -134,13 +134,13 @@
         200,
         "OK",
         JSON,
-        (gateway.dialect.surface.addresses)(&addresses, ttl),
+        (gateway.adapter.discovery.encode_addresses)(&addresses, ttl),
     )
 }
 
 /// Instances that take requests: those of the caller's failure domain, or of a wider circle when
 /// they are too few.
-fn addresses(gateway: &Gateway, question: &Question) -> Vec<SocketAddr> {
+fn addresses(gateway: &Gateway, question: &DirectoryQuery) -> Vec<SocketAddr> {
     let settings = gateway.settings();
     let now = gateway.now();
     let mates = gateway.mates.borrow();
--- a/crates/hawthornmill-gateway/src/store.rs
+++ b/crates/hawthornmill-gateway/src/store.rs
@@ -16,7 +16,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::dialect::{Item, Page};
+use crate::adapter::{KvEntry, Page};
 use crate::gateway::Gateway;
 use crate::http::body::{Decoder, Piece};
 use crate::http::head;
@@ -124,24 +124,24 @@
     }
 
     fn prefix(&self) -> &'static str {
-        let store = &self.gateway.dialect.store;
+        let store = &self.gateway.adapter.store;
         match self.topic {
-            Topic::Catalog => store.catalog,
-            Topic::Servers => store.servers,
+            Topic::Catalog => store.catalog_key,
+            Topic::Servers => store.servers_prefix,
         }
     }
 
     async fn list(&mut self) -> Result<(), Failure> {
-        let store = self.gateway.dialect.store;
-        let mut items: Vec<Item> = Vec::new();
+        let store = self.gateway.adapter.store;
+        let mut items: Vec<KvEntry> = Vec::new();
         let mut revision = None;
         loop {
-            let path = (store.list)(self.prefix(), items.last().map(|i| &*i.key));
+            let path = (store.list_path)(self.prefix(), items.last().map(|i| &*i.key));
             let page = self.call(&path, CALL).await?;
             // Later pages are younger: changes between them come again with the first wait.
             revision.get_or_insert(page.revision);
-            items.extend(page.items);
-            if !page.more {
+            items.extend(page.entries);
+            if !page.has_more {
                 break;
             }
         }
@@ -164,13 +164,13 @@
     }
 
     async fn wait(&mut self, after: u64) -> Result<(), Failure> {
-        let store = self.gateway.dialect.store;
-        let path = (store.watch)(self.prefix(), after, WAIT.as_millis() as u64);
+        let store = self.gateway.adapter.store;
+        let path = (store.watch_path)(self.prefix(), after, WAIT.as_millis() as u64);
         let page = self.call(&path, WAIT + CALL).await?;
-        for item in &page.items {
+        for item in &page.entries {
             self.take(item);
         }
-        if !page.items.is_empty() {
+        if !page.entries.is_empty() {
             // Changes come in bursts, and a wait that is answered for each one costs a call for each.
             tokio::time::sleep(GATHER).await;
         }
@@ -185,10 +185,10 @@
         Ok(())
     }
 
-    fn take(&self, item: &Item) {
+    fn take(&self, item: &KvEntry) {
         match (self.topic, &item.value) {
             (Topic::Catalog, Some(value)) if *item.key == *self.prefix() => {
-                match (self.gateway.dialect.catalog)(value) {
+                match (self.gateway.adapter.parse_catalog)(value) {
                     Ok(catalog) => self.gateway.accept(catalog, "store"),
                     Err(why) => {
                         let fields = json!({"revision": item.revision, "why": why});
@@ -208,13 +208,13 @@
         }
     }
 
-    fn server_name<'a>(&self, item: &'a Item) -> &'a str {
+    fn server_name<'a>(&self, item: &'a KvEntry) -> &'a str {
         item.key.strip_prefix(self.prefix()).unwrap_or(&item.key)
     }
 
-    fn change(&self, item: &Item) -> Change {
+    fn change(&self, item: &KvEntry) -> Change {
         let name = self.server_name(item);
-        let read = |value: &Vec<u8>| (self.gateway.dialect.registration)(name, value);
+        let read = |value: &Vec<u8>| (self.gateway.adapter.parse_registration)(name, value);
         let entry = match item.value.as_ref().map(read) {
             Some(Ok(entry)) => Some(entry),
             Some(Err(why)) => {
@@ -277,7 +277,7 @@
     async fn call(&mut self, path: &str, wait: Duration) -> Result<Page, Failure> {
         let answer = tokio::time::timeout(wait, self.exchange(path)).await;
         let (outcome, result) = match answer {
-            Ok(Ok((200, body))) => match (self.gateway.dialect.store.page)(&body) {
+            Ok(Ok((200, body))) => match (self.gateway.adapter.store.parse_page)(&body) {
                 Ok(page) => ("ok", Ok(page)),
                 Err(why) => {
                     journal::belief("store_unreadable", json!({"why": why}));
--- a/crates/hawthornmill-gateway/src/trip/admit.rs
+++ b/crates/hawthornmill-gateway/src/trip/admit.rs
@@ -53,7 +53,7 @@
         return Err(Reply::again(Code::NotReady, UNKNOWN_AGAIN));
     }
     let fields = &call.head.fields;
-    let names = &gateway.dialect.names;
+    let names = &gateway.adapter.headers;
     let mut hosts = fields.all("host");
     let (Some(host), None) = (hosts.next(), hosts.next()) else {
         return Err(Reply::new(Code::BadHeader));
@@ -65,12 +65,13 @@
         .ok_or_else(|| unknown(gateway, Code::NoSuchCall))?;
     let token = fields
         .get(names.token)
-        .and_then(|v| bearer(v, names.scheme));
+        .and_then(|v| bearer(v, names.auth_scheme));
     let caller = table
         .caller(route, token)
         .ok_or_else(|| unknown(gateway, Code::BadToken))?;
     let left = time_left(fields.get(names.deadline))?;
-    let shape = (gateway.dialect.shape)(fields).map_err(|_why| Reply::new(Code::BadHeader))?;
+    let shape =
+        (gateway.adapter.parse_shape)(fields).map_err(|_why| Reply::new(Code::BadHeader))?;
     let service = split(route, rand::random());
     let known = table.service(service);
     let account = match caller {
--- a/crates/hawthornmill-gateway/src/trip/deliver.rs
+++ b/crates/hawthornmill-gateway/src/trip/deliver.rs
@@ -236,7 +236,7 @@
     let mut decoder = Decoder::new(answer.framing);
     let mut splitter = Splitter::default();
     let mut bytes = Bytes::default();
-    let number = way.gateway.dialect.event;
+    let number = way.gateway.adapter.parse_event_id;
     loop {
         let (whole, ended) = match part(&mut answer, &mut decoder).await {
             Part::Data(data) => (splitter.push(&data, number, trip.last_event), false),
--- a/crates/hawthornmill-gateway/src/trip/read.rs
+++ b/crates/hawthornmill-gateway/src/trip/read.rs
@@ -98,7 +98,7 @@
     gateway.bodies.set(gateway.bodies.get() + body.len());
     let attempt = head
         .fields
-        .text(gateway.dialect.names.attempt)
+        .text(gateway.adapter.headers.attempt_id)
         .unwrap_or_default();
     Call {
         attempt: attempt.into(),
--- a/crates/hawthornmill-gateway/src/trip/reply.rs
+++ b/crates/hawthornmill-gateway/src/trip/reply.rs
@@ -49,14 +49,14 @@
 
     /// Its bytes; `attempt` is the request's identity where it could be read.
     pub fn bytes(&self, gateway: &Gateway, attempt: Option<&str>, last: bool) -> Bytes {
-        let names = &gateway.dialect.names;
+        let names = &gateway.adapter.headers;
         let body = json!({"code": self.code.number(), "title": self.code.title()}).to_string();
         let mut bytes = Bytes::answer(self.code.status(), self.code.title());
         if let Some(attempt) = attempt.filter(|a| !a.is_empty()) {
-            bytes.field(names.attempt, attempt);
+            bytes.field(names.attempt_id, attempt);
         }
         if let Some(again) = self.again {
-            bytes.field(names.again, format!("{:.3}", again.as_secs_f64()));
+            bytes.field(names.retry_after, format!("{:.3}", again.as_secs_f64()));
         }
         bytes.field("Content-Type", "application/problem+json");
         bytes.field("Content-Length", body.len().to_string());
--- a/crates/hawthornmill-gateway/src/trip/send.rs
+++ b/crates/hawthornmill-gateway/src/trip/send.rs
@@ -129,14 +129,14 @@
     trip: &Trip,
     server: &str,
 ) -> Bytes {
-    let names = &gateway.dialect.names;
-    let mut not: Vec<&str> = vec![names.deadline, names.expect, names.account];
+    let names = &gateway.adapter.headers;
+    let mut not: Vec<&str> = vec![names.deadline, names.expected_server, names.account];
     not.extend(names.reserved);
     if admitted.hide_token {
         not.push(names.token);
     }
     if trip.last_event.is_some() {
-        not.push(names.resume);
+        not.push(names.last_event_id);
     }
     let mut bytes = Bytes::request(&call.head.method, &call.head.target);
     bytes.fields(&call.head.fields, &not);
@@ -145,12 +145,12 @@
         .ends
         .saturating_duration_since(gateway.now());
     bytes.field(names.deadline, left.as_millis().to_string());
-    bytes.field(names.expect, server);
+    bytes.field(names.expected_server, server);
     if let Some(account) = &admitted.account {
         bytes.field(names.account, account.as_bytes());
     }
     if let Some(event) = trip.last_event {
-        bytes.field(names.resume, event.to_string());
+        bytes.field(names.last_event_id, event.to_string());
     }
     // A body in chunks was read whole; its length says the same in fewer ways.
     let sized = call.head.fields.get("content-length").is_some()
@@ -213,7 +213,7 @@
     server: ServerId,
     written: bool,
 ) -> Sent {
-    let names = &gateway.dialect.names;
+    let names = &gateway.adapter.headers;
     let mut clean = written;
     loop {
         let head = match answer_head(&mut upstream).await {
@@ -226,7 +226,7 @@
         let Ok(framing) = head.framing(&call.head.method) else {
             return Sent::Broken("answer's length can be read in two ways".into());
         };
-        let named = head.fields.text(names.attempt);
+        let named = head.fields.text(names.attempt_id);
         if named.is_some_and(|id| id != &*call.attempt) {
             // The answer to an earlier request on this connection, come late or twice.
             clean = false;
@@ -235,7 +235,7 @@
             }
             continue;
         }
-        if let Some(load) = (gateway.dialect.load)(&head.fields) {
+        if let Some(load) = (gateway.adapter.parse_load)(&head.fields) {
             gateway
                 .desk
                 .borrow_mut()
@@ -243,7 +243,7 @@
                 .report(server, load, gateway.now());
         }
         let moved = head.status == MISDIRECTED;
-        if moved || head.fields.get(names.not_run).is_some() {
+        if moved || head.fields.get(names.not_executed).is_some() {
             let answer = answer(head, framing, upstream, server, clean);
             if !moved {
                 keep_after_refusal(gateway, answer).await;
--- a/src/bin/hawthornmill-gateway.rs
+++ b/src/bin/hawthornmill-gateway.rs
@@ -26,5 +26,5 @@
         eprintln!("no settings file: give --config or set {SETTINGS_VARIABLE}");
         return ExitCode::from(2);
     };
-    hawthornmill_gateway::daemon::main(&config, hawthornmill_platform::dialect()).into()
+    hawthornmill_gateway::daemon::main(&config, hawthornmill_platform::adapter()).into()
 }
--- a/tests/testsuite/gateway/translation.rs
+++ b/tests/testsuite/gateway/translation.rs
@@ -95,12 +95,12 @@
     let list = store::page(list).expect("the list can be read");
     let wait = store::page(wait).expect("the answer can be read");
 
-    assert!(list.more);
+    assert!(list.has_more);
     assert_eq!(
-        (list.revision, list.items[0].value.as_deref()),
+        (list.revision, list.entries[0].value.as_deref()),
         (9, Some(&b"{}"[..]))
     );
-    assert_eq!(wait.items[0].value, None);
+    assert_eq!(wait.entries[0].value, None);
     assert_eq!(store::page(br#"{"entries":[{"key":"a","rev"#).ok(), None);
     assert_eq!(store::page(b"<html>").ok(), None);
 }
