--- a/crates/hawthornmill-gateway/src/catching_up.rs
+++ b/crates/hawthornmill-gateway/src/catching_up.rs
@@ -19,8 +19,8 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::datagrams::Datagrams;
+use crate::event_log;
 use crate::gateway::Gateway;
-use crate::journal;
 use crate::pool::connect_within;
 
 /// Time for which a mate must be ahead before it is asked: the store's own answer is mostly faster.
@@ -192,7 +192,7 @@
     let fields = json!({
         "mate": mate.to_string(), "step": step, "why": why, "took_ms": took.as_millis() as u64,
     });
-    journal::belief("mate_asked", fields);
+    event_log::state_change("mate_asked", fields);
 }
 
 fn learn(gateway: &Gateway, knowledge: Knowledge, from: SocketAddr) {
@@ -259,7 +259,7 @@
             let told = tokio::time::timeout(patience::MOST, tell_one(&gateway, link)).await;
             if let Ok(Err(error)) = told {
                 let fields = json!({"mate": from.to_string(), "why": error.to_string()});
-                journal::belief("mate_not_told", fields);
+                event_log::state_change("mate_not_told", fields);
             }
         });
     }
--- a/crates/hawthornmill-gateway/src/daemon.rs
+++ b/crates/hawthornmill-gateway/src/daemon.rs
@@ -20,7 +20,7 @@
 use crate::gateway::{Gateway, Phase, sweeps, ticks, turns};
 use crate::settings::Settings;
 use crate::side::Side;
-use crate::{catching_up, door, journal, mates, side, store};
+use crate::{catching_up, door, event_log, mates, side, store};
 
 /// Time for which a leaving process takes requests of callers that have not heard of it.
 ///
@@ -84,21 +84,21 @@
         Ok(sockets) => sockets,
         Err(faults) => return report(&faults),
     };
-    let (Ok(signals), Ok(())) = (Signals::new(), journal::start(settings.level)) else {
+    let (Ok(signals), Ok(())) = (Signals::new(), event_log::init(settings.level)) else {
         eprintln!("signals or the log can't be had");
         return 1;
     };
     let gateway = Gateway::new(settings, *adapter, Clock::system(), incarnation());
     let name = gateway.settings().name.clone();
-    journal::belief(
+    event_log::state_change(
         "start",
         json!({"instance": name, "run": gateway.incarnation.0}),
     );
     start(&gateway, sockets);
     spawn_local(reread(Rc::clone(&gateway), config.to_path_buf()));
     let cut = until_told(&gateway, signals, config).await;
-    journal::belief("stop", json!({"instance": name, "requests_cut": cut}));
-    journal::flush();
+    event_log::state_change("stop", json!({"instance": name, "requests_cut": cut}));
+    event_log::flush();
     u8::from(cut > 0)
 }
 
@@ -152,7 +152,7 @@
 async fn leave(gateway: &Gateway) -> usize {
     let promises = gateway.settings().promises;
     let end = tokio::time::Instant::now() + promises.grace.saturating_sub(BEFORE_GRACE);
-    journal::belief("leaving", json!({"under_way": gateway.flying.get()}));
+    event_log::state_change("leaving", json!({"under_way": gateway.flying.get()}));
     gateway.enter(Phase::Leaving);
     tokio::time::sleep(promises.ttl * OLD_ANSWERS).await;
     gateway.enter(Phase::Closed);
@@ -168,7 +168,7 @@
         Ok(settings) => settings,
         Err(faults) => {
             let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
-            journal::belief("settings_refused", json!({"faults": faults}));
+            event_log::state_change("settings_refused", json!({"faults": faults}));
             return;
         }
     };
@@ -176,7 +176,7 @@
         return;
     }
     if settings.listen != gateway.settings().listen {
-        journal::belief("settings_need_restart", json!({"section": "listen"}));
+        event_log::state_change("settings_need_restart", json!({"section": "listen"}));
     }
     gateway
         .desk
@@ -184,7 +184,7 @@
         .regions
         .clone_from(&settings.regions);
     *gateway.settings.borrow_mut() = Rc::new(settings);
-    journal::belief("settings_in_force", json!({}));
+    event_log::state_change("settings_in_force", json!({}));
 }
 
 async fn reread(gateway: Rc<Gateway>, config: PathBuf) {
--- a/crates/hawthornmill-gateway/src/journal.rs
+++ b/crates/hawthornmill-gateway/src/event_log.rs
@@ -102,7 +102,7 @@
 ///
 /// # Errors
 /// Words for a library that refuses to start, or a thread that can't.
-pub fn start(level: LevelFilter) -> Result<(), Box<str>> {
+pub fn init(level: LevelFilter) -> Result<(), Box<str>> {
     let lines = Lines::default();
     let config = Config::builder()
         .appender(Appender::builder().build("lines", Box::new(lines.clone())))
@@ -139,19 +139,19 @@
 }
 
 /// An ordinary step of a request; the first to be dropped.
-pub fn step(event: &str, request: &str, fields: Value) {
+pub fn request_step(event: &str, request: &str, fields: Value) {
     if log::log_enabled!(target: TARGET, Level::Info) {
         log::info!(target: TARGET, "{}", line(event, Some(request), fields));
     }
 }
 
 /// A request that did not go as it should.
-pub fn trouble(event: &str, request: &str, fields: Value) {
+pub fn request_problem(event: &str, request: &str, fields: Value) {
     log::warn!(target: TARGET, "{}", line(event, Some(request), fields));
 }
 
 /// A change of what the process believes, its start, its stop, a dependency lost or regained.
-pub fn belief(event: &str, fields: Value) {
+pub fn state_change(event: &str, fields: Value) {
     log::warn!(target: TARGET, "{}", line(event, None, fields));
 }
 
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -29,7 +29,7 @@
 
 use crate::adapter::Adapter;
 use crate::awaited::Awaited;
-use crate::journal;
+use crate::event_log;
 use crate::meters::Meters;
 use crate::pool::Pool;
 use crate::settings::Settings;
@@ -227,7 +227,7 @@
         match Table::new(catalog) {
             Ok(table) => {
                 let fields = json!({"version": version, "before": before, "from": from});
-                journal::belief("catalog_in_force", fields);
+                event_log::state_change("catalog_in_force", fields);
                 self.desk.borrow_mut().token_rate = table.limits().token_rate;
                 *self.table.borrow_mut() = Some(Rc::new(table));
                 self.lag.borrow_mut().reach(version);
@@ -236,7 +236,7 @@
             }
             Err((code, what)) => {
                 let fields = json!({"version": version, "code": code.number(), "why": what});
-                journal::belief("catalog_refused", fields);
+                event_log::state_change("catalog_refused", fields);
             }
         }
     }
@@ -251,7 +251,7 @@
     pub fn register(&self, change: Change, from: &str) {
         let (told, leaving) = (describe(&change, from), change.leaving());
         if self.desk.borrow_mut().register(change, self.now()) {
-            journal::belief("registration", told);
+            event_log::state_change("registration", told);
             self.nudge.notify_one();
             if let Some(leaving) = leaving {
                 self.tell_leaving(leaving, Source::Store);
@@ -265,7 +265,7 @@
             if self.desk.borrow_mut().registry.leaves(*leaving) {
                 let server = self.server_name(leaving.server);
                 let fields = json!({"server": server, "revision": leaving.revision});
-                journal::belief("registration_leaving", fields);
+                event_log::state_change("registration_leaving", fields);
                 self.tell_leaving(*leaving, Source::Peer);
             }
         }
@@ -281,7 +281,7 @@
         let registry = &mut self.desk.borrow_mut().registry;
         if let Some(known) = registry.get(server) {
             let fields = json!({"server": known.entry.name, "revision": revision});
-            journal::belief("registration_doubted", fields);
+            event_log::state_change("registration_doubted", fields);
         }
         registry.doubt_anew(server, revision, self.now());
     }
@@ -292,7 +292,7 @@
             "servers": list.entries.len(), "doubted": list.doubted.len(), "revision": list.revision,
             "store_was_away": list.away, "from": from,
         });
-        journal::belief("registrations_listed", fields);
+        event_log::state_change("registrations_listed", fields);
         self.desk.borrow_mut().list(list, self.now());
         self.listed.set(true);
         self.nudge.notify_one();
@@ -468,7 +468,7 @@
         "code": Code::InstanceFull.number(), "late_ms": late.as_millis() as u64, "unread": turned.unread,
         "connections": gateway.connections.get(), "requests": turned.told,
     });
-    journal::belief("turned_away", fields);
+    event_log::state_change("turned_away", fields);
 }
 
 /// Drops what no longer counts for as long as the process lives.
@@ -479,7 +479,7 @@
         let gone = gateway.desk.borrow_mut().sweep(now);
         for server in gone {
             let fields = json!({"server": format!("{:x}", server.0), "why": "not back in time"});
-            journal::belief("registration_lapsed", fields);
+            event_log::state_change("registration_lapsed", fields);
         }
         let desk = gateway.desk.borrow();
         gateway
--- a/crates/hawthornmill-gateway/src/lib.rs
+++ b/crates/hawthornmill-gateway/src/lib.rs
@@ -14,7 +14,7 @@
 //! | [`datagrams`], [`mates`] | datagrams, and the news in them |
 //! | [`catching_up`], [`awaited`] | getting from other instances what they know and this one does not |
 //! | [`side`] | state, directory, metrics |
-//! | [`journal`], [`meters`] | the log and the counters |
+//! | [`event_log`], [`metrics`] | the log and the counters |
 //! | [`http`] | heads and bodies |
 //! | [`settings`], [`daemon`] | the process |
 
@@ -24,9 +24,9 @@
 pub mod daemon;
 pub mod datagrams;
 pub mod door;
+pub mod event_log;
 pub mod gateway;
 pub mod http;
-pub mod journal;
 pub mod mates;
 pub mod meters;
 pub mod pool;
--- a/crates/hawthornmill-gateway/src/mates.rs
+++ b/crates/hawthornmill-gateway/src/mates.rs
@@ -13,8 +13,8 @@
 
 use crate::catching_up;
 use crate::datagrams::{self, Datagrams};
+use crate::event_log;
 use crate::gateway::{Gateway, Phase};
-use crate::journal;
 
 /// Least time between two pieces of news, however much changes.
 const LEAST_PAUSE: Duration = Duration::from_millis(40);
@@ -277,5 +277,5 @@
 
 fn note(change: Seen, mate: SocketAddr, live: usize) {
     let fields = json!({"mate": mate.to_string(), "how": format!("{change:?}"), "live": live});
-    journal::belief("mate", fields);
+    event_log::state_change("mate", fields);
 }
--- a/crates/hawthornmill-gateway/src/store.rs
+++ b/crates/hawthornmill-gateway/src/store.rs
@@ -17,11 +17,11 @@
 use tokio::net::TcpStream;
 
 use crate::adapter::{KvEntry, Page};
+use crate::event_log;
 use crate::gateway::Gateway;
 use crate::http::body::{Decoder, Piece};
 use crate::http::head;
 use crate::http::write::Bytes;
-use crate::journal;
 use crate::pool::connect;
 
 /// Time for which a wait for changes may stay at the store.
@@ -192,7 +192,7 @@
                     Ok(catalog) => self.gateway.accept(catalog, "store"),
                     Err(why) => {
                         let fields = json!({"revision": item.revision, "why": why});
-                        journal::belief("catalog_unreadable", fields);
+                        event_log::state_change("catalog_unreadable", fields);
                     }
                 }
             }
@@ -219,7 +219,7 @@
             Some(Ok(entry)) => Some(entry),
             Some(Err(why)) => {
                 let fields = json!({"server": name, "revision": item.revision, "why": why});
-                journal::belief("registration_unreadable", fields);
+                event_log::state_change("registration_unreadable", fields);
                 None
             }
             None => None,
@@ -246,20 +246,20 @@
                     self.returning = Some(now + RETURN);
                 }
                 if std::mem::take(&mut self.lost) {
-                    journal::belief("store_regained", json!({"topic": topic}));
+                    event_log::state_change("store_regained", json!({"topic": topic}));
                 }
                 self.answered = now;
                 self.failures = 0;
                 self.gateway.reading.set(Reading::Answered);
             }
             Err(Failure::HistoryLost) => {
-                journal::belief("store_history_lost", json!({"topic": topic}));
+                event_log::state_change("store_history_lost", json!({"topic": topic}));
                 self.revision = None;
             }
             Err(failure) => {
                 if !std::mem::replace(&mut self.lost, true) {
                     let fields = json!({"topic": topic, "how": format!("{failure:?}")});
-                    journal::belief("store_lost", fields);
+                    event_log::state_change("store_lost", fields);
                 }
                 self.gateway.reading.set(Reading::Lost);
                 if now.duration_since(self.answered) > AWAY {
@@ -280,7 +280,7 @@
             Ok(Ok((200, body))) => match (self.gateway.adapter.store.parse_page)(&body) {
                 Ok(page) => ("ok", Ok(page)),
                 Err(why) => {
-                    journal::belief("store_unreadable", json!({"why": why}));
+                    event_log::state_change("store_unreadable", json!({"why": why}));
                     ("unreadable", Err(Failure::Silent))
                 }
             },
--- a/crates/hawthornmill-gateway/src/trip/again.rs
+++ b/crates/hawthornmill-gateway/src/trip/again.rs
@@ -12,8 +12,8 @@
 use super::read::Call;
 use super::send::Answer;
 use super::settle::Trip;
+use crate::event_log;
 use crate::gateway::Gateway;
-use crate::journal;
 
 /// Servers that one request may fail to reach; each costs up to a connection's time.
 const MOST_UNREACHED: u32 = 3;
@@ -84,7 +84,7 @@
     why: &str,
 ) -> Next {
     let fields = json!({"server": gateway.server_name(server), "why": why});
-    journal::trouble("server_unreached", &call.attempt, fields);
+    event_log::request_problem("server_unreached", &call.attempt, fields);
     gateway.pool.drop_idle(server);
     judge(gateway, server, Verdict::Unreachable);
     trip.unreached += 1;
--- a/crates/hawthornmill-gateway/src/trip/mod.rs
+++ b/crates/hawthornmill-gateway/src/trip/mod.rs
@@ -30,8 +30,8 @@
 use serde_json::json;
 use tokio::net::tcp::OwnedWriteHalf;
 
+use crate::event_log;
 use crate::gateway::Gateway;
-use crate::journal;
 use admit::Admitted;
 use again::Next;
 use deliver::{Delivered, deliver, pass_whole};
@@ -235,7 +235,7 @@
 
 fn note_break(way: Way<'_>, server: ServerId, why: &str) {
     let fields = json!({"server": way.gateway.server_name(server), "why": why});
-    journal::trouble("server_broke_off", &way.call.attempt, fields);
+    event_log::request_problem("server_broke_off", &way.call.attempt, fields);
 }
 
 /// Ends a request for which there is no further server: with a failure that a server gave, or with
--- a/crates/hawthornmill-gateway/src/trip/settle.rs
+++ b/crates/hawthornmill-gateway/src/trip/settle.rs
@@ -11,8 +11,8 @@
 use super::read::Call;
 use super::reply::Reply;
 use super::{End, Way};
+use crate::event_log;
 use crate::gateway::Gateway;
-use crate::journal;
 
 /// Writes why the desk turned a request away.
 pub fn note_refusal(way: Way<'_>, request: &Request, refusal: &Refusal) {
@@ -30,7 +30,7 @@
         "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
         "link_wait_ms": gateway.link.borrow().wait(now).as_millis() as u64,
     });
-    journal::trouble("refused", &way.call.attempt, fields);
+    event_log::request_problem("refused", &way.call.attempt, fields);
 }
 
 /// How long this instance has known of a newer catalog than its own.
@@ -71,7 +71,7 @@
             "body_ms": call.came.duration_since(call.began).as_millis() as u64,
             "time_left_ms": admitted.request.ends.duration_since(call.came).as_millis() as u64,
         });
-        journal::step("admitted", &call.attempt, fields);
+        event_log::request_step("admitted", &call.attempt, fields);
     }
 
     /// The request goes to a server.
@@ -83,7 +83,7 @@
             "tokens_before_first": choice.ahead, "tokens_again": choice.again, "stray": choice.stray, "expected_ms": choice.expected.as_millis() as u64,
             "catalog": gateway.version(), "lag_ms": lag_ms(gateway), "registrations": gateway.desk.borrow().registry.latest(),
         });
-        journal::step("sent", &call.attempt, fields);
+        event_log::request_step("sent", &call.attempt, fields);
         self.servers.push(name);
         self.earlier |= std::mem::take(&mut self.this);
     }
@@ -163,9 +163,9 @@
             "took_ms": now.duration_since(call.came).as_millis() as u64,
         });
         if outcome == "answered" {
-            journal::step("ended", &call.attempt, fields);
+            event_log::request_step("ended", &call.attempt, fields);
         } else {
-            journal::trouble("ended", &call.attempt, fields);
+            event_log::request_problem("ended", &call.attempt, fields);
         }
     }
 }
