--- a/crates/hawthornmill-gateway/src/door.rs
+++ b/crates/hawthornmill-gateway/src/door.rs
@@ -70,7 +70,7 @@
 fn take(gateway: &Rc<Gateway>, stream: TcpStream) {
     if gateway.connections.get() >= MOST_CONNECTIONS {
         // Closed without a byte of a request read, so its caller may go elsewhere at once.
-        gateway.meters.turned_away("full");
+        gateway.metrics.connection_rejected("full");
         return;
     }
     let part = gateway.strain.get().part(gateway.now());
@@ -91,7 +91,7 @@
 fn turn_away(gateway: &Gateway, stream: &TcpStream) {
     let Some(attempt) = whole_request(gateway, stream) else {
         gateway.turned.borrow_mut().unread += 1;
-        gateway.meters.turned_away("unread");
+        gateway.metrics.connection_rejected("unread");
         return;
     };
     // Closed with unread bytes, the connection would be reset, and the reset overtake the answer.
@@ -103,7 +103,7 @@
     // A caller that is gone needs no answer, and the little that is written fits an empty socket.
     let _sent = send(stream.as_raw_fd(), &bytes.0, MsgFlags::MSG_DONTWAIT);
     gateway.turned.borrow_mut().told.push(attempt);
-    gateway.meters.turned_away("told");
+    gateway.metrics.connection_rejected("told");
 }
 
 /// The identity of the request on `stream`, if all of it has come and nothing else; nothing is taken from the
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -30,7 +30,7 @@
 use crate::adapter::Adapter;
 use crate::awaited::Awaited;
 use crate::event_log;
-use crate::meters::Meters;
+use crate::metrics::Metrics;
 use crate::pool::Pool;
 use crate::settings::Settings;
 
@@ -88,7 +88,7 @@
     /// Connections to servers.
     pub pool: Pool,
     /// Counters.
-    pub meters: Meters,
+    pub metrics: Metrics,
     /// Callers' connections that are open.
     pub connections: Cell<usize>,
     /// How full the instance's link is.
@@ -144,7 +144,7 @@
             awaited: Awaited::default(),
             mates: RefCell::new(Mates::new(place.domain)),
             pool: Pool::default(),
-            meters: Meters::default(),
+            metrics: Metrics::default(),
             connections: Cell::new(0),
             link: RefCell::default(),
             strain: Cell::default(),
--- a/crates/hawthornmill-gateway/src/lib.rs
+++ b/crates/hawthornmill-gateway/src/lib.rs
@@ -28,7 +28,7 @@
 pub mod gateway;
 pub mod http;
 pub mod mates;
-pub mod meters;
+pub mod metrics;
 pub mod pool;
 pub mod serve;
 pub mod settings;
--- /dev/null
+++ b/crates/hawthornmill-gateway/src/metrics.rs
@@ -0,0 +1,156 @@
+//! Counters and latency histograms, in the text format of Prometheus.
+
+use std::sync::atomic::AtomicU64;
+use std::time::Duration;
+
+use prometheus_client::encoding::text::encode;
+use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, LabelValueEncoder};
+use prometheus_client::metrics::counter::Counter;
+use prometheus_client::metrics::family::Family;
+use prometheus_client::metrics::gauge::Gauge;
+use prometheus_client::metrics::histogram::Histogram;
+use prometheus_client::registry::Registry;
+
+/// Upper bounds of the histogram buckets; latency objectives are between 200 and 1,000 ms.
+const BUCKET_BOUNDS_MS: [f64; 12] = [
+    5.0, 10.0, 25.0, 50.0, 100.0, 200.0, 300.0, 500.0, 800.0, 1_500.0, 3_000.0, 10_000.0,
+];
+
+/// The name of a service as the value of a label.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct ServiceName(Box<str>);
+
+impl EncodeLabelValue for ServiceName {
+    fn encode(&self, encoder: &mut LabelValueEncoder<'_>) -> std::fmt::Result {
+        (&*self.0).encode(encoder)
+    }
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
+struct RequestLabels {
+    service: ServiceName,
+    outcome: &'static str,
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
+struct ServiceLabels {
+    service: ServiceName,
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
+struct OutcomeLabels {
+    outcome: &'static str,
+}
+
+type CounterFamily<L> = Family<L, Counter<u64, AtomicU64>>;
+
+/// The counters of a process.
+#[derive(Debug)]
+pub struct Metrics {
+    registry: Registry,
+    requests: CounterFamily<RequestLabels>,
+    resends: CounterFamily<ServiceLabels>,
+    store_calls: CounterFamily<OutcomeLabels>,
+    connects: Counter<u64, AtomicU64>,
+    rejected: CounterFamily<OutcomeLabels>,
+    response_starts: Family<ServiceLabels, Histogram, fn() -> Histogram>,
+}
+
+impl Default for Metrics {
+    fn default() -> Self {
+        let response_starts: fn() -> Histogram = || Histogram::new(BUCKET_BOUNDS_MS);
+        let mut metrics = Self {
+            registry: Registry::with_prefix("hawthornmill"),
+            requests: Family::default(),
+            resends: Family::default(),
+            store_calls: Family::default(),
+            connects: Counter::default(),
+            rejected: Family::default(),
+            response_starts: Family::new_with_constructor(response_starts),
+        };
+        let registry = &mut metrics.registry;
+        registry.register("requests", "Requests that ended", metrics.requests.clone());
+        registry.register("resends", "Second sends", metrics.resends.clone());
+        registry.register(
+            "store_calls",
+            "Calls of the store",
+            metrics.store_calls.clone(),
+        );
+        registry.register(
+            "connects",
+            "New connections to servers",
+            metrics.connects.clone(),
+        );
+        let help = "Connections turned away because the process was behind or full";
+        registry.register("turned_away", help, metrics.rejected.clone());
+        let help = "Time to the answer's begin in milliseconds";
+        registry.register("begin_milliseconds", help, metrics.response_starts.clone());
+        metrics
+    }
+}
+
+fn service_labels(service: &str) -> ServiceLabels {
+    ServiceLabels {
+        service: ServiceName(service.into()),
+    }
+}
+
+impl Metrics {
+    /// Counts a request that ended.
+    pub fn request_ended(&self, service: &str, outcome: &'static str) {
+        let service = ServiceName(service.into());
+        self.requests
+            .get_or_create(&RequestLabels { service, outcome })
+            .inc();
+    }
+
+    /// Counts a request that was sent to another server.
+    pub fn request_resent(&self, service: &str) {
+        self.resends.get_or_create(&service_labels(service)).inc();
+    }
+
+    /// Counts a call of the store.
+    pub fn store_called(&self, outcome: &'static str) {
+        self.store_calls
+            .get_or_create(&OutcomeLabels { outcome })
+            .inc();
+    }
+
+    /// Counts a new connection to a server.
+    pub fn server_connected(&self) {
+        self.connects.inc();
+    }
+
+    /// Counts a client connection that was rejected.
+    pub fn connection_rejected(&self, outcome: &'static str) {
+        self.rejected
+            .get_or_create(&OutcomeLabels { outcome })
+            .inc();
+    }
+
+    /// Records that a response started `time` after its request arrived.
+    pub fn response_started(&self, service: &str, time: Duration) {
+        let millis = time.as_secs_f64() * 1000.0;
+        self.response_starts
+            .get_or_create(&service_labels(service))
+            .observe(millis);
+    }
+
+    /// Encodes all counters and `gauges`, given as name, help text and value.
+    pub fn encode(&self, gauges: &[(&'static str, &'static str, i64)]) -> String {
+        let mut gauge_registry = Registry::with_prefix("hawthornmill");
+        for (name, help, value) in gauges {
+            let gauge = Gauge::<i64>::default();
+            gauge.set(*value);
+            gauge_registry.register(*name, *help, gauge);
+        }
+        let (mut counter_text, mut text) = (String::new(), String::new());
+        // Writing to a string can't fail.
+        let _encoded = encode(&mut counter_text, &self.registry);
+        let _encoded = encode(&mut text, &gauge_registry);
+        // Each part ends with an end-of-file line, which may only occur once.
+        let end = counter_text.rfind("# EOF").unwrap_or(counter_text.len());
+        counter_text.truncate(end);
+        counter_text + &text
+    }
+}
--- a/crates/hawthornmill-gateway/src/side.rs
+++ b/crates/hawthornmill-gateway/src/side.rs
@@ -178,7 +178,7 @@
     let mates = gateway.mates.borrow().live(now).count();
     let count = |value: usize| value.cast_signed() as i64;
     let number = |value: u64| value.cast_signed();
-    gateway.meters.text(&[
+    gateway.metrics.encode(&[
         (
             "catalog_version",
             "Catalog in force",
--- a/crates/hawthornmill-gateway/src/store.rs
+++ b/crates/hawthornmill-gateway/src/store.rs
@@ -289,7 +289,7 @@
             Ok(Err(_)) => ("broken", Err(Failure::Silent)),
             Err(_elapsed) => ("silent", Err(Failure::Silent)),
         };
-        self.gateway.meters.store(outcome);
+        self.gateway.metrics.store_called(outcome);
         if matches!(result, Err(Failure::Silent)) {
             self.link = None;
         }
--- a/crates/hawthornmill-gateway/src/trip/again.rs
+++ b/crates/hawthornmill-gateway/src/trip/again.rs
@@ -61,7 +61,7 @@
         .budget
         .take(service, gateway.now());
     if taken {
-        gateway.meters.resent(&admitted.service_name);
+        gateway.metrics.request_resent(&admitted.service_name);
     }
     taken
 }
--- a/crates/hawthornmill-gateway/src/trip/mod.rs
+++ b/crates/hawthornmill-gateway/src/trip/mod.rs
@@ -138,8 +138,8 @@
         self.gateway.tell_work();
         let whole = now.duration_since(request.came);
         self.gateway
-            .meters
-            .began(&self.admitted.service_name, whole);
+            .metrics
+            .response_started(&self.admitted.service_name, whole);
     }
 }
 
--- a/crates/hawthornmill-gateway/src/trip/send.rs
+++ b/crates/hawthornmill-gateway/src/trip/send.rs
@@ -97,7 +97,7 @@
         Err(error) => return Sent::Unreached(error.to_string().into()),
     };
     if !upstream.reused {
-        gateway.meters.connected();
+        gateway.metrics.server_connected();
     }
     let bytes = request(gateway, call, admitted, trip, &name);
     let written = match write(&mut upstream, &bytes.0, trip).await {
--- a/crates/hawthornmill-gateway/src/trip/settle.rs
+++ b/crates/hawthornmill-gateway/src/trip/settle.rs
@@ -154,7 +154,7 @@
             Some((route, service)) => (&**route, &**service),
             None => ("none", "none"),
         };
-        gateway.meters.ended(service, outcome);
+        gateway.metrics.request_ended(service, outcome);
         let fields = json!({
             "outcome": outcome, "status": self.status, "code": self.code.map(Code::number),
             "route": route, "service": service, "servers": self.servers, "sends": self.arrivals,
