--- a/crates/hawthornmill-gateway/src/daemon.rs
+++ b/crates/hawthornmill-gateway/src/daemon.rs
@@ -20,7 +20,7 @@
 use crate::gateway::{Gateway, Phase, sweeps, ticks, turns};
 use crate::settings::Settings;
 use crate::side::Side;
-use crate::{catching_up, door, event_log, mates, side, store};
+use crate::{catching_up, door, event_log, gossip, side, store};
 
 /// Time for which a leaving process takes requests of callers that have not heard of it.
 ///
@@ -108,8 +108,8 @@
     let datagrams = Rc::new(Datagrams::new(sockets.news, sealer));
     spawn_local(store::follow(Rc::clone(gateway), store::Topic::Catalog));
     spawn_local(store::follow(Rc::clone(gateway), store::Topic::Servers));
-    spawn_local(mates::tell(Rc::clone(gateway), Rc::clone(&datagrams)));
-    spawn_local(mates::hear(Rc::clone(gateway), Rc::clone(&datagrams)));
+    spawn_local(gossip::send_news(Rc::clone(gateway), Rc::clone(&datagrams)));
+    spawn_local(gossip::receive(Rc::clone(gateway), Rc::clone(&datagrams)));
     spawn_local(catching_up::catch_up(Rc::clone(gateway), datagrams));
     spawn_local(catching_up::answer(Rc::clone(gateway), sockets.peer));
     for (listener, side) in sockets.sides {
--- a/crates/hawthornmill-gateway/src/mates.rs
+++ b/crates/hawthornmill-gateway/src/gossip.rs
@@ -33,7 +33,7 @@
 const MOST_ECHOES: u32 = 6;
 
 /// Sends news for as long as the process lives.
-pub async fn tell(gateway: Rc<Gateway>, datagrams: Rc<Datagrams>) {
+pub async fn send_news(gateway: Rc<Gateway>, datagrams: Rc<Datagrams>) {
     let mut round = 0;
     let mut due = tokio::time::Instant::now();
     loop {
@@ -177,7 +177,7 @@
 }
 
 /// Takes news for as long as the process lives.
-pub async fn hear(gateway: Rc<Gateway>, datagrams: Rc<Datagrams>) {
+pub async fn receive(gateway: Rc<Gateway>, datagrams: Rc<Datagrams>) {
     let mut opener = Opener::new(gateway.settings().key, datagrams::CHANNEL);
     let mut buffer = vec![0; 65_536];
     let mut echoes = 0;
--- a/crates/hawthornmill-gateway/src/lib.rs
+++ b/crates/hawthornmill-gateway/src/lib.rs
@@ -11,7 +11,7 @@
 //! | [`trip`] | one request: admit, wait, send, deliver, settle |
 //! | [`pool`] | connections to servers |
 //! | [`store`] | following the platform's store |
-//! | [`datagrams`], [`mates`] | datagrams, and the news in them |
+//! | [`datagrams`], [`gossip`] | datagrams, and the news in them |
 //! | [`catching_up`], [`awaited`] | getting from other instances what they know and this one does not |
 //! | [`side`] | state, directory, metrics |
 //! | [`event_log`], [`metrics`] | the log and the counters |
@@ -26,8 +26,8 @@
 pub mod door;
 pub mod event_log;
 pub mod gateway;
+pub mod gossip;
 pub mod http;
-pub mod mates;
 pub mod metrics;
 pub mod pool;
 pub mod serve;
