--- a/crates/hawthornmill-gateway/src/catching_up.rs
+++ b/crates/hawthornmill-gateway/src/catching_up.rs
@@ -42,7 +42,7 @@
         })
     };
     let now = gateway.now();
-    let parts = gateway.answers.borrow_mut().parts(wanted, newest, now);
+    let parts = gateway.state_cache.borrow_mut().parts(wanted, newest, now);
     for part in parts {
         datagrams.send(&Message::Part(part), [to]);
     }
@@ -77,7 +77,7 @@
     mate: SocketAddr,
     pull: Pull,
 ) -> Result<Knowledge, Unanswered> {
-    let awaited = &gateway.awaited;
+    let awaited = &gateway.pending_state;
     awaited.expect(mate);
     let mut empty = 0;
     while empty < MOST_EMPTY {
@@ -150,8 +150,8 @@
 /// Whom to ask for more than `pull` says, those in `mute` left out.
 fn ahead(gateway: &Gateway, pull: Pull, mute: &[(SocketAddr, Instant)]) -> SmallVec<[Heard; 2]> {
     let mute: Vec<SocketAddr> = mute.iter().map(|(mate, _)| *mate).collect();
-    let mates = gateway.mates.borrow();
-    mates.ahead(pull.version, pull.revision, &mute, gateway.now())
+    let peers = gateway.peers.borrow();
+    peers.ahead(pull.version, pull.revision, &mute, gateway.now())
 }
 
 /// How far a question over a connection is.
@@ -182,7 +182,7 @@
     let step = format!("{:?}", step.get());
     note_answer(gateway, mate, began, &step, why.as_deref());
     if why.is_some() {
-        patience.missed(gateway.mates.borrow().is_heard_since(mate, began));
+        patience.missed(gateway.peers.borrow().is_heard_since(mate, began));
     }
     why.is_none()
 }
@@ -224,7 +224,7 @@
     let channel = link.read_u64_le().await?;
     step.set(Step::Asked);
     let key = gateway.settings().key;
-    let mut sealer = Sealer::new(key, gateway.me, gateway.incarnation, channel);
+    let mut sealer = Sealer::new(key, gateway.id, gateway.incarnation, channel);
     send(&mut link, &mut sealer, &Message::Pull(pull)).await?;
     let mut opener = Opener::new(key, channel);
     match receive(&mut link, &mut opener).await? {
@@ -274,7 +274,7 @@
         return Err(std::io::ErrorKind::InvalidData.into());
     };
     let knowledge = knowledge(gateway, pull);
-    let mut sealer = Sealer::new(key, gateway.me, gateway.incarnation, channel);
+    let mut sealer = Sealer::new(key, gateway.id, gateway.incarnation, channel);
     send(
         &mut link,
         &mut sealer,
--- a/crates/hawthornmill-gateway/src/daemon.rs
+++ b/crates/hawthornmill-gateway/src/daemon.rs
@@ -104,7 +104,7 @@
 
 fn start(gateway: &Rc<Gateway>, sockets: Sockets) {
     let key = gateway.settings().key;
-    let sealer = Sealer::new(key, gateway.me, gateway.incarnation, datagrams::CHANNEL);
+    let sealer = Sealer::new(key, gateway.id, gateway.incarnation, datagrams::CHANNEL);
     let datagrams = Rc::new(Datagrams::new(sockets.news, sealer));
     spawn_local(store::follow(Rc::clone(gateway), store::Topic::Catalog));
     spawn_local(store::follow(Rc::clone(gateway), store::Topic::Servers));
@@ -152,14 +152,14 @@
 async fn leave(gateway: &Gateway) -> usize {
     let promises = gateway.settings().promises;
     let end = tokio::time::Instant::now() + promises.grace.saturating_sub(BEFORE_GRACE);
-    event_log::state_change("leaving", json!({"under_way": gateway.flying.get()}));
+    event_log::state_change("leaving", json!({"under_way": gateway.in_flight.get()}));
     gateway.enter(Phase::Leaving);
     tokio::time::sleep(promises.ttl * OLD_ANSWERS).await;
     gateway.enter(Phase::Closed);
-    while gateway.flying.get() > 0 && tokio::time::Instant::now() < end {
+    while gateway.in_flight.get() > 0 && tokio::time::Instant::now() < end {
         tokio::time::sleep(LOOK).await;
     }
-    gateway.flying.get()
+    gateway.in_flight.get()
 }
 
 /// Takes changed settings; a file with faults changes nothing.
--- a/crates/hawthornmill-gateway/src/door.rs
+++ b/crates/hawthornmill-gateway/src/door.rs
@@ -90,7 +90,7 @@
 /// Tells the caller when to come back, if its whole request is there; else closes the connection unread.
 fn turn_away(gateway: &Gateway, stream: &TcpStream) {
     let Some(attempt) = whole_request(gateway, stream) else {
-        gateway.turned.borrow_mut().unread += 1;
+        gateway.rejected.borrow_mut().unread += 1;
         gateway.metrics.connection_rejected("unread");
         return;
     };
@@ -102,7 +102,7 @@
     let bytes = Reply::again(Code::InstanceFull, COME_BACK).bytes(gateway, Some(&attempt), true);
     // A caller that is gone needs no answer, and the little that is written fits an empty socket.
     let _sent = send(stream.as_raw_fd(), &bytes.0, MsgFlags::MSG_DONTWAIT);
-    gateway.turned.borrow_mut().told.push(attempt);
+    gateway.rejected.borrow_mut().answered.push(attempt);
     gateway.metrics.connection_rejected("told");
 }
 
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -51,9 +51,9 @@
 
 /// Connections that were turned away because the process was behind.
 #[derive(Debug, Default)]
-pub struct Turned {
+pub struct RejectedConnections {
     /// Requests that were told when to come back.
-    pub told: Vec<Box<str>>,
+    pub answered: Vec<Box<str>>,
     /// Connections that were closed unread.
     pub unread: u64,
 }
@@ -68,7 +68,7 @@
     /// Source of time.
     pub clock: Clock,
     /// This instance's key.
-    pub me: InstanceId,
+    pub id: InstanceId,
     /// This process run.
     pub incarnation: Incarnation,
     /// Decisions.
@@ -76,15 +76,15 @@
     /// Catalog in force.
     pub table: RefCell<Option<Rc<Table>>>,
     /// Catalogs that others have and this instance has not.
-    pub lag: RefCell<Lag>,
+    pub catalog_lag: RefCell<Lag>,
     /// Servers that leave, as heard lately.
-    pub leavers: RefCell<Leavers>,
+    pub leaving_servers: RefCell<Leavers>,
     /// What this instance told others lately of what it knows.
-    pub answers: RefCell<RecentAnswers>,
+    pub state_cache: RefCell<RecentAnswers>,
     /// What another instance tells of what it knows.
-    pub awaited: Awaited,
+    pub pending_state: Awaited,
     /// The other instances.
-    pub mates: RefCell<Mates>,
+    pub peers: RefCell<Mates>,
     /// Connections to servers.
     pub pool: Pool,
     /// Counters.
@@ -96,21 +96,21 @@
     /// How late the process is with its work.
     pub strain: Cell<Strain>,
     /// Connections turned away since the log told of them.
-    pub turned: RefCell<Turned>,
+    pub rejected: RefCell<RejectedConnections>,
     /// Requests under way.
-    pub flying: Cell<usize>,
+    pub in_flight: Cell<usize>,
     /// Bytes of bodies in memory.
-    pub bodies: Cell<usize>,
+    pub body_bytes: Cell<usize>,
     /// The catalog or the registrations came from the store or a mate since the start.
-    pub listed: Cell<bool>,
+    pub has_registrations: Cell<bool>,
     /// What this instance has to do with the store.
-    pub reading: Cell<Reading>,
+    pub store_access: Cell<Reading>,
     /// A place came free, or something else that waiting requests depend on changed.
-    pub nudge: Notify,
+    pub queue_wakeup: Notify,
     /// Something that the others should hear at once changed.
-    pub hurry: Notify,
+    pub news_wakeup: Notify,
     /// The others should hear of this instance's work before its next news.
-    pub stir: Notify,
+    pub work_wakeup: Notify,
     phase: watch::Sender<Phase>,
     waiters: RefCell<SecondaryMap<Ticket, oneshot::Sender<Result<Choice, Refusal>>>>,
 }
@@ -131,31 +131,31 @@
         let mut desk = Desk::new(place, Budget::new(settings.promises.resends, now));
         desk.regions.clone_from(&settings.regions);
         Rc::new(Self {
-            me: InstanceId::of(&settings.name),
+            id: InstanceId::of(&settings.name),
             settings: RefCell::new(Rc::new(settings)),
             adapter,
             clock,
             incarnation,
             desk: RefCell::new(desk),
             table: RefCell::default(),
-            lag: RefCell::default(),
-            leavers: RefCell::default(),
-            answers: RefCell::default(),
-            awaited: Awaited::default(),
-            mates: RefCell::new(Mates::new(place.domain)),
+            catalog_lag: RefCell::default(),
+            leaving_servers: RefCell::default(),
+            state_cache: RefCell::default(),
+            pending_state: Awaited::default(),
+            peers: RefCell::new(Mates::new(place.domain)),
             pool: Pool::default(),
             metrics: Metrics::default(),
             connections: Cell::new(0),
             link: RefCell::default(),
             strain: Cell::default(),
-            turned: RefCell::default(),
-            flying: Cell::new(0),
-            bodies: Cell::new(0),
-            listed: Cell::new(false),
-            reading: Cell::new(Reading::Answered),
-            nudge: Notify::new(),
-            hurry: Notify::new(),
-            stir: Notify::new(),
+            rejected: RefCell::default(),
+            in_flight: Cell::new(0),
+            body_bytes: Cell::new(0),
+            has_registrations: Cell::new(false),
+            store_access: Cell::new(Reading::Answered),
+            queue_wakeup: Notify::new(),
+            news_wakeup: Notify::new(),
+            work_wakeup: Notify::new(),
             phase: watch::Sender::new(Phase::Serving),
             waiters: RefCell::default(),
         })
@@ -200,12 +200,12 @@
     /// Goes on to `phase`.
     pub fn enter(&self, phase: Phase) {
         self.phase.send_replace(phase);
-        self.hurry.notify_one();
+        self.news_wakeup.notify_one();
     }
 
     /// Tells whether callers may be sent here.
     pub fn is_ready(&self) -> bool {
-        let known = self.listed.get() && self.table.borrow().is_some();
+        let known = self.has_registrations.get() && self.table.borrow().is_some();
         self.phase() == Phase::Serving && known && !self.is_outdated()
     }
 
@@ -215,7 +215,8 @@
     pub fn is_outdated(&self) -> bool {
         let now = self.now();
         let late = self.settings().promises.apply.mul_f64(OUTDATED);
-        self.lag.borrow().time(now) > late && self.mates.borrow().has_newer(self.version(), now)
+        self.catalog_lag.borrow().time(now) > late
+            && self.peers.borrow().has_newer(self.version(), now)
     }
 
     /// Puts `catalog` in force unless an equal or newer one is; `from` is told in the log.
@@ -230,9 +231,9 @@
                 event_log::state_change("catalog_in_force", fields);
                 self.desk.borrow_mut().token_rate = table.limits().token_rate;
                 *self.table.borrow_mut() = Some(Rc::new(table));
-                self.lag.borrow_mut().reach(version);
-                self.nudge.notify_one();
-                self.hurry.notify_one();
+                self.catalog_lag.borrow_mut().reach(version);
+                self.queue_wakeup.notify_one();
+                self.news_wakeup.notify_one();
             }
             Err((code, what)) => {
                 let fields = json!({"version": version, "code": code.number(), "why": what});
@@ -244,7 +245,7 @@
     /// Another instance decides by the catalog of `version`.
     pub fn hear_version(&self, version: u64) {
         let (own, now) = (self.version(), self.now());
-        self.lag.borrow_mut().hear(version, own, now);
+        self.catalog_lag.borrow_mut().hear(version, own, now);
     }
 
     /// Takes one change of the registrations.
@@ -252,7 +253,7 @@
         let (told, leaving) = (describe(&change, from), change.leaving());
         if self.desk.borrow_mut().register(change, self.now()) {
             event_log::state_change("registration", told);
-            self.nudge.notify_one();
+            self.queue_wakeup.notify_one();
             if let Some(leaving) = leaving {
                 self.tell_leaving(leaving, Source::Store);
             }
@@ -272,8 +273,10 @@
     }
 
     fn tell_leaving(&self, leaving: Leaving, source: Source) {
-        self.leavers.borrow_mut().hear(leaving, source, self.now());
-        self.hurry.notify_one();
+        self.leaving_servers
+            .borrow_mut()
+            .hear(leaving, source, self.now());
+        self.news_wakeup.notify_one();
     }
 
     /// An entry was removed at `revision`, maybe since the store was away.
@@ -294,8 +297,8 @@
         });
         event_log::state_change("registrations_listed", fields);
         self.desk.borrow_mut().list(list, self.now());
-        self.listed.set(true);
-        self.nudge.notify_one();
+        self.has_registrations.set(true);
+        self.queue_wakeup.notify_one();
     }
 
     /// Waits until the desk decides on `request`.
@@ -347,14 +350,14 @@
     /// Lets the others hear of this instance's work if much of it has changed.
     pub fn tell_work(&self) {
         if self.desk.borrow().loads.is_untold() {
-            self.stir.notify_one();
+            self.work_wakeup.notify_one();
         }
     }
 
     /// A request is no longer under way at its server.
     pub fn release(&self, choice: &Choice, began: bool) {
         self.desk.borrow_mut().ended(choice, began);
-        self.nudge.notify_one();
+        self.queue_wakeup.notify_one();
     }
 
     /// Idle connections that this instance may keep to `server`; none once it is gone.
@@ -374,7 +377,7 @@
         let table = self.table();
         let bound = table.and_then(|t| Some(t.service(service)?.connections as usize));
         match bound {
-            Some(bound) if bound > 0 => (bound / 2 / self.mates.borrow().most().max(1)).max(1),
+            Some(bound) if bound > 0 => (bound / 2 / self.peers.borrow().most().max(1)).max(1),
             _ => usize::MAX,
         }
     }
@@ -433,11 +436,11 @@
     loop {
         if gateway.desk.borrow().waiting() > 0 {
             tokio::select! {
-                () = gateway.nudge.notified() => {}
+                () = gateway.queue_wakeup.notified() => {}
                 () = tokio::time::sleep(LOOK) => {}
             }
         } else {
-            gateway.nudge.notified().await;
+            gateway.queue_wakeup.notified().await;
         }
         gateway.turn();
     }
@@ -460,13 +463,13 @@
 
 /// One line for all connections that were turned away since the last one: a flood has thousands a second.
 fn tell_turned(gateway: &Gateway, late: Duration) {
-    let turned = gateway.turned.take();
-    if turned.unread == 0 && turned.told.is_empty() {
+    let rejected = gateway.rejected.take();
+    if rejected.unread == 0 && rejected.answered.is_empty() {
         return;
     }
     let fields = json!({
-        "code": Code::InstanceFull.number(), "late_ms": late.as_millis() as u64, "unread": turned.unread,
-        "connections": gateway.connections.get(), "requests": turned.told,
+        "code": Code::InstanceFull.number(), "late_ms": late.as_millis() as u64, "unread": rejected.unread,
+        "connections": gateway.connections.get(), "requests": rejected.answered,
     });
     event_log::state_change("turned_away", fields);
 }
--- a/crates/hawthornmill-gateway/src/gossip.rs
+++ b/crates/hawthornmill-gateway/src/gossip.rs
@@ -39,10 +39,10 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep_until(due) => {}
-            () = gateway.hurry.notified() => tokio::time::sleep(LEAST_PAUSE).await,
-            () = gateway.stir.notified() => {
+            () = gateway.news_wakeup.notified() => tokio::time::sleep(LEAST_PAUSE).await,
+            () = gateway.work_wakeup.notified() => {
                 tell_work(&gateway, &datagrams);
-                let large = gateway.mates.borrow().is_large();
+                let large = gateway.peers.borrow().is_large();
                 let pause = if large { WORK_PAUSE_LARGE } else { WORK_PAUSE };
                 tokio::time::sleep(pause).await;
                 continue;
@@ -53,10 +53,10 @@
         let now = gateway.now();
         let settings = gateway.settings();
         let targets = gateway
-            .mates
+            .peers
             .borrow_mut()
             .targets(&settings.seeds, round, now);
-        let most = gateway.mates.borrow().most();
+        let most = gateway.peers.borrow().most();
         gateway.desk.borrow_mut().budget.share_among(most);
         let news = news(&gateway, round, now);
         let others = targets.iter().filter(|t| **t != settings.listen.peer);
@@ -68,9 +68,9 @@
 
 /// Tells those nearby which servers leave, as the store told this instance.
 fn tell_leaving(gateway: &Gateway, datagrams: &Datagrams, now: Instant) {
-    let leaving = gateway.leavers.borrow().near(now);
+    let leaving = gateway.leaving_servers.borrow().near(now);
     if !leaving.is_empty() {
-        let near = gateway.mates.borrow().near(now);
+        let near = gateway.peers.borrow().near(now);
         datagrams.send(&Message::Leaving(leaving), near);
     }
 }
@@ -78,14 +78,14 @@
 /// Tells the other failure domains what this one has, if this instance is one of its relays.
 fn relay(gateway: &Gateway, datagrams: &Datagrams, round: u64) {
     let now = gateway.now();
-    let Some(rank) = gateway.mates.borrow().relay_rank(gateway.me, now) else {
+    let Some(rank) = gateway.peers.borrow().relay_rank(gateway.id, now) else {
         return;
     };
-    let targets = gateway.mates.borrow().relays(rank, round, now);
+    let targets = gateway.peers.borrow().relays(rank, round, now);
     if targets.is_empty() {
         return;
     }
-    let leaving = gateway.leavers.borrow().far(now);
+    let leaving = gateway.leaving_servers.borrow().far(now);
     let leaving = (!leaving.is_empty()).then_some(Message::Leaving(leaving));
     for message in leaving.into_iter().chain(domain_news(gateway, now)) {
         datagrams.send(&message, targets.iter().copied());
@@ -94,9 +94,9 @@
 
 fn domain_news(gateway: &Gateway, now: Instant) -> Vec<Message> {
     let settings = gateway.settings();
-    let mates = gateway.mates.borrow();
+    let peers = gateway.peers.borrow();
     let mut desk = gateway.desk.borrow_mut();
-    let mut members: Vec<Member> = mates
+    let mut members: Vec<Member> = peers
         .domain_mates(now)
         .map(|(id, h)| Member {
             id,
@@ -111,12 +111,12 @@
         .collect();
     let ids: Vec<InstanceId> = members.iter().map(|m| m.id).collect();
     members.push(Member {
-        id: gateway.me,
+        id: gateway.id,
         run: gateway.incarnation,
         mate: mate(gateway),
         ready: gateway.is_ready(),
         leaving: gateway.phase() > Phase::Serving,
-        reading: gateway.reading.get(),
+        reading: gateway.store_access.get(),
         version: gateway.version(),
         revision: desk.registry.latest(),
     });
@@ -150,7 +150,7 @@
         work.truncate(MOST_TOLD);
         work
     };
-    let near = gateway.mates.borrow().near(gateway.now());
+    let near = gateway.peers.borrow().near(gateway.now());
     datagrams.send(&Message::Work(work), near);
 }
 
@@ -165,14 +165,14 @@
         mate: mate(gateway),
         ready: gateway.is_ready(),
         leaving: gateway.phase() > Phase::Serving,
-        reading: gateway.reading.get(),
+        reading: gateway.store_access.get(),
         version: gateway.version(),
         revision: desk.registry.latest(),
         work,
         usage,
         strays: desk.told_strays(now),
         short: desk.told_short(now),
-        others: gateway.mates.borrow().named(round, now),
+        others: gateway.peers.borrow().named(round, now),
     }
 }
 
@@ -188,7 +188,7 @@
             continue;
         };
         match opener.open(&buffer[..length]) {
-            Ok(frame) if frame.sender == gateway.me => {}
+            Ok(frame) if frame.sender == gateway.id => {}
             Ok(frame) => {
                 if is_relayed(&frame.message) {
                     pass_on(&gateway, &datagrams, &buffer[..length], from);
@@ -220,11 +220,11 @@
 /// What came from the own domain was passed on by another relay.
 fn pass_on(gateway: &Gateway, datagrams: &Datagrams, frame: &[u8], from: SocketAddr) {
     let now = gateway.now();
-    let mates = gateway.mates.borrow();
-    if mates.relay_rank(gateway.me, now).is_none() || mates.is_domain_mate(from) {
+    let peers = gateway.peers.borrow();
+    if peers.relay_rank(gateway.id, now).is_none() || peers.is_domain_mate(from) {
         return;
     }
-    let near = mates.domain_mates(now).map(|(_, mate)| mate.mate.peer);
+    let near = peers.domain_mates(now).map(|(_, mate)| mate.mate.peer);
     datagrams.send_frame(frame, near);
 }
 
@@ -237,11 +237,11 @@
         Message::News(news) => take_news(gateway, sender, run, &news),
         Message::Work(work) => gateway.desk.borrow_mut().loads.hear(sender, work, now),
         Message::Members(told) if told.domain != own => {
-            for member in told.members.iter().filter(|m| m.id != gateway.me) {
+            for member in told.members.iter().filter(|m| m.id != gateway.id) {
                 gateway.hear_version(member.version);
-                let mut mates = gateway.mates.borrow_mut();
-                if let Some(change) = mates.hear_member(member, now) {
-                    note(change, member.mate.peer, mates.live(now).count());
+                let mut peers = gateway.peers.borrow_mut();
+                if let Some(change) = peers.hear_member(member, now) {
+                    note(change, member.mate.peer, peers.live(now).count());
                 }
             }
             gateway.desk.borrow_mut().hear_members(&told, now);
@@ -251,7 +251,7 @@
         }
         Message::Leaving(all) => gateway.hear_leaving(&all),
         Message::Wanted(wanted) => catching_up::tell_parts(gateway, datagrams, from, &wanted),
-        Message::Part(part) => gateway.awaited.take(from, part),
+        Message::Part(part) => gateway.pending_state.take(from, part),
         _ => {}
     }
 }
@@ -259,19 +259,19 @@
 fn take_news(gateway: &Gateway, sender: InstanceId, run: Incarnation, news: &News) {
     let now = gateway.now();
     gateway.hear_version(news.version);
-    let mut mates = gateway.mates.borrow_mut();
-    if let Some(change) = mates.hear(sender, run, news, now) {
-        note(change, news.mate.peer, mates.live(now).count());
+    let mut peers = gateway.peers.borrow_mut();
+    if let Some(change) = peers.hear(sender, run, news, now) {
+        note(change, news.mate.peer, peers.live(now).count());
     }
     let own = gateway.settings().domain;
-    if mates.is_large() && news.mate.domain != own {
+    if peers.is_large() && news.mate.domain != own {
         // Its domain's sums hold the same; counted here too, its work would count twice.
         return;
     }
     let mut desk = gateway.desk.borrow_mut();
     desk.hear(sender, news, now);
     if desk.waiting() > 0 {
-        gateway.nudge.notify_one();
+        gateway.queue_wakeup.notify_one();
     }
 }
 
--- a/crates/hawthornmill-gateway/src/serve.rs
+++ b/crates/hawthornmill-gateway/src/serve.rs
@@ -108,7 +108,7 @@
             Next::Refuse(code) => return turn_away(gateway, code, &mut reader, out).await,
             Next::Closed => return,
         };
-        let _flying = Open::count(&gateway.flying);
+        let _flying = Open::count(&gateway.in_flight);
         let elsewhere = gateway.phase() >= Phase::Leaving || gateway.is_outdated();
         let last = call.head.closes() || elsewhere;
         let crowded = gateway.connections.get() > MANY_CONNECTIONS;
--- a/crates/hawthornmill-gateway/src/side.rs
+++ b/crates/hawthornmill-gateway/src/side.rs
@@ -143,8 +143,8 @@
 fn addresses(gateway: &Gateway, question: &DirectoryQuery) -> Vec<SocketAddr> {
     let settings = gateway.settings();
     let now = gateway.now();
-    let mates = gateway.mates.borrow();
-    let live = mates.live(now).filter(|(_, h)| h.ready && !h.leaving);
+    let peers = gateway.peers.borrow();
+    let live = peers.live(now).filter(|(_, h)| h.ready && !h.leaving);
     let mut all: Vec<(DomainId, SocketAddr)> =
         live.map(|(_, h)| (h.mate.domain, h.mate.front)).collect();
     if gateway.is_ready() {
@@ -175,7 +175,7 @@
     let work = desk.loads.own();
     let running: u32 = work.iter().map(|(_, w)| w.running).sum();
     let unread: u32 = work.iter().map(|(_, w)| w.unread).sum();
-    let mates = gateway.mates.borrow().live(now).count();
+    let peers = gateway.peers.borrow().live(now).count();
     let count = |value: usize| value.cast_signed() as i64;
     let number = |value: u64| value.cast_signed();
     gateway.metrics.encode(&[
@@ -194,7 +194,7 @@
             "Servers known",
             count(desk.registry.entries().count()),
         ),
-        ("mates", "Other instances heard", count(mates)),
+        ("mates", "Other instances heard", count(peers)),
         ("waiting", "Requests in line", count(desk.waiting())),
         ("running", "Requests at servers", i64::from(running)),
         (
@@ -202,7 +202,7 @@
             "Tokens sent and not begun",
             i64::from(unread),
         ),
-        ("flying", "Requests in all", count(gateway.flying.get())),
+        ("flying", "Requests in all", count(gateway.in_flight.get())),
         (
             "connections",
             "Callers' connections",
@@ -211,7 +211,7 @@
         (
             "body_bytes",
             "Bytes of bodies in memory",
-            count(gateway.bodies.get()),
+            count(gateway.body_bytes.get()),
         ),
     ])
 }
--- a/crates/hawthornmill-gateway/src/store.rs
+++ b/crates/hawthornmill-gateway/src/store.rs
@@ -110,15 +110,15 @@
     async fn rest(&self) {
         let gateway = &self.gateway;
         loop {
-            let known = gateway.listed.get() && gateway.version() > 0;
+            let known = gateway.has_registrations.get() && gateway.version() > 0;
             let now = gateway.now();
-            if !known || gateway.mates.borrow().should_read(gateway.me, now) {
-                if gateway.reading.get() == Reading::Idle {
-                    gateway.reading.set(Reading::Answered);
+            if !known || gateway.peers.borrow().should_read(gateway.id, now) {
+                if gateway.store_access.get() == Reading::Idle {
+                    gateway.store_access.set(Reading::Answered);
                 }
                 return;
             }
-            gateway.reading.set(Reading::Idle);
+            gateway.store_access.set(Reading::Idle);
             tokio::time::sleep(LOOK).await;
         }
     }
@@ -250,7 +250,7 @@
                 }
                 self.answered = now;
                 self.failures = 0;
-                self.gateway.reading.set(Reading::Answered);
+                self.gateway.store_access.set(Reading::Answered);
             }
             Err(Failure::HistoryLost) => {
                 event_log::state_change("store_history_lost", json!({"topic": topic}));
@@ -261,11 +261,11 @@
                     let fields = json!({"topic": topic, "how": format!("{failure:?}")});
                     event_log::state_change("store_lost", fields);
                 }
-                self.gateway.reading.set(Reading::Lost);
+                self.gateway.store_access.set(Reading::Lost);
                 if now.duration_since(self.answered) > AWAY {
                     self.returning = Some(now + RETURN);
                 }
-                let large = self.gateway.mates.borrow().is_large() && self.gateway.is_ready();
+                let large = self.gateway.peers.borrow().is_large() && self.gateway.is_ready();
                 let most = if large { AGAIN_LARGE } else { AGAIN.1 };
                 let pause = (AGAIN.0 * 2_u32.saturating_pow(self.failures)).min(most);
                 self.failures = (self.failures + 1).min(8);
--- a/crates/hawthornmill-gateway/src/trip/admit.rs
+++ b/crates/hawthornmill-gateway/src/trip/admit.rs
@@ -49,7 +49,7 @@
     let Some(table) = gateway.table() else {
         return Err(Reply::again(Code::NotReady, UNKNOWN_AGAIN));
     };
-    if !gateway.listed.get() || gateway.is_outdated() {
+    if !gateway.has_registrations.get() || gateway.is_outdated() {
         return Err(Reply::again(Code::NotReady, UNKNOWN_AGAIN));
     }
     let fields = &call.head.fields;
@@ -105,7 +105,7 @@
 ///
 /// Only the newest catalog can say so for good.
 fn unknown(gateway: &Gateway, code: Code) -> Reply {
-    if gateway.lag.borrow().is_some() {
+    if gateway.catalog_lag.borrow().is_some() {
         Reply::again(Code::NotReady, UNKNOWN_AGAIN)
     } else {
         Reply::new(code)
--- a/crates/hawthornmill-gateway/src/trip/read.rs
+++ b/crates/hawthornmill-gateway/src/trip/read.rs
@@ -35,8 +35,8 @@
 
 impl Drop for Call {
     fn drop(&mut self) {
-        let bodies = &self.held.bodies;
-        bodies.set(bodies.get() - self.body.len());
+        let body_bytes = &self.held.body_bytes;
+        body_bytes.set(body_bytes.get() - self.body.len());
     }
 }
 
@@ -76,7 +76,7 @@
     if known > limits.body_bytes {
         return Next::Refuse(Code::BodyTooLarge);
     }
-    if gateway.bodies.get() + known > MOST_BODIES {
+    if gateway.body_bytes.get() + known > MOST_BODIES {
         return Next::Refuse(Code::InstanceFull);
     }
     if framing != Framing::Empty && head.fields.lists("expect", "100-continue") {
@@ -95,7 +95,9 @@
 }
 
 fn call(gateway: &Rc<Gateway>, head: RequestHead, body: Bytes, began: Instant) -> Call {
-    gateway.bodies.set(gateway.bodies.get() + body.len());
+    gateway
+        .body_bytes
+        .set(gateway.body_bytes.get() + body.len());
     let attempt = head
         .fields
         .text(gateway.adapter.headers.attempt_id)
--- a/crates/hawthornmill-gateway/src/trip/settle.rs
+++ b/crates/hawthornmill-gateway/src/trip/settle.rs
@@ -35,7 +35,7 @@
 
 /// How long this instance has known of a newer catalog than its own.
 fn lag_ms(gateway: &Gateway) -> u64 {
-    let lag = gateway.lag.borrow();
+    let lag = gateway.catalog_lag.borrow();
     lag.time(gateway.now()).as_millis() as u64
 }
 
