--- a/crates/hawthornmill-gateway/src/catching_up.rs
+++ b/crates/hawthornmill-gateway/src/catching_up.rs
@@ -113,7 +113,7 @@
         let now = gateway.now();
         mute.retain(|(_, at)| now.duration_since(*at) < MUTE);
         let pull = Pull {
-            version: gateway.version(),
+            version: gateway.catalog_version(),
             revision: gateway.desk.borrow().registry.latest(),
         };
         let ahead = ahead(&gateway, pull, &mute);
@@ -198,7 +198,7 @@
 fn learn(gateway: &Gateway, knowledge: Knowledge, from: SocketAddr) {
     let from = from.to_string();
     if let Some(catalog) = knowledge.catalog {
-        gateway.accept(catalog, &from);
+        gateway.apply_catalog(catalog, &from);
     }
     if let Some(entries) = knowledge.servers {
         let list = List {
@@ -207,7 +207,7 @@
             revision: knowledge.revision,
             away: false,
         };
-        gateway.list(list, &from);
+        gateway.apply_registrations(list, &from);
         let registry = &mut gateway.desk.borrow_mut().registry;
         registry.caught_up(knowledge.revision);
     }
--- a/crates/hawthornmill-gateway/src/daemon.rs
+++ b/crates/hawthornmill-gateway/src/daemon.rs
@@ -17,7 +17,7 @@
 
 use crate::adapter::Adapter;
 use crate::datagrams::{self, Datagrams};
-use crate::gateway::{Gateway, Phase, sweeps, ticks, turns};
+use crate::gateway::{Gateway, Phase, cleanup_loop, dispatch_loop, monitor_lateness};
 use crate::settings::Settings;
 use crate::side::Side;
 use crate::{catching_up, door, event_log, gossip, side, store};
@@ -116,9 +116,9 @@
         spawn_local(side::serve(Rc::clone(gateway), listener, side));
     }
     spawn_local(door::accept(Rc::clone(gateway), sockets.front));
-    spawn_local(turns(Rc::clone(gateway)));
-    spawn_local(ticks(Rc::clone(gateway)));
-    spawn_local(sweeps(Rc::clone(gateway)));
+    spawn_local(dispatch_loop(Rc::clone(gateway)));
+    spawn_local(monitor_lateness(Rc::clone(gateway)));
+    spawn_local(cleanup_loop(Rc::clone(gateway)));
 }
 
 struct Signals {
@@ -153,9 +153,9 @@
     let promises = gateway.settings().promises;
     let end = tokio::time::Instant::now() + promises.grace.saturating_sub(BEFORE_GRACE);
     event_log::state_change("leaving", json!({"under_way": gateway.in_flight.get()}));
-    gateway.enter(Phase::Leaving);
+    gateway.set_phase(Phase::LameDuck);
     tokio::time::sleep(promises.ttl * OLD_ANSWERS).await;
-    gateway.enter(Phase::Closed);
+    gateway.set_phase(Phase::Draining);
     while gateway.in_flight.get() > 0 && tokio::time::Instant::now() < end {
         tokio::time::sleep(LOOK).await;
     }
--- a/crates/hawthornmill-gateway/src/door.rs
+++ b/crates/hawthornmill-gateway/src/door.rs
@@ -38,7 +38,7 @@
         Err(error) => {
             log::error!(target: "door", "callers can't be taken: {error}");
             // Callers must not be sent to an instance that takes none.
-            gateway.enter(Phase::Closed);
+            gateway.set_phase(Phase::Draining);
             return;
         }
     };
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -44,9 +44,9 @@
     /// It serves.
     Serving,
     /// It was told to stop and serves those that have not heard of it.
-    Leaving,
+    LameDuck,
     /// It refuses new requests and waits for those under way.
-    Closed,
+    Draining,
 }
 
 /// Connections that were turned away because the process was behind.
@@ -172,7 +172,7 @@
     }
 
     /// Tells whether times that are measured now tell more of this instance than of servers.
-    pub fn is_behind(&self) -> bool {
+    pub fn is_overloaded(&self) -> bool {
         let now = self.now();
         self.strain.get().is_behind(now) || self.link.borrow().is_late(now)
     }
@@ -183,7 +183,7 @@
     }
 
     /// Version of the catalog in force; 0 when there is none.
-    pub fn version(&self) -> u64 {
+    pub fn catalog_version(&self) -> u64 {
         self.table.borrow().as_ref().map_or(0, |t| t.version())
     }
 
@@ -193,12 +193,12 @@
     }
 
     /// Tells of changes of the phase.
-    pub fn phases(&self) -> watch::Receiver<Phase> {
+    pub fn subscribe_phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
     /// Goes on to `phase`.
-    pub fn enter(&self, phase: Phase) {
+    pub fn set_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
         self.news_wakeup.notify_one();
     }
@@ -216,12 +216,12 @@
         let now = self.now();
         let late = self.settings().promises.apply.mul_f64(OUTDATED);
         self.catalog_lag.borrow().time(now) > late
-            && self.peers.borrow().has_newer(self.version(), now)
+            && self.peers.borrow().has_newer(self.catalog_version(), now)
     }
 
     /// Puts `catalog` in force unless an equal or newer one is; `from` is told in the log.
-    pub fn accept(&self, catalog: Catalog, from: &str) {
-        let (version, before) = (catalog.version, self.version());
+    pub fn apply_catalog(&self, catalog: Catalog, from: &str) {
+        let (version, before) = (catalog.version, self.catalog_version());
         if version <= before {
             return;
         }
@@ -243,36 +243,36 @@
     }
 
     /// Another instance decides by the catalog of `version`.
-    pub fn hear_version(&self, version: u64) {
-        let (own, now) = (self.version(), self.now());
+    pub fn observe_version(&self, version: u64) {
+        let (own, now) = (self.catalog_version(), self.now());
         self.catalog_lag.borrow_mut().hear(version, own, now);
     }
 
     /// Takes one change of the registrations.
-    pub fn register(&self, change: Change, from: &str) {
-        let (told, leaving) = (describe(&change, from), change.leaving());
+    pub fn apply_change(&self, change: Change, from: &str) {
+        let (told, leaving) = (describe_change(&change, from), change.leaving());
         if self.desk.borrow_mut().register(change, self.now()) {
             event_log::state_change("registration", told);
             self.queue_wakeup.notify_one();
             if let Some(leaving) = leaving {
-                self.tell_leaving(leaving, Source::Store);
+                self.announce_leaving(leaving, Source::Store);
             }
         }
     }
 
     /// Takes the word of another instance that servers leave.
-    pub fn hear_leaving(&self, all: &[Leaving]) {
+    pub fn apply_leaving(&self, all: &[Leaving]) {
         for leaving in all {
             if self.desk.borrow_mut().registry.leaves(*leaving) {
                 let server = self.server_name(leaving.server);
                 let fields = json!({"server": server, "revision": leaving.revision});
                 event_log::state_change("registration_leaving", fields);
-                self.tell_leaving(*leaving, Source::Peer);
+                self.announce_leaving(*leaving, Source::Peer);
             }
         }
     }
 
-    fn tell_leaving(&self, leaving: Leaving, source: Source) {
+    fn announce_leaving(&self, leaving: Leaving, source: Source) {
         self.leaving_servers
             .borrow_mut()
             .hear(leaving, source, self.now());
@@ -280,7 +280,7 @@
     }
 
     /// An entry was removed at `revision`, maybe since the store was away.
-    pub fn doubt(&self, server: ServerId, revision: u64) {
+    pub fn suspect_removal(&self, server: ServerId, revision: u64) {
         let registry = &mut self.desk.borrow_mut().registry;
         if let Some(known) = registry.get(server) {
             let fields = json!({"server": known.entry.name, "revision": revision});
@@ -290,7 +290,7 @@
     }
 
     /// Takes a whole list of registrations.
-    pub fn list(&self, list: List, from: &str) {
+    pub fn apply_registrations(&self, list: List, from: &str) {
         let fields = json!({
             "servers": list.entries.len(), "doubted": list.doubted.len(), "revision": list.revision,
             "store_was_away": list.away, "from": from,
@@ -305,12 +305,12 @@
     ///
     /// # Errors
     /// Why it is turned away, and when its caller may come back.
-    pub async fn place(&self, request: &Request) -> Result<Choice, Refusal> {
+    pub async fn select_server(&self, request: &Request) -> Result<Choice, Refusal> {
         let verdict = self.desk.borrow_mut().ask(request, self.now());
-        self.tell_work();
+        self.announce_work();
         let decided = match verdict {
             Verdict::Decided(decided) => return decided,
-            Verdict::Wait(ticket) => self.wait(ticket).await,
+            Verdict::Wait(ticket) => self.wait_for_decision(ticket).await,
         };
         // The other end is dropped only together with the gateway, and nobody is served then.
         decided.unwrap_or(Err(Refusal {
@@ -320,7 +320,7 @@
         }))
     }
 
-    async fn wait(&self, ticket: Ticket) -> Option<Result<Choice, Refusal>> {
+    async fn wait_for_decision(&self, ticket: Ticket) -> Option<Result<Choice, Refusal>> {
         let (sender, decided) = oneshot::channel();
         self.waiters.borrow_mut().insert(ticket, sender);
         let mut waiting = Waiting {
@@ -332,9 +332,9 @@
     }
 
     /// Lets the desk decide on those that wait.
-    pub fn turn(&self) {
+    pub fn dispatch_queue(&self) {
         let decided = self.desk.borrow_mut().turn(self.now());
-        self.tell_work();
+        self.announce_work();
         for (ticket, decided) in decided {
             let waiter = self.waiters.borrow_mut().remove(ticket);
             let untaken = match waiter {
@@ -348,7 +348,7 @@
     }
 
     /// Lets the others hear of this instance's work if much of it has changed.
-    pub fn tell_work(&self) {
+    pub fn announce_work(&self) {
         if self.desk.borrow().loads.is_untold() {
             self.work_wakeup.notify_one();
         }
@@ -364,7 +364,7 @@
     ///
     /// A server resets what is over its service's bound, and cannot tell idle connections from needed
     /// ones. Half of the bound, divided by the instances, leaves the other half for requests under way.
-    pub fn idle_bound(&self, server: ServerId) -> usize {
+    pub fn max_idle(&self, server: ServerId) -> usize {
         let Some(service) = self
             .desk
             .borrow()
@@ -390,7 +390,7 @@
     }
 }
 
-fn describe(change: &Change, from: &str) -> serde_json::Value {
+fn describe_change(change: &Change, from: &str) -> serde_json::Value {
     match &change.entry {
         Some(entry) => json!({
             "server": entry.name, "address": entry.address.to_string(), "draining": entry.draining,
@@ -432,7 +432,7 @@
 const SWEEP: Duration = Duration::from_millis(250);
 
 /// Decides on waiting requests for as long as the process lives.
-pub async fn turns(gateway: Rc<Gateway>) {
+pub async fn dispatch_loop(gateway: Rc<Gateway>) {
     loop {
         if gateway.desk.borrow().waiting() > 0 {
             tokio::select! {
@@ -442,7 +442,7 @@
         } else {
             gateway.queue_wakeup.notified().await;
         }
-        gateway.turn();
+        gateway.dispatch_queue();
     }
 }
 
@@ -450,19 +450,19 @@
 const TICK: Duration = Duration::from_millis(100);
 
 /// Measures how late the process is for as long as it lives.
-pub async fn ticks(gateway: Rc<Gateway>) {
+pub async fn monitor_lateness(gateway: Rc<Gateway>) {
     loop {
         let now = gateway.now();
         let mut strain = gateway.strain.get();
         strain.tick(now, now + TICK);
         gateway.strain.set(strain);
-        tell_turned(&gateway, strain.late(now));
+        log_rejected(&gateway, strain.late(now));
         tokio::time::sleep(TICK).await;
     }
 }
 
 /// One line for all connections that were turned away since the last one: a flood has thousands a second.
-fn tell_turned(gateway: &Gateway, late: Duration) {
+fn log_rejected(gateway: &Gateway, late: Duration) {
     let rejected = gateway.rejected.take();
     if rejected.unread == 0 && rejected.answered.is_empty() {
         return;
@@ -475,7 +475,7 @@
 }
 
 /// Drops what no longer counts for as long as the process lives.
-pub async fn sweeps(gateway: Rc<Gateway>) {
+pub async fn cleanup_loop(gateway: Rc<Gateway>) {
     loop {
         tokio::time::sleep(SWEEP).await;
         let now = gateway.now();
--- a/crates/hawthornmill-gateway/src/gossip.rs
+++ b/crates/hawthornmill-gateway/src/gossip.rs
@@ -41,7 +41,7 @@
             () = tokio::time::sleep_until(due) => {}
             () = gateway.news_wakeup.notified() => tokio::time::sleep(LEAST_PAUSE).await,
             () = gateway.work_wakeup.notified() => {
-                tell_work(&gateway, &datagrams);
+                announce_work(&gateway, &datagrams);
                 let large = gateway.peers.borrow().is_large();
                 let pause = if large { WORK_PAUSE_LARGE } else { WORK_PAUSE };
                 tokio::time::sleep(pause).await;
@@ -117,7 +117,7 @@
         ready: gateway.is_ready(),
         leaving: gateway.phase() > Phase::Serving,
         reading: gateway.store_access.get(),
-        version: gateway.version(),
+        version: gateway.catalog_version(),
         revision: desk.registry.latest(),
     });
     let work = desk.loads.sum(&ids);
@@ -142,7 +142,7 @@
 }
 
 /// Tells those nearby what this instance has under way.
-fn tell_work(gateway: &Gateway, datagrams: &Datagrams) {
+fn announce_work(gateway: &Gateway, datagrams: &Datagrams) {
     let work = {
         let loads = &mut gateway.desk.borrow_mut().loads;
         loads.told();
@@ -166,7 +166,7 @@
         ready: gateway.is_ready(),
         leaving: gateway.phase() > Phase::Serving,
         reading: gateway.store_access.get(),
-        version: gateway.version(),
+        version: gateway.catalog_version(),
         revision: desk.registry.latest(),
         work,
         usage,
@@ -238,7 +238,7 @@
         Message::Work(work) => gateway.desk.borrow_mut().loads.hear(sender, work, now),
         Message::Members(told) if told.domain != own => {
             for member in told.members.iter().filter(|m| m.id != gateway.id) {
-                gateway.hear_version(member.version);
+                gateway.observe_version(member.version);
                 let mut peers = gateway.peers.borrow_mut();
                 if let Some(change) = peers.hear_member(member, now) {
                     note(change, member.mate.peer, peers.live(now).count());
@@ -249,7 +249,7 @@
         Message::DomainWork(told) if told.domain != own => {
             gateway.desk.borrow_mut().hear_work(*told, now);
         }
-        Message::Leaving(all) => gateway.hear_leaving(&all),
+        Message::Leaving(all) => gateway.apply_leaving(&all),
         Message::Wanted(wanted) => catching_up::tell_parts(gateway, datagrams, from, &wanted),
         Message::Part(part) => gateway.pending_state.take(from, part),
         _ => {}
@@ -258,7 +258,7 @@
 
 fn take_news(gateway: &Gateway, sender: InstanceId, run: Incarnation, news: &News) {
     let now = gateway.now();
-    gateway.hear_version(news.version);
+    gateway.observe_version(news.version);
     let mut peers = gateway.peers.borrow_mut();
     if let Some(change) = peers.hear(sender, run, news, now) {
         note(change, news.mate.peer, peers.live(now).count());
--- a/crates/hawthornmill-gateway/src/serve.rs
+++ b/crates/hawthornmill-gateway/src/serve.rs
@@ -109,7 +109,7 @@
             Next::Closed => return,
         };
         let _flying = Open::count(&gateway.in_flight);
-        let elsewhere = gateway.phase() >= Phase::Leaving || gateway.is_outdated();
+        let elsewhere = gateway.phase() >= Phase::LameDuck || gateway.is_outdated();
         let last = call.head.closes() || elsewhere;
         let crowded = gateway.connections.get() > MANY_CONNECTIONS;
         let mut trip = Trip::default();
--- a/crates/hawthornmill-gateway/src/side.rs
+++ b/crates/hawthornmill-gateway/src/side.rs
@@ -182,7 +182,7 @@
         (
             "catalog_version",
             "Catalog in force",
-            number(gateway.version()),
+            number(gateway.catalog_version()),
         ),
         (
             "registrations_revision",
--- a/crates/hawthornmill-gateway/src/store.rs
+++ b/crates/hawthornmill-gateway/src/store.rs
@@ -110,7 +110,7 @@
     async fn rest(&self) {
         let gateway = &self.gateway;
         loop {
-            let known = gateway.has_registrations.get() && gateway.version() > 0;
+            let known = gateway.has_registrations.get() && gateway.catalog_version() > 0;
             let now = gateway.now();
             if !known || gateway.peers.borrow().should_read(gateway.id, now) {
                 if gateway.store_access.get() == Reading::Idle {
@@ -156,7 +156,7 @@
                     revision,
                     away,
                 };
-                self.gateway.list(list, "store");
+                self.gateway.apply_registrations(list, "store");
             }
         }
         self.revision = Some(revision);
@@ -189,7 +189,7 @@
         match (self.topic, &item.value) {
             (Topic::Catalog, Some(value)) if *item.key == *self.prefix() => {
                 match (self.gateway.adapter.parse_catalog)(value) {
-                    Ok(catalog) => self.gateway.accept(catalog, "store"),
+                    Ok(catalog) => self.gateway.apply_catalog(catalog, "store"),
                     Err(why) => {
                         let fields = json!({"revision": item.revision, "why": why});
                         event_log::state_change("catalog_unreadable", fields);
@@ -199,11 +199,11 @@
             (Topic::Catalog, _) => {}
             (Topic::Servers, None) if self.was_away() => {
                 let server = ServerId::of(self.server_name(item));
-                self.gateway.doubt(server, item.revision);
+                self.gateway.suspect_removal(server, item.revision);
             }
             (Topic::Servers, _) => {
                 let change = self.change(item);
-                self.gateway.register(change, "store");
+                self.gateway.apply_change(change, "store");
             }
         }
     }
--- a/crates/hawthornmill-gateway/src/trip/admit.rs
+++ b/crates/hawthornmill-gateway/src/trip/admit.rs
@@ -43,7 +43,7 @@
 /// # Errors
 /// The answer that refuses it; it has not run then.
 pub fn admit(gateway: &Gateway, call: &Call) -> Result<Admitted, Reply> {
-    if gateway.phase() == Phase::Closed {
+    if gateway.phase() == Phase::Draining {
         return Err(Reply::again(Code::NotReady, CLOSED_AGAIN));
     }
     let Some(table) = gateway.table() else {
--- a/crates/hawthornmill-gateway/src/trip/mod.rs
+++ b/crates/hawthornmill-gateway/src/trip/mod.rs
@@ -130,12 +130,12 @@
         }
         let now = self.gateway.now();
         let request = &self.admitted.request;
-        let time = (!self.gateway.is_behind()).then(|| now.duration_since(self.sent));
+        let time = (!self.gateway.is_overloaded()).then(|| now.duration_since(self.sent));
         self.gateway
             .desk
             .borrow_mut()
             .began(request.service, &self.choice, time, now);
-        self.gateway.tell_work();
+        self.gateway.announce_work();
         let whole = now.duration_since(request.came);
         self.gateway
             .metrics
@@ -153,7 +153,7 @@
     let mut request = admitted.request.clone();
     let mut fallback: Option<Answer> = None;
     loop {
-        let choice = match way.gateway.place(&request).await {
+        let choice = match way.gateway.select_server(&request).await {
             Ok(choice) => choice,
             Err(refusal) => {
                 settle::note_refusal(way, &request, &refusal);
--- a/crates/hawthornmill-gateway/src/trip/read.rs
+++ b/crates/hawthornmill-gateway/src/trip/read.rs
@@ -117,11 +117,11 @@
 /// A process that takes no more requests closes idle connections; a request that crosses the close
 /// was not read, and its caller may send it elsewhere.
 async fn first_byte(gateway: &Gateway, reader: &mut Reader, idle: Duration) -> bool {
-    let mut phases = gateway.phases();
+    let mut phases = gateway.subscribe_phase();
     tokio::select! {
         biased;
         read = tokio::time::timeout(idle, reader.more()) => matches!(read, Ok(Ok(bytes)) if bytes > 0),
-        _ = phases.wait_for(|p| *p == Phase::Closed) => false,
+        _ = phases.wait_for(|p| *p == Phase::Draining) => false,
     }
 }
 
--- a/crates/hawthornmill-gateway/src/trip/send.rs
+++ b/crates/hawthornmill-gateway/src/trip/send.rs
@@ -334,7 +334,7 @@
     pub fn finish(self, gateway: &Gateway) {
         if self.clean {
             let said = keep_alive(&self.head);
-            let (most, now) = (gateway.idle_bound(self.server), gateway.now());
+            let (most, now) = (gateway.max_idle(self.server), gateway.now());
             gateway
                 .pool
                 .give(self.server, self.upstream, said, most, now);
--- a/crates/hawthornmill-gateway/src/trip/settle.rs
+++ b/crates/hawthornmill-gateway/src/trip/settle.rs
@@ -27,7 +27,7 @@
         "full": outlook.full, "waiting": outlook.waiting, "short_at": outlook.short,
         "lack": outlook.lack, "standing": format!("{:?}", outlook.share.standing), "lead": outlook.share.lead,
         "asked": outlook.sums.asked, "got": outlook.sums.got, "registrations": desk.registry.latest(),
-        "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
+        "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway),
         "link_wait_ms": gateway.link.borrow().wait(now).as_millis() as u64,
     });
     event_log::request_problem("refused", &way.call.attempt, fields);
@@ -81,7 +81,7 @@
         let fields = json!({
             "server": name, "waited_ms": waited.as_millis() as u64, "send": self.arrivals + 1,
             "tokens_before_first": choice.ahead, "tokens_again": choice.again, "stray": choice.stray, "expected_ms": choice.expected.as_millis() as u64,
-            "catalog": gateway.version(), "lag_ms": lag_ms(gateway), "registrations": gateway.desk.borrow().registry.latest(),
+            "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway), "registrations": gateway.desk.borrow().registry.latest(),
         });
         event_log::request_step("sent", &call.attempt, fields);
         self.servers.push(name);
@@ -158,7 +158,7 @@
         let fields = json!({
             "outcome": outcome, "status": self.status, "code": self.code.map(Code::number),
             "route": route, "service": service, "servers": self.servers, "sends": self.arrivals,
-            "last_event": self.last_event, "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
+            "last_event": self.last_event, "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway),
             "begin_ms": self.begun.map(|b| b.duration_since(call.came).as_millis() as u64),
             "took_ms": now.duration_since(call.came).as_millis() as u64,
         });
