--- a/crates/hawthornmill-gateway/src/catching_up.rs
+++ b/crates/hawthornmill-gateway/src/catching_up.rs
@@ -21,7 +21,7 @@
 use crate::datagrams::Datagrams;
 use crate::event_log;
 use crate::gateway::Gateway;
-use crate::pool::connect_within;
+use crate::pool::connect_timeout;
 
 /// Time for which a mate must be ahead before it is asked: the store's own answer is mostly faster.
 const BEHIND: Duration = Duration::from_millis(350);
@@ -219,7 +219,7 @@
     pull: Pull,
     step: &Cell<Step>,
 ) -> std::io::Result<Knowledge> {
-    let mut link = connect_within(mate, patience::MOST).await?;
+    let mut link = connect_timeout(mate, patience::MOST).await?;
     step.set(Step::Connected);
     let channel = link.read_u64_le().await?;
     step.set(Step::Asked);
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -487,6 +487,6 @@
         let desk = gateway.desk.borrow();
         gateway
             .pool
-            .sweep(|id| desk.registry.get(id).is_some(), now);
+            .evict(|id| desk.registry.get(id).is_some(), now);
     }
 }
--- a/crates/hawthornmill-gateway/src/pool.rs
+++ b/crates/hawthornmill-gateway/src/pool.rs
@@ -1,8 +1,8 @@
 //! Connections to backend servers.
 //!
-//! A server serves one request at a time on a connection, so an idle one carries no bytes. One that
-//! has some, or that the server closed, is dropped before use: what came on it belongs to no
-//! request that waits.
+//! A server handles one request at a time per connection, so an idle connection has no bytes to
+//! read. If there are some, or if the server closed the connection, it is dropped before use: the
+//! bytes belong to no pending request.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,77 +17,77 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Time allowed for a new connection: eight round trips between regions (60 ms, the brief).
-const CONNECT: Duration = Duration::from_millis(500);
-/// Time for which sent bytes may stay unacknowledged before the kernel gives a connection up.
+/// Eight round trips between regions, which take 60 ms each.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time after which the kernel closes a connection whose sent bytes are not acknowledged.
 ///
-/// A machine without power or behind a cut answers nothing; without this bound its connections hang
-/// for minutes. Three seconds outlast the retransmissions of a lossy link.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
-/// Idle time after which a connection is not used when its server doesn't say how long it keeps it.
-const UNSAID_IDLE: Duration = Duration::from_secs(3);
-/// Part of the said time for which a connection is used; the rest is for the request's way.
-const IDLE_PART: f64 = 0.6;
-/// Idle time up to which a connection may carry a request that must not run twice.
+/// Without this limit, connections to a machine that lost power or its network hang for minutes.
+/// Three seconds outlast the retransmissions of a lossy link.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
+/// Idle timeout of a connection whose server doesn't advertise one.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Share of the advertised idle timeout that is used; the rest covers the latency of the request.
+const IDLE_TIMEOUT_FACTOR: f64 = 0.6;
+/// Longest idle time of a connection for a request that must not run twice.
 ///
-/// A server that drops an idle connection resets what is sent next, and whether that ran can't be
-/// told; one used a moment ago is hardly dropped yet.
-const BRIEF_IDLE: Duration = Duration::from_millis(400);
-/// Idle connections kept for one server, whatever its service allows.
-const MOST_IDLE: usize = 48;
+/// If a server has closed an idle connection, the next request on it is reset, and the gateway can't
+/// tell whether it ran. A server is unlikely to close a connection right after its last use.
+const MAX_IDLE_AT_MOST_ONCE: Duration = Duration::from_millis(400);
+/// Idle connections kept per server, whatever the limit of its service.
+const MAX_IDLE_PER_SERVER: usize = 48;
 
 /// A connection to a server.
 #[derive(Debug)]
 pub struct Upstream {
     /// The socket.
     pub stream: TcpStream,
-    /// Bytes received and not used yet.
+    /// Bytes received and not parsed yet.
     pub buffer: BytesMut,
-    /// It carried a request before.
+    /// Whether the connection carried a request before.
     pub reused: bool,
 }
 
 impl Upstream {
-    /// Reads more; 0 when the server has closed.
+    /// Reads more bytes into the buffer; returns 0 if the server closed the connection.
     ///
-    /// Of a read that leaves room in the buffer the runtime knows that there is no more: asking until nothing
-    /// comes took a second system call for each event of a stream, 0.44 of all reads.
+    /// Reads only once: the runtime knows from a read that doesn't fill the buffer that the socket is empty.
+    /// Reading until the socket would block cost a second system call for each stream event, 0.44 of all reads.
     ///
     /// # Errors
-    /// When the connection broke.
-    pub async fn more(&mut self) -> io::Result<usize> {
+    /// If the connection fails.
+    pub async fn read_more(&mut self) -> io::Result<usize> {
         self.stream.read_buf(&mut self.buffer).await
     }
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     stream: TcpStream,
     since: Instant,
-    keep: Duration,
+    timeout: Duration,
 }
 
 /// Idle connections by server.
 #[derive(Debug, Default)]
 pub struct Pool {
-    idle: RefCell<BTreeMap<ServerId, Vec<Idle>>>,
+    idle: RefCell<BTreeMap<ServerId, Vec<IdleConnection>>>,
 }
 
 impl Pool {
-    /// An idle connection, or a new one.
+    /// Returns an idle connection, or opens a new one.
     ///
-    /// `once` says that the request must not run twice.
+    /// `at_most_once` tells that the request must not run twice.
     ///
     /// # Errors
-    /// When no connection can be made in time; nothing was sent then.
-    pub async fn take(
+    /// If no connection can be opened in time; nothing was sent then.
+    pub async fn acquire(
         &self,
         server: ServerId,
         address: SocketAddr,
-        once: bool,
+        at_most_once: bool,
         now: Instant,
     ) -> io::Result<Upstream> {
-        if let Some(stream) = self.take_idle(server, once, now) {
+        if let Some(stream) = self.take_idle(server, at_most_once, now) {
             return Ok(Upstream {
                 stream,
                 buffer: BytesMut::with_capacity(4096),
@@ -101,99 +101,101 @@
         })
     }
 
-    fn take_idle(&self, server: ServerId, once: bool, now: Instant) -> Option<TcpStream> {
+    fn take_idle(&self, server: ServerId, at_most_once: bool, now: Instant) -> Option<TcpStream> {
         let mut idle = self.idle.borrow_mut();
-        let list = idle.get_mut(&server)?;
-        while let Some(last) = list.pop() {
-            let age = now.duration_since(last.since);
-            let keep = if once {
-                last.keep.min(BRIEF_IDLE)
+        let connections = idle.get_mut(&server)?;
+        while let Some(newest) = connections.pop() {
+            let age = now.duration_since(newest.since);
+            let timeout = if at_most_once {
+                newest.timeout.min(MAX_IDLE_AT_MOST_ONCE)
             } else {
-                last.keep
+                newest.timeout
             };
-            if age < keep && is_quiet(&last.stream) {
-                return Some(last.stream);
+            if age < timeout && is_idle(&newest.stream) {
+                return Some(newest.stream);
             }
-            if age < last.keep && once && is_quiet(&last.stream) {
-                // Still good for requests that may repeat, but the newest is too old for this one.
-                list.push(last);
+            if age < newest.timeout && at_most_once && is_idle(&newest.stream) {
+                // Usable for idempotent requests only, and all others have been idle for longer.
+                connections.push(newest);
                 return None;
             }
         }
         None
     }
 
-    /// Keeps a connection whose answer is complete, unless there are `most` already; `said` is what the
-    /// server told of its patience.
-    pub fn give(
+    /// Returns a connection to the pool after a complete response.
+    ///
+    /// Keeps at most `max_idle` connections to the server. `advertised` is the idle timeout that the
+    /// server sent.
+    pub fn put_back(
         &self,
         server: ServerId,
         upstream: Upstream,
-        said: Option<Duration>,
-        most: usize,
+        advertised: Option<Duration>,
+        max_idle: usize,
         now: Instant,
     ) {
-        let keep = said.map_or(UNSAID_IDLE, |s| s.mul_f64(IDLE_PART));
-        if !upstream.buffer.is_empty() || keep.is_zero() || most == 0 {
+        let timeout = advertised.map_or(DEFAULT_IDLE_TIMEOUT, |s| s.mul_f64(IDLE_TIMEOUT_FACTOR));
+        if !upstream.buffer.is_empty() || timeout.is_zero() || max_idle == 0 {
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        let list = idle.entry(server).or_default();
-        // The newest is the best: a request that must not run twice takes no other.
-        if list.len() >= most.min(MOST_IDLE) {
-            list.remove(0);
+        let connections = idle.entry(server).or_default();
+        // Drops the oldest: requests that must not run twice only use recent connections.
+        if connections.len() >= max_idle.min(MAX_IDLE_PER_SERVER) {
+            connections.remove(0);
         }
-        list.push(Idle {
+        connections.push(IdleConnection {
             stream: upstream.stream,
             since: now,
-            keep,
+            timeout,
         });
     }
 
-    /// Closes connections that are too old, and those of servers that `keep` does not know.
-    pub fn sweep(&self, keep: impl Fn(ServerId) -> bool, now: Instant) {
+    /// Closes connections past their idle timeout, and those to servers that are not registered.
+    pub fn evict(&self, is_registered: impl Fn(ServerId) -> bool, now: Instant) {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|server, list| {
-            list.retain(|i| now.duration_since(i.since) < i.keep);
-            !list.is_empty() && keep(*server)
+        idle.retain(|server, connections| {
+            connections.retain(|i| now.duration_since(i.since) < i.timeout);
+            !connections.is_empty() && is_registered(*server)
         });
     }
 
-    /// Idle connections to `server`.
+    /// Number of idle connections to `server`.
     pub fn idle_count(&self, server: ServerId) -> usize {
         self.idle.borrow().get(&server).map_or(0, Vec::len)
     }
 
-    /// Closes the idle connections of a server that can't be reached or is another by now.
-    pub fn drop_idle(&self, server: ServerId) {
+    /// Closes the idle connections to a server that is unreachable or was replaced by another.
+    pub fn discard_idle(&self, server: ServerId) {
         self.idle.borrow_mut().remove(&server);
     }
 }
 
-/// Tells whether a connection is open and nothing came on it.
-fn is_quiet(stream: &TcpStream) -> bool {
+/// Tells whether a connection is open and has no bytes to read.
+fn is_idle(stream: &TcpStream) -> bool {
     let mut byte = [0_u8; 1];
     matches!(stream.try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Connects, in bounded time, with bounds on silence.
+/// Connects with the default timeout.
 ///
 /// # Errors
-/// When there is nobody in time.
+/// If the connection can't be opened in time.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    connect_within(address, CONNECT).await
+    connect_timeout(address, CONNECT_TIMEOUT).await
 }
 
-/// The same in another time.
+/// Connects within `time`, and limits how long sent bytes may stay unacknowledged.
 ///
 /// # Errors
-/// When there is nobody in time.
-pub async fn connect_within(address: SocketAddr, time: Duration) -> io::Result<TcpStream> {
+/// If the connection can't be opened in time.
+pub async fn connect_timeout(address: SocketAddr, time: Duration) -> io::Result<TcpStream> {
     let socket = sockets::socket(address)?;
     let stream = tokio::time::timeout(time, socket.connect(address))
         .await
         .map_err(|_elapsed| io::Error::from(io::ErrorKind::TimedOut))??;
     stream.set_nodelay(true)?;
-    SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     Ok(stream)
 }
--- a/crates/hawthornmill-gateway/src/serve.rs
+++ b/crates/hawthornmill-gateway/src/serve.rs
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// When the connection broke.
-    pub async fn more(&mut self) -> std::io::Result<usize> {
+    pub async fn read_more(&mut self) -> std::io::Result<usize> {
         self.half.read_buf(&mut self.buffer).await
     }
 
@@ -64,7 +64,7 @@
                 // leaving is noticed when the answer can't be written.
                 std::future::pending::<()>().await;
             }
-            match self.more().await {
+            match self.read_more().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
             }
@@ -143,7 +143,7 @@
     let rest = async {
         loop {
             reader.buffer.clear();
-            if !matches!(reader.more().await, Ok(bytes) if bytes > 0) {
+            if !matches!(reader.read_more().await, Ok(bytes) if bytes > 0) {
                 return;
             }
         }
--- a/crates/hawthornmill-gateway/src/trip/again.rs
+++ b/crates/hawthornmill-gateway/src/trip/again.rs
@@ -85,7 +85,7 @@
 ) -> Next {
     let fields = json!({"server": gateway.server_name(server), "why": why});
     event_log::request_problem("server_unreached", &call.attempt, fields);
-    gateway.pool.drop_idle(server);
+    gateway.pool.discard_idle(server);
     judge(gateway, server, Verdict::Unreachable);
     trip.unreached += 1;
     if trip.unreached <= MOST_UNREACHED {
@@ -104,7 +104,7 @@
     moved: bool,
 ) -> Next {
     if moved {
-        gateway.pool.drop_idle(server);
+        gateway.pool.discard_idle(server);
         judge(gateway, server, Verdict::Unreachable);
     } else {
         judge(gateway, server, Verdict::Full);
--- a/crates/hawthornmill-gateway/src/trip/deliver.rs
+++ b/crates/hawthornmill-gateway/src/trip/deliver.rs
@@ -47,7 +47,7 @@
             Ok(Piece::More) => {}
             Err(_malformed) => return Part::Cut,
         }
-        match answer.upstream.more().await {
+        match answer.upstream.read_more().await {
             // Only an orderly close ends a body that has no length; a reset cuts it.
             Ok(0) if decoder.ends_with_connection() => return Part::End,
             Ok(0) | Err(_) => return Part::Cut,
--- a/crates/hawthornmill-gateway/src/trip/read.rs
+++ b/crates/hawthornmill-gateway/src/trip/read.rs
@@ -120,7 +120,7 @@
     let mut phases = gateway.subscribe_phase();
     tokio::select! {
         biased;
-        read = tokio::time::timeout(idle, reader.more()) => matches!(read, Ok(Ok(bytes)) if bytes > 0),
+        read = tokio::time::timeout(idle, reader.read_more()) => matches!(read, Ok(Ok(bytes)) if bytes > 0),
         _ = phases.wait_for(|p| *p == Phase::Draining) => false,
     }
 }
@@ -143,7 +143,7 @@
             Err(_malformed) if reader.buffer.len() > most => return Err(Code::HeadersTooLarge),
             Err(_malformed) => return Err(Code::BadHeader),
         }
-        if !matches!(reader.more().await, Ok(bytes) if bytes > 0) {
+        if !matches!(reader.read_more().await, Ok(bytes) if bytes > 0) {
             return Ok(None);
         }
     }
@@ -162,7 +162,7 @@
         match decoder.next(&mut reader.buffer) {
             Ok(Piece::Data(data)) => body.extend_from_slice(&data),
             Ok(Piece::End) => return Ok(Some(body.freeze())),
-            Ok(Piece::More) => match tokio::time::timeout(idle, reader.more()).await {
+            Ok(Piece::More) => match tokio::time::timeout(idle, reader.read_more()).await {
                 Ok(Ok(bytes)) if bytes > 0 => {}
                 Ok(_) => return Ok(None),
                 Err(_elapsed) => return Err(Code::HeadTooSlow),
--- a/crates/hawthornmill-gateway/src/trip/send.rs
+++ b/crates/hawthornmill-gateway/src/trip/send.rs
@@ -86,7 +86,7 @@
     };
     let now = gateway.now();
     let once = admitted.repeat == Repeat::Never;
-    let taken = gateway.pool.take(server, address, once, now).await;
+    let taken = gateway.pool.acquire(server, address, once, now).await;
     if !taken.as_ref().is_ok_and(|u| u.reused) {
         let after = gateway.now();
         let took = after.duration_since(now);
@@ -286,7 +286,7 @@
             Ok(None) => return Err("answer's head is too long".into()),
             Err(_malformed) => return Err("what came is no answer".into()),
         }
-        match upstream.more().await {
+        match upstream.read_more().await {
             Ok(0) => return Err("connection closed before an answer".into()),
             Ok(_) => {}
             Err(error) => return Err(error.to_string().into()),
@@ -305,7 +305,7 @@
             Ok(Piece::End) => return Ok(()),
             Ok(Piece::Data(data)) => skipped += data.len(),
             Ok(Piece::More) => {
-                let read = upstream.more().await;
+                let read = upstream.read_more().await;
                 if !matches!(read, Ok(bytes) if bytes > 0) {
                     return Err(());
                 }
@@ -337,7 +337,7 @@
             let (most, now) = (gateway.max_idle(self.server), gateway.now());
             gateway
                 .pool
-                .give(self.server, self.upstream, said, most, now);
+                .put_back(self.server, self.upstream, said, most, now);
         }
     }
 }
--- a/tests/testsuite/gateway/connections.rs
+++ b/tests/testsuite/gateway/connections.rs
@@ -27,7 +27,7 @@
                 .expect("the listener listens");
             kept.push(stream.local_addr().expect("the connection has an address"));
             let (buffer, reused) = (BytesMut::new(), false);
-            pool.give(
+            pool.put_back(
                 server,
                 Upstream {
                     stream,
@@ -42,7 +42,7 @@
         let idle = pool.idle_count(server);
         let later = now + Duration::from_millis(10);
         let taken = pool
-            .take(server, address, true, later)
+            .acquire(server, address, true, later)
             .await
             .expect("one is idle");
 
@@ -73,8 +73,8 @@
         let mut more = link().await;
         more.buffer.extend_from_slice(b"HTTP/1.1 200 OK\r\n");
 
-        pool.give(server, link().await, None, 0, now);
-        pool.give(server, more, None, 2, now);
+        pool.put_back(server, link().await, None, 0, now);
+        pool.put_back(server, more, None, 2, now);
 
         assert_eq!(pool.idle_count(server), 0);
     });
