--- a/crates/hawthornmill-gateway/src/daemon.rs
+++ b/crates/hawthornmill-gateway/src/daemon.rs
@@ -16,11 +16,11 @@
 use tokio::task::{LocalSet, spawn_local};
 
 use crate::adapter::Adapter;
-use crate::datagrams::{self, Datagrams};
+use crate::datagrams::{self, DatagramSocket};
+use crate::endpoints::Endpoint;
 use crate::gateway::{Gateway, Phase, cleanup_loop, dispatch_loop, monitor_lateness};
 use crate::settings::Settings;
-use crate::side::Side;
-use crate::{catching_up, door, event_log, gossip, side, store};
+use crate::{endpoints, event_log, gossip, listener, state_sync, store_watch};
 
 /// Time for which a leaving process takes requests of callers that have not heard of it.
 ///
@@ -54,7 +54,7 @@
 
 struct Sockets {
     front: TcpListener,
-    sides: Vec<(TcpListener, Side)>,
+    sides: Vec<(TcpListener, Endpoint)>,
     peer: TcpListener,
     news: UdpSocket,
 }
@@ -63,11 +63,11 @@
     let open = |address| sockets::listen(address).map_err(|e| unbound(&address.to_string(), &e));
     let listen = settings.listen;
     let mut sides = vec![
-        (open(listen.ready)?, Side::Ready),
-        (open(listen.directory)?, Side::Directory),
+        (open(listen.ready)?, Endpoint::Ready),
+        (open(listen.directory)?, Endpoint::Directory),
     ];
     if let Some(metrics) = listen.metrics {
-        sides.push((open(metrics)?, Side::Metrics));
+        sides.push((open(metrics)?, Endpoint::Metrics));
     }
     Ok(Sockets {
         front: open(listen.front)?,
@@ -105,17 +105,26 @@
 fn start(gateway: &Rc<Gateway>, sockets: Sockets) {
     let key = gateway.settings().key;
     let sealer = Sealer::new(key, gateway.id, gateway.incarnation, datagrams::CHANNEL);
-    let datagrams = Rc::new(Datagrams::new(sockets.news, sealer));
-    spawn_local(store::follow(Rc::clone(gateway), store::Topic::Catalog));
-    spawn_local(store::follow(Rc::clone(gateway), store::Topic::Servers));
+    let datagrams = Rc::new(DatagramSocket::new(sockets.news, sealer));
+    spawn_local(store_watch::watch(
+        Rc::clone(gateway),
+        store_watch::Topic::Catalog,
+    ));
+    spawn_local(store_watch::watch(
+        Rc::clone(gateway),
+        store_watch::Topic::Servers,
+    ));
     spawn_local(gossip::send_news(Rc::clone(gateway), Rc::clone(&datagrams)));
     spawn_local(gossip::receive(Rc::clone(gateway), Rc::clone(&datagrams)));
-    spawn_local(catching_up::catch_up(Rc::clone(gateway), datagrams));
-    spawn_local(catching_up::answer(Rc::clone(gateway), sockets.peer));
+    spawn_local(state_sync::sync_from_peers(Rc::clone(gateway), datagrams));
+    spawn_local(state_sync::serve_peers(Rc::clone(gateway), sockets.peer));
     for (listener, side) in sockets.sides {
-        spawn_local(side::serve(Rc::clone(gateway), listener, side));
+        spawn_local(endpoints::serve(Rc::clone(gateway), listener, side));
     }
-    spawn_local(door::accept(Rc::clone(gateway), sockets.front));
+    spawn_local(listener::accept_connections(
+        Rc::clone(gateway),
+        sockets.front,
+    ));
     spawn_local(dispatch_loop(Rc::clone(gateway)));
     spawn_local(monitor_lateness(Rc::clone(gateway)));
     spawn_local(cleanup_loop(Rc::clone(gateway)));
--- a/crates/hawthornmill-gateway/src/datagrams.rs
+++ b/crates/hawthornmill-gateway/src/datagrams.rs
@@ -12,13 +12,13 @@
 
 /// The socket for datagrams, and the one sequence in which they are numbered.
 #[derive(Debug)]
-pub struct Datagrams {
+pub struct DatagramSocket {
     /// The socket.
     pub socket: UdpSocket,
     sealer: RefCell<Sealer>,
 }
 
-impl Datagrams {
+impl DatagramSocket {
     /// Sends by `socket` what `sealer` seals for [`CHANNEL`].
     pub const fn new(socket: UdpSocket, sealer: Sealer) -> Self {
         Self {
--- a/crates/hawthornmill-gateway/src/side.rs
+++ b/crates/hawthornmill-gateway/src/endpoints.rs
@@ -29,7 +29,7 @@
 
 /// Which small call a listener answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Side {
+pub enum Endpoint {
     /// Whether the process takes requests.
     Ready,
     /// Which addresses callers should use.
@@ -39,7 +39,7 @@
 }
 
 /// Answers calls for as long as the process lives.
-pub async fn serve(gateway: Rc<Gateway>, listener: TcpListener, side: Side) {
+pub async fn serve(gateway: Rc<Gateway>, listener: TcpListener, side: Endpoint) {
     loop {
         let Ok((link, _from)) = listener.accept().await else {
             // Out of descriptors, most likely; others are given back meanwhile.
@@ -54,7 +54,7 @@
     }
 }
 
-async fn calls(gateway: &Gateway, mut link: TcpStream, side: Side) -> std::io::Result<()> {
+async fn calls(gateway: &Gateway, mut link: TcpStream, side: Endpoint) -> std::io::Result<()> {
     let mut buffer = BytesMut::with_capacity(1024);
     loop {
         let Some((head, length)) = read_head(&mut link, &mut buffer).await? else {
@@ -100,22 +100,24 @@
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain";
 
-fn answer(gateway: &Gateway, head: &head::RequestHead, side: Side) -> Answer {
+fn answer(gateway: &Gateway, head: &head::RequestHead, side: Endpoint) -> Answer {
     let discovery = &gateway.adapter.discovery;
     match side {
-        Side::Ready if head.path() == discovery.ready_path => {
+        Endpoint::Ready if head.path() == discovery.ready_path => {
             if gateway.is_ready() {
                 (200, "OK", TEXT, b"ready\n".to_vec())
             } else {
                 (503, "Service Unavailable", TEXT, b"not ready\n".to_vec())
             }
         }
-        Side::Directory => match (discovery.parse_query)(&head.target) {
+        Endpoint::Directory => match (discovery.parse_query)(&head.target) {
             Some(question) => named(gateway, &question),
             None => (404, "Not Found", TEXT, b"no such call\n".to_vec()),
         },
-        Side::Metrics if head.path() == METRICS => (200, "OK", TEXT, metrics(gateway).into_bytes()),
-        Side::Ready | Side::Metrics => (404, "Not Found", TEXT, b"no such call\n".to_vec()),
+        Endpoint::Metrics if head.path() == METRICS => {
+            (200, "OK", TEXT, metrics(gateway).into_bytes())
+        }
+        Endpoint::Ready | Endpoint::Metrics => (404, "Not Found", TEXT, b"no such call\n".to_vec()),
     }
 }
 
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -28,9 +28,9 @@
 use tokio::sync::{Notify, oneshot, watch};
 
 use crate::adapter::Adapter;
-use crate::awaited::Awaited;
 use crate::event_log;
 use crate::metrics::Metrics;
+use crate::pending_state::PendingState;
 use crate::pool::Pool;
 use crate::settings::Settings;
 
@@ -82,7 +82,7 @@
     /// What this instance told others lately of what it knows.
     pub state_cache: RefCell<RecentAnswers>,
     /// What another instance tells of what it knows.
-    pub pending_state: Awaited,
+    pub pending_state: PendingState,
     /// The other instances.
     pub peers: RefCell<Mates>,
     /// Connections to servers.
@@ -141,7 +141,7 @@
             catalog_lag: RefCell::default(),
             leaving_servers: RefCell::default(),
             state_cache: RefCell::default(),
-            pending_state: Awaited::default(),
+            pending_state: PendingState::default(),
             peers: RefCell::new(Mates::new(place.domain)),
             pool: Pool::default(),
             metrics: Metrics::default(),
--- a/crates/hawthornmill-gateway/src/gossip.rs
+++ b/crates/hawthornmill-gateway/src/gossip.rs
@@ -11,10 +11,10 @@
 use hawthornmill::wire::{Message, Opener};
 use serde_json::json;
 
-use crate::catching_up;
-use crate::datagrams::{self, Datagrams};
+use crate::datagrams::{self, DatagramSocket};
 use crate::event_log;
 use crate::gateway::{Gateway, Phase};
+use crate::state_sync;
 
 /// Least time between two pieces of news, however much changes.
 const LEAST_PAUSE: Duration = Duration::from_millis(40);
@@ -33,7 +33,7 @@
 const MOST_ECHOES: u32 = 6;
 
 /// Sends news for as long as the process lives.
-pub async fn send_news(gateway: Rc<Gateway>, datagrams: Rc<Datagrams>) {
+pub async fn send_news(gateway: Rc<Gateway>, datagrams: Rc<DatagramSocket>) {
     let mut round = 0;
     let mut due = tokio::time::Instant::now();
     loop {
@@ -67,7 +67,7 @@
 }
 
 /// Tells those nearby which servers leave, as the store told this instance.
-fn tell_leaving(gateway: &Gateway, datagrams: &Datagrams, now: Instant) {
+fn tell_leaving(gateway: &Gateway, datagrams: &DatagramSocket, now: Instant) {
     let leaving = gateway.leaving_servers.borrow().near(now);
     if !leaving.is_empty() {
         let near = gateway.peers.borrow().near(now);
@@ -76,7 +76,7 @@
 }
 
 /// Tells the other failure domains what this one has, if this instance is one of its relays.
-fn relay(gateway: &Gateway, datagrams: &Datagrams, round: u64) {
+fn relay(gateway: &Gateway, datagrams: &DatagramSocket, round: u64) {
     let now = gateway.now();
     let Some(rank) = gateway.peers.borrow().relay_rank(gateway.id, now) else {
         return;
@@ -142,7 +142,7 @@
 }
 
 /// Tells those nearby what this instance has under way.
-fn announce_work(gateway: &Gateway, datagrams: &Datagrams) {
+fn announce_work(gateway: &Gateway, datagrams: &DatagramSocket) {
     let work = {
         let loads = &mut gateway.desk.borrow_mut().loads;
         loads.told();
@@ -177,7 +177,7 @@
 }
 
 /// Takes news for as long as the process lives.
-pub async fn receive(gateway: Rc<Gateway>, datagrams: Rc<Datagrams>) {
+pub async fn receive(gateway: Rc<Gateway>, datagrams: Rc<DatagramSocket>) {
     let mut opener = Opener::new(gateway.settings().key, datagrams::CHANNEL);
     let mut buffer = vec![0; 65_536];
     let mut echoes = 0;
@@ -218,7 +218,7 @@
 /// Passes what another failure domain tells on to the own one, if this instance is one of its relays.
 ///
 /// What came from the own domain was passed on by another relay.
-fn pass_on(gateway: &Gateway, datagrams: &Datagrams, frame: &[u8], from: SocketAddr) {
+fn pass_on(gateway: &Gateway, datagrams: &DatagramSocket, frame: &[u8], from: SocketAddr) {
     let now = gateway.now();
     let peers = gateway.peers.borrow();
     if peers.relay_rank(gateway.id, now).is_none() || peers.is_domain_mate(from) {
@@ -229,7 +229,7 @@
 }
 
 /// Takes one message of another instance.
-fn take(gateway: &Gateway, datagrams: &Datagrams, from: SocketAddr, frame: Frame) {
+fn take(gateway: &Gateway, datagrams: &DatagramSocket, from: SocketAddr, frame: Frame) {
     let now = gateway.now();
     let own = gateway.settings().domain;
     let (sender, run) = (frame.sender, frame.incarnation);
@@ -250,7 +250,7 @@
             gateway.desk.borrow_mut().hear_work(*told, now);
         }
         Message::Leaving(all) => gateway.apply_leaving(&all),
-        Message::Wanted(wanted) => catching_up::tell_parts(gateway, datagrams, from, &wanted),
+        Message::Wanted(wanted) => state_sync::send_parts(gateway, datagrams, from, &wanted),
         Message::Part(part) => gateway.pending_state.take(from, part),
         _ => {}
     }
--- a/crates/hawthornmill-gateway/src/lib.rs
+++ b/crates/hawthornmill-gateway/src/lib.rs
@@ -6,32 +6,32 @@
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`door`] | taking new connections of callers, or turning them away |
-//! | [`serve`] | connections of callers |
+//! | [`listener`] | taking new connections of callers, or turning them away |
+//! | [`connection`] | connections of callers |
 //! | [`trip`] | one request: admit, wait, send, deliver, settle |
 //! | [`pool`] | connections to servers |
-//! | [`store`] | following the platform's store |
+//! | [`store_watch`] | following the platform's store |
 //! | [`datagrams`], [`gossip`] | datagrams, and the news in them |
-//! | [`catching_up`], [`awaited`] | getting from other instances what they know and this one does not |
-//! | [`side`] | state, directory, metrics |
+//! | [`state_sync`], [`pending_state`] | getting from other instances what they know and this one does not |
+//! | [`endpoints`] | state, directory, metrics |
 //! | [`event_log`], [`metrics`] | the log and the counters |
 //! | [`http`] | heads and bodies |
 //! | [`settings`], [`daemon`] | the process |
 
 pub mod adapter;
-pub mod awaited;
-pub mod catching_up;
+pub mod connection;
 pub mod daemon;
 pub mod datagrams;
-pub mod door;
+pub mod endpoints;
 pub mod event_log;
 pub mod gateway;
 pub mod gossip;
 pub mod http;
+pub mod listener;
 pub mod metrics;
+pub mod pending_state;
 pub mod pool;
-pub mod serve;
 pub mod settings;
-pub mod side;
-pub mod store;
+pub mod state_sync;
+pub mod store_watch;
 pub mod trip;
--- a/crates/hawthornmill-gateway/src/door.rs
+++ b/crates/hawthornmill-gateway/src/listener.rs
@@ -16,9 +16,9 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
+use crate::connection;
 use crate::gateway::{Gateway, Phase};
 use crate::http::head::{self, Framing};
-use crate::serve;
 use crate::trip::reply::Reply;
 
 /// Connections that are served at once; the rest of the descriptors is for servers.
@@ -32,7 +32,7 @@
 const COME_BACK: Duration = Duration::from_millis(400);
 
 /// Takes callers for as long as the process lives.
-pub async fn accept(gateway: Rc<Gateway>, listener: TcpListener) {
+pub async fn accept_connections(gateway: Rc<Gateway>, listener: TcpListener) {
     let listener = match listener.into_std().and_then(watch) {
         Ok(listener) => listener,
         Err(error) => {
@@ -82,7 +82,7 @@
         .set_nonblocking(true)
         .and_then(|()| tokio::net::TcpStream::from_std(stream));
     match stream {
-        Ok(stream) => drop(spawn_local(serve::serve(Rc::clone(gateway), stream))),
+        Ok(stream) => drop(spawn_local(connection::serve(Rc::clone(gateway), stream))),
         Err(error) => log::warn!(target: "door", "a connection can't be served: {error}"),
     }
 }
--- a/crates/hawthornmill-gateway/src/awaited.rs
+++ b/crates/hawthornmill-gateway/src/pending_state.rs
@@ -8,13 +8,13 @@
 
 /// The answer of one instance, as far as it has come.
 #[derive(Debug, Default)]
-pub struct Awaited {
+pub struct PendingState {
     from: Cell<Option<SocketAddr>>,
     answer: RefCell<Reassembly>,
     came: Notify,
 }
 
-impl Awaited {
+impl PendingState {
     /// Waits for an answer of `from` from now on.
     pub fn expect(&self, from: SocketAddr) {
         self.from.set(Some(from));
--- a/crates/hawthornmill-gateway/src/catching_up.rs
+++ b/crates/hawthornmill-gateway/src/state_sync.rs
@@ -18,7 +18,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::datagrams::Datagrams;
+use crate::datagrams::DatagramSocket;
 use crate::event_log;
 use crate::gateway::Gateway;
 use crate::pool::connect_timeout;
@@ -33,7 +33,7 @@
 const MOST_EMPTY: usize = 2;
 
 /// Sends the parts that `wanted` asks for.
-pub fn tell_parts(gateway: &Gateway, datagrams: &Datagrams, to: SocketAddr, wanted: &Wanted) {
+pub fn send_parts(gateway: &Gateway, datagrams: &DatagramSocket, to: SocketAddr, wanted: &Wanted) {
     let newest = || {
         let whole = postcard::to_allocvec(&knowledge(gateway, wanted.pull));
         whole.unwrap_or_else(|error| {
@@ -59,7 +59,7 @@
 /// Asks `mate` in datagrams, and learns what it answers.
 async fn ask_in_datagrams(
     gateway: &Gateway,
-    datagrams: &Datagrams,
+    datagrams: &DatagramSocket,
     mate: SocketAddr,
     pull: Pull,
 ) -> Result<(), Unanswered> {
@@ -73,7 +73,7 @@
 
 async fn answer_in_parts(
     gateway: &Gateway,
-    datagrams: &Datagrams,
+    datagrams: &DatagramSocket,
     mate: SocketAddr,
     pull: Pull,
 ) -> Result<Knowledge, Unanswered> {
@@ -104,7 +104,7 @@
 }
 
 /// Asks mates that know more, for as long as the process lives.
-pub async fn catch_up(gateway: Rc<Gateway>, datagrams: Rc<Datagrams>) {
+pub async fn sync_from_peers(gateway: Rc<Gateway>, datagrams: Rc<DatagramSocket>) {
     let mut behind: Option<Instant> = None;
     let mut mute: Vec<(SocketAddr, Instant)> = Vec::new();
     let mut patience = Patience::default();
@@ -248,7 +248,7 @@
 }
 
 /// Answers mates that ask, for as long as the process lives.
-pub async fn answer(gateway: Rc<Gateway>, listener: TcpListener) {
+pub async fn serve_peers(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
         let Ok((link, from)) = listener.accept().await else {
             tokio::time::sleep(LOOK).await;
--- a/crates/hawthornmill-gateway/src/store.rs
+++ b/crates/hawthornmill-gateway/src/store_watch.rs
@@ -70,7 +70,7 @@
     Silent,
 }
 
-struct Follower {
+struct Watcher {
     gateway: Rc<Gateway>,
     topic: Topic,
     link: Option<TcpStream>,
@@ -83,9 +83,9 @@
 }
 
 /// Follows `topic` for as long as the process lives.
-pub async fn follow(gateway: Rc<Gateway>, topic: Topic) {
+pub async fn watch(gateway: Rc<Gateway>, topic: Topic) {
     let now = gateway.now();
-    let mut follower = Follower {
+    let mut watcher = Watcher {
         gateway,
         topic,
         link: None,
@@ -96,18 +96,18 @@
         failures: 0,
     };
     loop {
-        follower.rest().await;
-        let result = match follower.revision {
-            None => follower.list().await,
-            Some(revision) => follower.wait(revision).await,
+        watcher.wait_until_reader().await;
+        let result = match watcher.revision {
+            None => watcher.list_all().await,
+            Some(revision) => watcher.watch_changes(revision).await,
         };
-        follower.settle(result).await;
+        watcher.record_result(result).await;
     }
 }
 
-impl Follower {
+impl Watcher {
     /// Waits while other instances read for this one.
-    async fn rest(&self) {
+    async fn wait_until_reader(&self) {
         let gateway = &self.gateway;
         loop {
             let known = gateway.has_registrations.get() && gateway.catalog_version() > 0;
@@ -131,7 +131,7 @@
         }
     }
 
-    async fn list(&mut self) -> Result<(), Failure> {
+    async fn list_all(&mut self) -> Result<(), Failure> {
         let store = self.gateway.adapter.store;
         let mut items: Vec<KvEntry> = Vec::new();
         let mut revision = None;
@@ -146,12 +146,12 @@
             }
         }
         let revision = revision.unwrap_or_default();
-        let away = self.was_away();
+        let away = self.may_lack_entries();
         match self.topic {
-            Topic::Catalog => items.iter().for_each(|i| self.take(i)),
+            Topic::Catalog => items.iter().for_each(|i| self.apply_entry(i)),
             Topic::Servers => {
                 let list = List {
-                    entries: items.iter().map(|i| self.change(i)).collect(),
+                    entries: items.iter().map(|i| self.parse_change(i)).collect(),
                     doubted: Vec::new(),
                     revision,
                     away,
@@ -163,12 +163,12 @@
         Ok(())
     }
 
-    async fn wait(&mut self, after: u64) -> Result<(), Failure> {
+    async fn watch_changes(&mut self, after: u64) -> Result<(), Failure> {
         let store = self.gateway.adapter.store;
         let path = (store.watch_path)(self.prefix(), after, WAIT.as_millis() as u64);
         let page = self.call(&path, WAIT + CALL).await?;
         for item in &page.entries {
-            self.take(item);
+            self.apply_entry(item);
         }
         if !page.entries.is_empty() {
             // Changes come in bursts, and a wait that is answered for each one costs a call for each.
@@ -185,7 +185,7 @@
         Ok(())
     }
 
-    fn take(&self, item: &KvEntry) {
+    fn apply_entry(&self, item: &KvEntry) {
         match (self.topic, &item.value) {
             (Topic::Catalog, Some(value)) if *item.key == *self.prefix() => {
                 match (self.gateway.adapter.parse_catalog)(value) {
@@ -197,12 +197,12 @@
                 }
             }
             (Topic::Catalog, _) => {}
-            (Topic::Servers, None) if self.was_away() => {
+            (Topic::Servers, None) if self.may_lack_entries() => {
                 let server = ServerId::of(self.server_name(item));
                 self.gateway.suspect_removal(server, item.revision);
             }
             (Topic::Servers, _) => {
-                let change = self.change(item);
+                let change = self.parse_change(item);
                 self.gateway.apply_change(change, "store");
             }
         }
@@ -212,7 +212,7 @@
         item.key.strip_prefix(self.prefix()).unwrap_or(&item.key)
     }
 
-    fn change(&self, item: &KvEntry) -> Change {
+    fn parse_change(&self, item: &KvEntry) -> Change {
         let name = self.server_name(item);
         let read = |value: &Vec<u8>| (self.gateway.adapter.parse_registration)(name, value);
         let entry = match item.value.as_ref().map(read) {
@@ -232,12 +232,12 @@
     }
 
     /// Tells whether entries may be missing because servers could not write.
-    fn was_away(&self) -> bool {
+    fn may_lack_entries(&self) -> bool {
         self.returning
             .is_some_and(|until| self.gateway.now() < until)
     }
 
-    async fn settle(&mut self, result: Result<(), Failure>) {
+    async fn record_result(&mut self, result: Result<(), Failure>) {
         let now = self.gateway.now();
         let topic = format!("{:?}", self.topic);
         match result {
@@ -306,7 +306,7 @@
         request.field("Host", address.to_string());
         request.end();
         link.write_all(&request.0).await?;
-        let (status, body, keep) = read_answer(&mut link).await?;
+        let (status, body, keep) = read_response(&mut link).await?;
         // Kept only now: a call that is given up half-way drops its connection.
         self.link = keep.then_some(link);
         Ok((status, body))
@@ -317,7 +317,7 @@
 ///
 /// # Errors
 /// When the connection breaks, or what came is no answer or too long.
-pub async fn read_answer(link: &mut TcpStream) -> std::io::Result<(u16, Vec<u8>, bool)> {
+pub async fn read_response(link: &mut TcpStream) -> std::io::Result<(u16, Vec<u8>, bool)> {
     let broken = || std::io::Error::from(std::io::ErrorKind::InvalidData);
     let mut buffer = BytesMut::with_capacity(4096);
     let (head, length) = loop {
--- a/crates/hawthornmill-gateway/src/trip/read.rs
+++ b/crates/hawthornmill-gateway/src/trip/read.rs
@@ -9,10 +9,10 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
 
+use crate::connection::Reader;
 use crate::gateway::{Gateway, Phase};
 use crate::http::body::{Decoder, Piece};
 use crate::http::head::{self, Framing, RequestHead};
-use crate::serve::Reader;
 
 /// Bytes of bodies that one process holds at once; an instance has about a hundred megabytes.
 const MOST_BODIES: usize = 32 << 20;
