--- a/crates/hawthornmill-gateway/src/daemon.rs
+++ b/crates/hawthornmill-gateway/src/daemon.rs
@@ -159,11 +159,11 @@
 }
 
 async fn leave(gateway: &Gateway) -> usize {
-    let promises = gateway.settings().promises;
-    let end = tokio::time::Instant::now() + promises.grace.saturating_sub(BEFORE_GRACE);
+    let guarantees = gateway.settings().guarantees;
+    let end = tokio::time::Instant::now() + guarantees.shutdown_grace.saturating_sub(BEFORE_GRACE);
     event_log::state_change("leaving", json!({"under_way": gateway.in_flight.get()}));
     gateway.set_phase(Phase::LameDuck);
-    tokio::time::sleep(promises.ttl * OLD_ANSWERS).await;
+    tokio::time::sleep(guarantees.directory_ttl * OLD_ANSWERS).await;
     gateway.set_phase(Phase::Draining);
     while gateway.in_flight.get() > 0 && tokio::time::Instant::now() < end {
         tokio::time::sleep(LOOK).await;
--- a/crates/hawthornmill-gateway/src/endpoints.rs
+++ b/crates/hawthornmill-gateway/src/endpoints.rs
@@ -131,7 +131,7 @@
             b"no instance is ready\n".to_vec(),
         );
     }
-    let ttl = gateway.settings().promises.ttl.as_secs_f64();
+    let ttl = gateway.settings().guarantees.directory_ttl.as_secs_f64();
     (
         200,
         "OK",
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -128,7 +128,7 @@
             domain: settings.domain,
             region: settings.region,
         };
-        let mut desk = Desk::new(place, Budget::new(settings.promises.resends, now));
+        let mut desk = Desk::new(place, Budget::new(settings.guarantees.resend_budget, now));
         desk.regions.clone_from(&settings.regions);
         Rc::new(Self {
             id: InstanceId::of(&settings.name),
@@ -214,7 +214,7 @@
     /// Where nobody that lives has it, this instance's own is still the best there is.
     pub fn is_outdated(&self) -> bool {
         let now = self.now();
-        let late = self.settings().promises.apply.mul_f64(OUTDATED);
+        let late = self.settings().guarantees.apply_time.mul_f64(OUTDATED);
         self.catalog_lag.borrow().time(now) > late
             && self.peers.borrow().has_newer(self.catalog_version(), now)
     }
--- a/crates/hawthornmill-gateway/src/gossip.rs
+++ b/crates/hawthornmill-gateway/src/gossip.rs
@@ -48,7 +48,7 @@
                 continue;
             }
         }
-        due = tokio::time::Instant::now() + gateway.settings().news;
+        due = tokio::time::Instant::now() + gateway.settings().news_interval;
         round += 1;
         let now = gateway.now();
         let settings = gateway.settings();
--- a/crates/hawthornmill-gateway/src/settings.rs
+++ b/crates/hawthornmill-gateway/src/settings.rs
@@ -21,7 +21,7 @@
 
 /// Addresses that this process serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Listen {
+pub struct ListenAddresses {
     /// Callers' requests.
     pub front: SocketAddr,
     /// Whether the process takes requests.
@@ -36,15 +36,15 @@
 
 /// What operators were promised of this deployment.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Promises {
+pub struct Guarantees {
     /// Time in which a published catalog is in force everywhere.
-    pub apply: Duration,
+    pub apply_time: Duration,
     /// Time from the signal to stop to the end of the process.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Time for which callers may use a directory's answer.
-    pub ttl: Duration,
+    pub directory_ttl: Duration,
     /// Second sends over the fleet.
-    pub resends: Terms,
+    pub resend_budget: Terms,
 }
 
 /// Settings of one gateway process.
@@ -59,17 +59,17 @@
     /// Region of each failure domain.
     pub regions: Vec<(DomainId, RegionId)>,
     /// Addresses to serve.
-    pub listen: Listen,
+    pub listen: ListenAddresses,
     /// Peer addresses of a few other instances, maybe out of date.
     pub seeds: Vec<SocketAddr>,
     /// Key of the frames between instances.
     pub key: [u8; 32],
     /// Time between two pieces of news to the others.
-    pub news: Duration,
+    pub news_interval: Duration,
     /// Address of the platform's store.
     pub store: SocketAddr,
     /// What was promised.
-    pub promises: Promises,
+    pub guarantees: Guarantees,
     /// Least severe level that is logged.
     pub level: log::LevelFilter,
 }
@@ -109,19 +109,19 @@
             listen,
             seeds: seeds(&mut reader, &peers, listen.peer.port()),
             key: key(&mut reader, &peers),
-            news: reader.millis(&peers, "news_ms", 200.0),
+            news_interval: reader.millis(&peers, "news_ms", 200.0),
             store: store(&mut reader, &one("store")),
-            promises: promises(&mut reader, &one("promises")),
+            guarantees: guarantees(&mut reader, &one("promises")),
             level: level(&mut reader, &one("telemetry")),
         };
         reader.finish(settings)
     }
 }
 
-fn listen(reader: &mut Reader<'_>, section: &Section) -> Listen {
+fn listen(reader: &mut Reader<'_>, section: &Section) -> ListenAddresses {
     reader.known_keys(section, &["front", "ready", "directory", "peer", "metrics"]);
     let metrics = section.get("metrics").is_some();
-    Listen {
+    ListenAddresses {
         front: address(reader, section, "front"),
         ready: address(reader, section, "ready"),
         directory: address(reader, section, "directory"),
@@ -181,7 +181,7 @@
     Duration::from_secs_f64(reader.bounded(section, key, default, 0.01..=3_600.0))
 }
 
-fn promises(reader: &mut Reader<'_>, section: &Section) -> Promises {
+fn guarantees(reader: &mut Reader<'_>, section: &Section) -> Guarantees {
     let known = [
         "apply_ms",
         "grace_s",
@@ -191,11 +191,11 @@
         "resend_window_s",
     ];
     reader.known_keys(section, &known);
-    Promises {
-        apply: reader.millis(section, "apply_ms", 3_000.0),
-        grace: seconds(reader, section, "grace_s", 8.0),
-        ttl: seconds(reader, section, "ttl_s", 1.0),
-        resends: Terms {
+    Guarantees {
+        apply_time: reader.millis(section, "apply_ms", 3_000.0),
+        shutdown_grace: seconds(reader, section, "grace_s", 8.0),
+        directory_ttl: seconds(reader, section, "ttl_s", 1.0),
+        resend_budget: Terms {
             ratio: reader.bounded(section, "resend_ratio", 0.1, 0.0..=1.0),
             extra: reader.bounded(section, "resend_extra", 20.0, 0.0..=1e6),
             window: seconds(reader, section, "resend_window_s", 10.0),
