--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -1,7 +1,7 @@
-//! What the tasks of one gateway process share.
+//! State shared by the tasks of one gateway process.
 //!
-//! The process has one thread, so the shared state is borrowed for the length of a call and never
-//! across an await.
+//! The process has one thread, so shared state is borrowed for the length of a call and never across
+//! an await.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -34,89 +34,90 @@
 use crate::pool::Pool;
 use crate::settings::Settings;
 
-/// Part of the time in which a catalog must be in force after which an instance without it decides nothing; the
-/// rest is for news of it on their way.
-const OUTDATED: f64 = 0.75;
+/// Share of the guaranteed apply time after which an instance without the newest catalog rejects requests.
+///
+/// The rest covers the time that gossip about a new catalog takes to arrive.
+const OUTDATED_FACTOR: f64 = 0.75;
 
-/// How far the process is on its way out.
+/// Phase of the process in its lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It serves.
+    /// Accepts requests.
     Serving,
-    /// It was told to stop and serves those that have not heard of it.
+    /// Was told to stop, and still accepts requests of clients that have not heard of it.
     LameDuck,
-    /// It refuses new requests and waits for those under way.
+    /// Rejects new requests and waits for those in flight.
     Draining,
 }
 
-/// Connections that were turned away because the process was behind.
+/// Connections rejected because the process was overloaded.
 #[derive(Debug, Default)]
 pub struct RejectedConnections {
-    /// Requests that were told when to come back.
+    /// Attempt ids of the requests that were answered with a time to retry.
     pub answered: Vec<Box<str>>,
-    /// Connections that were closed unread.
+    /// Number of connections closed without reading from them.
     pub unread: u64,
 }
 
-/// The shared state.
+/// Shared state of the process.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Settings in force.
+    /// Current settings.
     pub settings: RefCell<Rc<Settings>>,
-    /// The adapter.
+    /// The interface to the platform.
     pub adapter: Adapter,
     /// Source of time.
     pub clock: Clock,
-    /// This instance's key.
+    /// Identifies this instance.
     pub id: InstanceId,
-    /// This process run.
+    /// Identifies this run of the process.
     pub incarnation: Incarnation,
-    /// Decisions.
+    /// Selects a server for each request.
     pub desk: RefCell<Desk>,
-    /// Catalog in force.
+    /// Index of the current catalog, if there is one.
     pub table: RefCell<Option<Rc<Table>>>,
-    /// Catalogs that others have and this instance has not.
+    /// How long this instance has lacked a catalog that another one has.
     pub catalog_lag: RefCell<Lag>,
-    /// Servers that leave, as heard lately.
+    /// Recent announcements that servers are leaving.
     pub leaving_servers: RefCell<Leavers>,
-    /// What this instance told others lately of what it knows.
+    /// Encoded state that was recently sent to peers.
     pub state_cache: RefCell<RecentAnswers>,
-    /// What another instance tells of what it knows.
+    /// State that is being received from a peer.
     pub pending_state: PendingState,
     /// The other instances.
     pub peers: RefCell<Mates>,
     /// Connections to servers.
     pub pool: Pool,
-    /// Counters.
+    /// Counters and histograms.
     pub metrics: Metrics,
-    /// Callers' connections that are open.
+    /// Number of open client connections.
     pub connections: Cell<usize>,
-    /// How full the instance's link is.
+    /// Congestion of the network link of this instance.
     pub link: RefCell<Link>,
-    /// How late the process is with its work.
+    /// How late the process runs its timers.
     pub strain: Cell<Strain>,
-    /// Connections turned away since the log told of them.
+    /// Connections rejected since they were last logged.
     pub rejected: RefCell<RejectedConnections>,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub in_flight: Cell<usize>,
-    /// Bytes of bodies in memory.
+    /// Bytes of request bodies held in memory.
     pub body_bytes: Cell<usize>,
-    /// The catalog or the registrations came from the store or a mate since the start.
+    /// Whether a list of registrations came from the store or a peer since the start.
     pub has_registrations: Cell<bool>,
-    /// What this instance has to do with the store.
+    /// Whether this instance reads the store, and whether the store answers.
     pub store_access: Cell<Reading>,
-    /// A place came free, or something else that waiting requests depend on changed.
+    /// Wakes the dispatch loop: a slot became free, or another input of queued requests changed.
     pub queue_wakeup: Notify,
-    /// Something that the others should hear at once changed.
+    /// Wakes the gossip task: something changed that peers should learn at once.
     pub news_wakeup: Notify,
-    /// The others should hear of this instance's work before its next news.
+    /// Wakes the gossip task: the work of this instance changed much since it was last announced.
     pub work_wakeup: Notify,
     phase: watch::Sender<Phase>,
     waiters: RefCell<SecondaryMap<Ticket, oneshot::Sender<Result<Choice, Refusal>>>>,
 }
 
 impl Gateway {
-    /// The state of a process that has heard nothing yet.
+    /// Creates the state of a process that has not yet received anything.
     pub fn new(
         settings: Settings,
         adapter: Adapter,
@@ -161,65 +162,69 @@
         })
     }
 
-    /// The present instant.
+    /// Returns the current time.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// Settings in force.
+    /// Returns the current settings.
     pub fn settings(&self) -> Rc<Settings> {
         Rc::clone(&self.settings.borrow())
     }
 
-    /// Tells whether times that are measured now tell more of this instance than of servers.
+    /// Tells whether latency measured now reflects this instance rather than the servers.
     pub fn is_overloaded(&self) -> bool {
         let now = self.now();
         self.strain.get().is_behind(now) || self.link.borrow().is_late(now)
     }
 
-    /// Catalog in force.
+    /// Returns the index of the current catalog.
     pub fn table(&self) -> Option<Rc<Table>> {
         self.table.borrow().clone()
     }
 
-    /// Version of the catalog in force; 0 when there is none.
+    /// Returns the version of the current catalog, or 0 if there is none.
     pub fn catalog_version(&self) -> u64 {
         self.table.borrow().as_ref().map_or(0, |t| t.version())
     }
 
-    /// How far the process is on its way out.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Tells of changes of the phase.
+    /// Subscribes to changes of the phase.
     pub fn subscribe_phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// Goes on to `phase`.
+    /// Changes the phase and announces it to peers.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
         self.news_wakeup.notify_one();
     }
 
-    /// Tells whether callers may be sent here.
+    /// Tells whether clients may be sent to this instance.
     pub fn is_ready(&self) -> bool {
         let known = self.has_registrations.get() && self.table.borrow().is_some();
         self.phase() == Phase::Serving && known && !self.is_outdated()
     }
 
-    /// Tells whether a newer catalog is in force by now, so that others must decide.
+    /// Tells whether a live peer has a newer catalog that should be in force by now.
     ///
-    /// Where nobody that lives has it, this instance's own is still the best there is.
+    /// If no live peer has the newer catalog, this instance's own is still the best available.
     pub fn is_outdated(&self) -> bool {
         let now = self.now();
-        let late = self.settings().guarantees.apply_time.mul_f64(OUTDATED);
+        let late = self
+            .settings()
+            .guarantees
+            .apply_time
+            .mul_f64(OUTDATED_FACTOR);
         self.catalog_lag.borrow().time(now) > late
             && self.peers.borrow().has_newer(self.catalog_version(), now)
     }
 
-    /// Puts `catalog` in force unless an equal or newer one is; `from` is told in the log.
+    /// Makes `catalog` the current one, unless its version is not newer; `from` is logged.
     pub fn apply_catalog(&self, catalog: Catalog, from: &str) {
         let (version, before) = (catalog.version, self.catalog_version());
         if version <= before {
@@ -235,20 +240,20 @@
                 self.queue_wakeup.notify_one();
                 self.news_wakeup.notify_one();
             }
-            Err((code, what)) => {
-                let fields = json!({"version": version, "code": code.number(), "why": what});
+            Err((code, message)) => {
+                let fields = json!({"version": version, "code": code.number(), "why": message});
                 event_log::state_change("catalog_refused", fields);
             }
         }
     }
 
-    /// Another instance decides by the catalog of `version`.
+    /// Records that a peer uses the catalog of `version`.
     pub fn observe_version(&self, version: u64) {
         let (own, now) = (self.catalog_version(), self.now());
         self.catalog_lag.borrow_mut().hear(version, own, now);
     }
 
-    /// Takes one change of the registrations.
+    /// Applies a change of one registration.
     pub fn apply_change(&self, change: Change, from: &str) {
         let (told, leaving) = (describe_change(&change, from), change.leaving());
         if self.desk.borrow_mut().register(change, self.now()) {
@@ -260,7 +265,7 @@
         }
     }
 
-    /// Takes the word of another instance that servers leave.
+    /// Applies announcements of a peer that servers are leaving.
     pub fn apply_leaving(&self, all: &[Leaving]) {
         for leaving in all {
             if self.desk.borrow_mut().registry.leaves(*leaving) {
@@ -279,7 +284,9 @@
         self.news_wakeup.notify_one();
     }
 
-    /// An entry was removed at `revision`, maybe since the store was away.
+    /// Records that a registration was removed at `revision`, possibly because the store was unavailable.
+    ///
+    /// The server could not renew its registration then, and may come back.
     pub fn suspect_removal(&self, server: ServerId, revision: u64) {
         let registry = &mut self.desk.borrow_mut().registry;
         if let Some(known) = registry.get(server) {
@@ -289,7 +296,7 @@
         registry.doubt_anew(server, revision, self.now());
     }
 
-    /// Takes a whole list of registrations.
+    /// Applies a complete list of registrations.
     pub fn apply_registrations(&self, list: List, from: &str) {
         let fields = json!({
             "servers": list.entries.len(), "doubted": list.doubted.len(), "revision": list.revision,
@@ -301,10 +308,10 @@
         self.queue_wakeup.notify_one();
     }
 
-    /// Waits until the desk decides on `request`.
+    /// Waits until a server is selected for `request`.
     ///
     /// # Errors
-    /// Why it is turned away, and when its caller may come back.
+    /// Why the request is rejected, and when its client may retry.
     pub async fn select_server(&self, request: &Request) -> Result<Choice, Refusal> {
         let verdict = self.desk.borrow_mut().ask(request, self.now());
         self.announce_work();
@@ -312,7 +319,7 @@
             Verdict::Decided(decided) => return decided,
             Verdict::Wait(ticket) => self.wait_for_decision(ticket).await,
         };
-        // The other end is dropped only together with the gateway, and nobody is served then.
+        // The sender is only dropped together with the gateway.
         decided.unwrap_or(Err(Refusal {
             code: Code::NotReady,
             cause: Cause::NoServer,
@@ -323,47 +330,47 @@
     async fn wait_for_decision(&self, ticket: Ticket) -> Option<Result<Choice, Refusal>> {
         let (sender, decided) = oneshot::channel();
         self.waiters.borrow_mut().insert(ticket, sender);
-        let mut waiting = Waiting {
+        let mut queued = QueuedRequest {
             gateway: self,
             ticket,
             decided,
         };
-        (&mut waiting.decided).await.ok()
+        (&mut queued.decided).await.ok()
     }
 
-    /// Lets the desk decide on those that wait.
+    /// Selects servers for queued requests as far as possible.
     pub fn dispatch_queue(&self) {
         let decided = self.desk.borrow_mut().turn(self.now());
         self.announce_work();
         for (ticket, decided) in decided {
             let waiter = self.waiters.borrow_mut().remove(ticket);
-            let untaken = match waiter {
+            let unclaimed = match waiter {
                 Some(waiter) => waiter.send(decided).err(),
                 None => Some(decided),
             };
-            if let Some(Ok(choice)) = untaken {
+            if let Some(Ok(choice)) = unclaimed {
                 self.release(&choice, false);
             }
         }
     }
 
-    /// Lets the others hear of this instance's work if much of it has changed.
+    /// Wakes the gossip task if much of this instance's work has changed.
     pub fn announce_work(&self) {
         if self.desk.borrow().loads.is_untold() {
             self.work_wakeup.notify_one();
         }
     }
 
-    /// A request is no longer under way at its server.
+    /// Records that a request is no longer in flight at its server.
     pub fn release(&self, choice: &Choice, began: bool) {
         self.desk.borrow_mut().ended(choice, began);
         self.queue_wakeup.notify_one();
     }
 
-    /// Idle connections that this instance may keep to `server`; none once it is gone.
+    /// Returns how many idle connections this instance may keep to `server`; 0 if it is not registered.
     ///
-    /// A server resets what is over its service's bound, and cannot tell idle connections from needed
-    /// ones. Half of the bound, divided by the instances, leaves the other half for requests under way.
+    /// A server resets connections beyond the limit of its service, whether they are idle or in use.
+    /// Half of the limit, divided by the number of instances, leaves the other half for requests in flight.
     pub fn max_idle(&self, server: ServerId) -> usize {
         let Some(service) = self
             .desk
@@ -382,7 +389,7 @@
         }
     }
 
-    /// Name of a server for logs.
+    /// Returns the name of a server for logs.
     pub fn server_name(&self, server: ServerId) -> Box<str> {
         let desk = self.desk.borrow();
         let known = desk.registry.get(server);
@@ -401,14 +408,14 @@
     }
 }
 
-/// A request in the line; takes it out when its caller leaves.
-struct Waiting<'a> {
+/// A queued request; removed from the queue on drop, when its client disconnects.
+struct QueuedRequest<'a> {
     gateway: &'a Gateway,
     ticket: Ticket,
     decided: oneshot::Receiver<Result<Choice, Refusal>>,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
         if self
             .gateway
@@ -419,25 +426,24 @@
         {
             self.gateway.desk.borrow_mut().leave(self.ticket);
         }
-        // A place was found and its caller left before it heard; nobody else would free it.
+        // A server was selected, but the client disconnected before it was told: free the slot here.
         if let Ok(Ok(choice)) = self.decided.try_recv() {
             self.gateway.release(&choice, false);
         }
     }
 }
 
-/// Time between two looks at what waits, beside those that a nudge brings.
-const LOOK: Duration = Duration::from_millis(25);
-/// Time between two clean-ups.
-const SWEEP: Duration = Duration::from_millis(250);
+/// Interval at which queued requests are checked without a wakeup.
+const DISPATCH_INTERVAL: Duration = Duration::from_millis(25);
+const CLEANUP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Decides on waiting requests for as long as the process lives.
+/// Dispatches queued requests until the process ends.
 pub async fn dispatch_loop(gateway: Rc<Gateway>) {
     loop {
         if gateway.desk.borrow().waiting() > 0 {
             tokio::select! {
                 () = gateway.queue_wakeup.notified() => {}
-                () = tokio::time::sleep(LOOK) => {}
+                () = tokio::time::sleep(DISPATCH_INTERVAL) => {}
             }
         } else {
             gateway.queue_wakeup.notified().await;
@@ -446,22 +452,21 @@
     }
 }
 
-/// Time between two looks at how late the process is.
-const TICK: Duration = Duration::from_millis(100);
+const LATENESS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Measures how late the process is for as long as it lives.
+/// Measures how late timers run until the process ends.
 pub async fn monitor_lateness(gateway: Rc<Gateway>) {
     loop {
         let now = gateway.now();
         let mut strain = gateway.strain.get();
-        strain.tick(now, now + TICK);
+        strain.tick(now, now + LATENESS_INTERVAL);
         gateway.strain.set(strain);
         log_rejected(&gateway, strain.late(now));
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(LATENESS_INTERVAL).await;
     }
 }
 
-/// One line for all connections that were turned away since the last one: a flood has thousands a second.
+/// Logs all rejected connections since the last call in one line: a flood has thousands per second.
 fn log_rejected(gateway: &Gateway, late: Duration) {
     let rejected = gateway.rejected.take();
     if rejected.unread == 0 && rejected.answered.is_empty() {
@@ -474,10 +479,10 @@
     event_log::state_change("turned_away", fields);
 }
 
-/// Drops what no longer counts for as long as the process lives.
+/// Removes expired registrations and idle connections until the process ends.
 pub async fn cleanup_loop(gateway: Rc<Gateway>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(CLEANUP_INTERVAL).await;
         let now = gateway.now();
         let gone = gateway.desk.borrow_mut().sweep(now);
         for server in gone {
