--- a/crates/hawthornmill-gateway/src/datagrams.rs
+++ b/crates/hawthornmill-gateway/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams to other instances.
+//! The UDP socket to the other instances.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -7,19 +7,19 @@
 use hawthornmill::wire::{Message, Sealer};
 use tokio::net::UdpSocket;
 
-/// Channel of datagrams; instances drop what repeats by its sequence number.
+/// Channel number of datagrams, whose repetitions are dropped by sequence number.
 pub const CHANNEL: u64 = 0;
 
-/// The socket for datagrams, and the one sequence in which they are numbered.
+/// A UDP socket that seals what it sends in one sequence of numbers.
 #[derive(Debug)]
 pub struct DatagramSocket {
-    /// The socket.
+    /// The bound socket, from which frames are received.
     pub socket: UdpSocket,
     sealer: RefCell<Sealer>,
 }
 
 impl DatagramSocket {
-    /// Sends by `socket` what `sealer` seals for [`CHANNEL`].
+    /// Creates a sender on `socket` whose `sealer` is one for [`CHANNEL`].
     pub const fn new(socket: UdpSocket, sealer: Sealer) -> Self {
         Self {
             socket,
@@ -30,19 +30,19 @@
     /// Sends `message` to each of `targets`.
     pub fn send(&self, message: &Message, targets: impl IntoIterator<Item = SocketAddr>) {
         let Ok(frame) = self.sealer.borrow_mut().seal(message) else {
-            log::error!(target: "mates", "a message can't be encoded");
+            log::error!(target: "mates", "can't encode a message to peers");
             return;
         };
         if frame.len() > DATAGRAM_LIMIT {
-            log::warn!(target: "mates", "message of {} bytes over one packet", frame.len());
+            log::warn!(target: "mates", "message of {} bytes exceeds the size of a packet", frame.len());
         }
         self.send_frame(&frame, targets);
     }
 
-    /// Sends a frame as it is to each of `targets`.
+    /// Sends a sealed frame unchanged to each of `targets`.
     pub fn send_frame(&self, frame: &[u8], targets: impl IntoIterator<Item = SocketAddr>) {
         for target in targets {
-            // An unreachable instance shows as an error here; it is silent to us either way.
+            // An unreachable instance shows up as an error here, but is also noticed by its silence.
             let _sent = self.socket.try_send_to(frame, target);
         }
     }
--- a/crates/hawthornmill-gateway/src/gossip.rs
+++ b/crates/hawthornmill-gateway/src/gossip.rs
@@ -1,4 +1,6 @@
-//! News to and from the other instances, over UDP.
+//! Exchanges state with the other instances over UDP.
+//!
+//! A piece of news is the periodic message in which an instance announces its state and work.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,35 +18,34 @@
 use crate::gateway::{Gateway, Phase};
 use crate::state_sync;
 
-/// Least time between two pieces of news, however much changes.
-const LEAST_PAUSE: Duration = Duration::from_millis(40);
-/// Least time between two tellings of work, in which others would send some ten requests.
-const WORK_PAUSE: Duration = Duration::from_millis(20);
-/// The same in a large fleet, where each telling goes to a dozen mates.
-const WORK_PAUSE_LARGE: Duration = Duration::from_millis(50);
-/// Work entries and accounts told at most, so that news fit a packet.
-const MOST_TOLD: usize = 48;
+/// Shortest time between two pieces of news.
+const MIN_NEWS_INTERVAL: Duration = Duration::from_millis(40);
+/// Shortest time between two announcements of work; a peer dispatches about ten requests in it.
+const MIN_WORK_INTERVAL: Duration = Duration::from_millis(20);
+/// Shortest time between two announcements of work to the dozen peers in a large fleet.
+const MIN_WORK_INTERVAL_LARGE: Duration = Duration::from_millis(50);
+/// Most work entries and client accounts in a message, so that it fits into a packet.
+const MAX_REPORTED: usize = 48;
 
-/// Datagrams dropped as seen before, without one that was taken between, after which the memory of
-/// numbers is dropped.
+/// Replayed datagrams after which the recorded sequence numbers are cleared.
 ///
-/// A process that restarts after its machine's time of day was set back has a lower run number than
-/// the one before, and would be taken for an echo of it for ever.
-const MOST_ECHOES: u32 = 6;
+/// A process that restarts after its machine's clock was set back has a lower run number than before.
+/// Without this limit, all its datagrams would be dropped as replays.
+const MAX_REPLAYS: u32 = 6;
 
-/// Sends news for as long as the process lives.
+/// Sends news and announcements of work until the process ends.
 pub async fn send_news(gateway: Rc<Gateway>, datagrams: Rc<DatagramSocket>) {
     let mut round = 0;
     let mut due = tokio::time::Instant::now();
     loop {
         tokio::select! {
             () = tokio::time::sleep_until(due) => {}
-            () = gateway.news_wakeup.notified() => tokio::time::sleep(LEAST_PAUSE).await,
+            () = gateway.news_wakeup.notified() => tokio::time::sleep(MIN_NEWS_INTERVAL).await,
             () = gateway.work_wakeup.notified() => {
-                announce_work(&gateway, &datagrams);
+                send_work(&gateway, &datagrams);
                 let large = gateway.peers.borrow().is_large();
-                let pause = if large { WORK_PAUSE_LARGE } else { WORK_PAUSE };
-                tokio::time::sleep(pause).await;
+                let interval = if large { MIN_WORK_INTERVAL_LARGE } else { MIN_WORK_INTERVAL };
+                tokio::time::sleep(interval).await;
                 continue;
             }
         }
@@ -56,27 +57,27 @@
             .peers
             .borrow_mut()
             .targets(&settings.seeds, round, now);
-        let most = gateway.peers.borrow().most();
-        gateway.desk.borrow_mut().budget.share_among(most);
-        let news = news(&gateway, round, now);
+        let fleet_size = gateway.peers.borrow().most();
+        gateway.desk.borrow_mut().budget.share_among(fleet_size);
+        let news = build_news(&gateway, round, now);
         let others = targets.iter().filter(|t| **t != settings.listen.peer);
         datagrams.send(&Message::News(Box::new(news)), others.copied());
-        tell_leaving(&gateway, &datagrams, now);
-        relay(&gateway, &datagrams, round);
+        send_leaving(&gateway, &datagrams, now);
+        relay_domain(&gateway, &datagrams, round);
     }
 }
 
-/// Tells those nearby which servers leave, as the store told this instance.
-fn tell_leaving(gateway: &Gateway, datagrams: &DatagramSocket, now: Instant) {
+/// Announces to nearby instances the servers that are leaving according to the store.
+fn send_leaving(gateway: &Gateway, datagrams: &DatagramSocket, now: Instant) {
     let leaving = gateway.leaving_servers.borrow().near(now);
     if !leaving.is_empty() {
-        let near = gateway.peers.borrow().near(now);
-        datagrams.send(&Message::Leaving(leaving), near);
+        let targets = gateway.peers.borrow().near(now);
+        datagrams.send(&Message::Leaving(leaving), targets);
     }
 }
 
-/// Tells the other failure domains what this one has, if this instance is one of its relays.
-fn relay(gateway: &Gateway, datagrams: &DatagramSocket, round: u64) {
+/// Sends the state of this failure domain to the others, if this instance is one of its relays.
+fn relay_domain(gateway: &Gateway, datagrams: &DatagramSocket, round: u64) {
     let now = gateway.now();
     let Some(rank) = gateway.peers.borrow().relay_rank(gateway.id, now) else {
         return;
@@ -87,12 +88,12 @@
     }
     let leaving = gateway.leaving_servers.borrow().far(now);
     let leaving = (!leaving.is_empty()).then_some(Message::Leaving(leaving));
-    for message in leaving.into_iter().chain(domain_news(gateway, now)) {
+    for message in leaving.into_iter().chain(domain_messages(gateway, now)) {
         datagrams.send(&message, targets.iter().copied());
     }
 }
 
-fn domain_news(gateway: &Gateway, now: Instant) -> Vec<Message> {
+fn domain_messages(gateway: &Gateway, now: Instant) -> Vec<Message> {
     let settings = gateway.settings();
     let peers = gateway.peers.borrow();
     let mut desk = gateway.desk.borrow_mut();
@@ -113,7 +114,7 @@
     members.push(Member {
         id: gateway.id,
         run: gateway.incarnation,
-        mate: mate(gateway),
+        mate: contact(gateway),
         ready: gateway.is_ready(),
         leaving: gateway.phase() > Phase::Serving,
         reading: gateway.store_access.get(),
@@ -123,7 +124,7 @@
     let work = desk.loads.sum(&ids);
     let mut usage = desk.usage.sum(&ids, now);
     usage.sort_by(|a, b| b.1.asked.total_cmp(&a.1.asked));
-    usage.truncate(MOST_TOLD);
+    usage.truncate(MAX_REPORTED);
     let members = desk.members(settings.domain, members, now);
     let parts = DomainWork::parts(settings.domain, &work, &usage);
     let parts = parts.into_iter().map(|p| Message::DomainWork(Box::new(p)));
@@ -132,7 +133,7 @@
         .collect()
 }
 
-fn mate(gateway: &Gateway) -> Mate {
+fn contact(gateway: &Gateway) -> Mate {
     let settings = gateway.settings();
     Mate {
         front: settings.listen.front,
@@ -141,28 +142,28 @@
     }
 }
 
-/// Tells those nearby what this instance has under way.
-fn announce_work(gateway: &Gateway, datagrams: &DatagramSocket) {
+/// Announces this instance's work in flight to nearby instances.
+fn send_work(gateway: &Gateway, datagrams: &DatagramSocket) {
     let work = {
         let loads = &mut gateway.desk.borrow_mut().loads;
         loads.told();
         let mut work = loads.own();
-        work.truncate(MOST_TOLD);
+        work.truncate(MAX_REPORTED);
         work
     };
-    let near = gateway.peers.borrow().near(gateway.now());
-    datagrams.send(&Message::Work(work), near);
+    let targets = gateway.peers.borrow().near(gateway.now());
+    datagrams.send(&Message::Work(work), targets);
 }
 
-fn news(gateway: &Gateway, round: u64, now: Instant) -> News {
+fn build_news(gateway: &Gateway, round: u64, now: Instant) -> News {
     let mut desk = gateway.desk.borrow_mut();
     let mut work = desk.loads.own();
-    work.truncate(MOST_TOLD);
+    work.truncate(MAX_REPORTED);
     let mut usage = desk.usage.own(now);
     usage.sort_by(|a, b| b.1.asked.total_cmp(&a.1.asked));
-    usage.truncate(MOST_TOLD);
+    usage.truncate(MAX_REPORTED);
     News {
-        mate: mate(gateway),
+        mate: contact(gateway),
         ready: gateway.is_ready(),
         leaving: gateway.phase() > Phase::Serving,
         reading: gateway.store_access.get(),
@@ -176,14 +177,14 @@
     }
 }
 
-/// Takes news for as long as the process lives.
+/// Receives datagrams until the process ends.
 pub async fn receive(gateway: Rc<Gateway>, datagrams: Rc<DatagramSocket>) {
     let mut opener = Opener::new(gateway.settings().key, datagrams::CHANNEL);
     let mut buffer = vec![0; 65_536];
-    let mut echoes = 0;
+    let mut replays = 0;
     loop {
         let Ok((length, from)) = datagrams.socket.recv_from(&mut buffer).await else {
-            // An unreachable mate shows as an error on the next receive; the socket is still good.
+            // An unreachable peer causes an error on the next receive; the socket stays usable.
             tokio::task::yield_now().await;
             continue;
         };
@@ -191,15 +192,15 @@
             Ok(frame) if frame.sender == gateway.id => {}
             Ok(frame) => {
                 if is_relayed(&frame.message) {
-                    pass_on(&gateway, &datagrams, &buffer[..length], from);
+                    forward_to_domain(&gateway, &datagrams, &buffer[..length], from);
                 }
-                take(&gateway, &datagrams, from, frame);
+                handle_message(&gateway, &datagrams, from, frame);
             }
             Err(FrameError::Replayed) => {
-                echoes += 1;
-                if echoes > MOST_ECHOES {
+                replays += 1;
+                if replays > MAX_REPLAYS {
                     opener = Opener::new(gateway.settings().key, datagrams::CHANNEL);
-                    echoes = 0;
+                    replays = 0;
                 }
             }
             Err(error) => log::warn!(target: "mates", "datagram dropped: {error}"),
@@ -207,7 +208,7 @@
     }
 }
 
-/// Tells whether failure domains tell each other `message` by relays.
+/// Tells whether failure domains exchange `message` through relays.
 const fn is_relayed(message: &Message) -> bool {
     matches!(
         message,
@@ -215,33 +216,38 @@
     )
 }
 
-/// Passes what another failure domain tells on to the own one, if this instance is one of its relays.
+/// Forwards a frame of another failure domain to this one, if this instance is one of its relays.
 ///
-/// What came from the own domain was passed on by another relay.
-fn pass_on(gateway: &Gateway, datagrams: &DatagramSocket, frame: &[u8], from: SocketAddr) {
+/// Frames from this domain are skipped: another relay has forwarded them.
+fn forward_to_domain(
+    gateway: &Gateway,
+    datagrams: &DatagramSocket,
+    frame: &[u8],
+    from: SocketAddr,
+) {
     let now = gateway.now();
     let peers = gateway.peers.borrow();
     if peers.relay_rank(gateway.id, now).is_none() || peers.is_domain_mate(from) {
         return;
     }
-    let near = peers.domain_mates(now).map(|(_, mate)| mate.mate.peer);
-    datagrams.send_frame(frame, near);
+    let domain_peers = peers.domain_mates(now).map(|(_, mate)| mate.mate.peer);
+    datagrams.send_frame(frame, domain_peers);
 }
 
-/// Takes one message of another instance.
-fn take(gateway: &Gateway, datagrams: &DatagramSocket, from: SocketAddr, frame: Frame) {
+/// Handles a message of another instance.
+fn handle_message(gateway: &Gateway, datagrams: &DatagramSocket, from: SocketAddr, frame: Frame) {
     let now = gateway.now();
     let own = gateway.settings().domain;
     let (sender, run) = (frame.sender, frame.incarnation);
     match frame.message {
-        Message::News(news) => take_news(gateway, sender, run, &news),
+        Message::News(news) => handle_news(gateway, sender, run, &news),
         Message::Work(work) => gateway.desk.borrow_mut().loads.hear(sender, work, now),
         Message::Members(told) if told.domain != own => {
             for member in told.members.iter().filter(|m| m.id != gateway.id) {
                 gateway.observe_version(member.version);
                 let mut peers = gateway.peers.borrow_mut();
                 if let Some(change) = peers.hear_member(member, now) {
-                    note(change, member.mate.peer, peers.live(now).count());
+                    log_peer_change(change, member.mate.peer, peers.live(now).count());
                 }
             }
             gateway.desk.borrow_mut().hear_members(&told, now);
@@ -251,21 +257,21 @@
         }
         Message::Leaving(all) => gateway.apply_leaving(&all),
         Message::Wanted(wanted) => state_sync::send_parts(gateway, datagrams, from, &wanted),
-        Message::Part(part) => gateway.pending_state.take(from, part),
+        Message::Part(part) => gateway.pending_state.add_part(from, part),
         _ => {}
     }
 }
 
-fn take_news(gateway: &Gateway, sender: InstanceId, run: Incarnation, news: &News) {
+fn handle_news(gateway: &Gateway, sender: InstanceId, run: Incarnation, news: &News) {
     let now = gateway.now();
     gateway.observe_version(news.version);
     let mut peers = gateway.peers.borrow_mut();
     if let Some(change) = peers.hear(sender, run, news, now) {
-        note(change, news.mate.peer, peers.live(now).count());
+        log_peer_change(change, news.mate.peer, peers.live(now).count());
     }
     let own = gateway.settings().domain;
     if peers.is_large() && news.mate.domain != own {
-        // Its domain's sums hold the same; counted here too, its work would count twice.
+        // The totals of its domain include its work, which must not be counted twice.
         return;
     }
     let mut desk = gateway.desk.borrow_mut();
@@ -275,7 +281,7 @@
     }
 }
 
-fn note(change: Seen, mate: SocketAddr, live: usize) {
+fn log_peer_change(change: Seen, mate: SocketAddr, live: usize) {
     let fields = json!({"mate": mate.to_string(), "how": format!("{change:?}"), "live": live});
     event_log::state_change("mate", fields);
 }
--- a/crates/hawthornmill-gateway/src/pending_state.rs
+++ b/crates/hawthornmill-gateway/src/pending_state.rs
@@ -1,4 +1,4 @@
-//! The answer in parts that this instance waits for.
+//! The state that this instance is receiving in parts from a peer.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -6,38 +6,38 @@
 use hawthornmill::routing::parts::{Part, Reassembly};
 use tokio::sync::Notify;
 
-/// The answer of one instance, as far as it has come.
+/// The parts that were received so far.
 #[derive(Debug, Default)]
 pub struct PendingState {
-    from: Cell<Option<SocketAddr>>,
-    answer: RefCell<Reassembly>,
-    came: Notify,
+    peer: Cell<Option<SocketAddr>>,
+    reassembly: RefCell<Reassembly>,
+    part_received: Notify,
 }
 
 impl PendingState {
-    /// Waits for an answer of `from` from now on.
-    pub fn expect(&self, from: SocketAddr) {
-        self.from.set(Some(from));
-        self.answer.take();
+    /// Starts to receive parts from `peer`, dropping those received before.
+    pub fn start(&self, peer: SocketAddr) {
+        self.peer.set(Some(peer));
+        self.reassembly.take();
     }
 
-    /// Takes one part; one that nobody waits for is dropped.
-    pub fn take(&self, from: SocketAddr, part: Part) {
-        if self.from.get() == Some(from) {
-            self.answer.borrow_mut().take(part);
-            self.came.notify_one();
+    /// Adds a part, unless it comes from another instance than the expected one.
+    pub fn add_part(&self, peer: SocketAddr, part: Part) {
+        if self.peer.get() == Some(peer) {
+            self.reassembly.borrow_mut().take(part);
+            self.part_received.notify_one();
         }
     }
 
-    /// Looks at what has come.
-    pub fn look<T>(&self, look: impl FnOnce(&Reassembly) -> T) -> T {
-        look(&self.answer.borrow())
+    /// Calls `read` with the parts received so far.
+    pub fn with_reassembly<T>(&self, read: impl FnOnce(&Reassembly) -> T) -> T {
+        read(&self.reassembly.borrow())
     }
 
-    /// Ends when the answer has.
-    pub async fn ended(&self) {
-        while self.look(|a| a.outcome().is_none()) {
-            self.came.notified().await;
+    /// Waits until the reassembly has an outcome.
+    pub async fn wait_complete(&self) {
+        while self.with_reassembly(|a| a.outcome().is_none()) {
+            self.part_received.notified().await;
         }
     }
 }
--- a/crates/hawthornmill-gateway/src/state_sync.rs
+++ b/crates/hawthornmill-gateway/src/state_sync.rs
@@ -1,6 +1,7 @@
-//! Getting from other instances what they know and this one does not.
+//! Pulls newer catalogs and registrations from peers, and serves them to peers.
 //!
-//! It is asked for in datagrams first, and over a connection where it doesn't fit them or none comes.
+//! An instance asks by datagrams first, and over a connection if the state doesn't fit into datagrams
+//! or none arrive.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -23,21 +24,21 @@
 use crate::gateway::Gateway;
 use crate::pool::connect_timeout;
 
-/// Time for which a mate must be ahead before it is asked: the store's own answer is mostly faster.
-const BEHIND: Duration = Duration::from_millis(350);
-/// Time between two looks at whether a mate is ahead.
-const LOOK: Duration = Duration::from_millis(100);
-/// Time for which a mate that did not answer is not asked again; by then it counts as silent.
-const MUTE: Duration = Duration::from_secs(2);
-/// Rounds in a row that bring nothing, after which a connection is tried.
-const MOST_EMPTY: usize = 2;
+/// Time for which a peer must be ahead before it is asked; the store mostly answers sooner.
+const MIN_BEHIND: Duration = Duration::from_millis(350);
+/// Interval at which the peers are checked for newer state.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time for which a peer that did not answer is skipped; after it, the peer counts as silent.
+const RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Consecutive rounds without a datagram after which a connection is tried.
+const MAX_EMPTY_ROUNDS: usize = 2;
 
-/// Sends the parts that `wanted` asks for.
+/// Sends the parts of this instance's state that `wanted` asks for.
 pub fn send_parts(gateway: &Gateway, datagrams: &DatagramSocket, to: SocketAddr, wanted: &Wanted) {
     let newest = || {
-        let whole = postcard::to_allocvec(&knowledge(gateway, wanted.pull));
+        let whole = postcard::to_allocvec(&collect_knowledge(gateway, wanted.pull));
         whole.unwrap_or_else(|error| {
-            log::error!(target: "mates", "what is known can't be encoded: {error}");
+            log::error!(target: "mates", "can't encode the state for a peer: {error}");
             Vec::new()
         })
     };
@@ -48,113 +49,121 @@
     }
 }
 
-/// Why an answer doesn't come in datagrams.
+/// Why a pull by datagrams failed; the log shows the variant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Unanswered {
+enum PullError {
     Silent,
     TooLarge,
     Unreadable,
 }
 
-/// Asks `mate` in datagrams, and learns what it answers.
-async fn ask_in_datagrams(
+/// Pulls the state of `peer` by datagrams and applies it.
+async fn pull_by_datagrams(
     gateway: &Gateway,
     datagrams: &DatagramSocket,
-    mate: SocketAddr,
+    peer: SocketAddr,
     pull: Pull,
-) -> Result<(), Unanswered> {
+) -> Result<(), PullError> {
     let began = gateway.now();
-    let answer = answer_in_parts(gateway, datagrams, mate, pull).await;
+    let answer = receive_parts(gateway, datagrams, peer, pull).await;
     let why = answer.as_ref().err().map(|why| format!("{why:?}"));
-    note_answer(gateway, mate, began, "parts", why.as_deref());
-    learn(gateway, answer?, mate);
+    log_pull(gateway, peer, began, "parts", why.as_deref());
+    apply_knowledge(gateway, answer?, peer);
     Ok(())
 }
 
-async fn answer_in_parts(
+async fn receive_parts(
     gateway: &Gateway,
     datagrams: &DatagramSocket,
-    mate: SocketAddr,
+    peer: SocketAddr,
     pull: Pull,
-) -> Result<Knowledge, Unanswered> {
-    let awaited = &gateway.pending_state;
-    awaited.expect(mate);
+) -> Result<Knowledge, PullError> {
+    let pending = &gateway.pending_state;
+    pending.start(peer);
     let mut empty = 0;
-    while empty < MOST_EMPTY {
-        let (before, wanted) = awaited.look(|a| (a.count(), a.wanted(pull)));
-        datagrams.send(&Message::Wanted(wanted), [mate]);
+    while empty < MAX_EMPTY_ROUNDS {
+        let (before, wanted) = pending.with_reassembly(|a| (a.count(), a.wanted(pull)));
+        datagrams.send(&Message::Wanted(wanted), [peer]);
         let round = parts::round(gateway.strain.get().late(gateway.now()));
-        let _over = tokio::time::timeout(round, awaited.ended()).await;
-        match awaited.look(|a| a.outcome().cloned()) {
-            Some(Outcome::Whole(whole)) => return read(&whole),
-            Some(Outcome::TooLarge) => return Err(Unanswered::TooLarge),
+        let _over = tokio::time::timeout(round, pending.wait_complete()).await;
+        match pending.with_reassembly(|a| a.outcome().cloned()) {
+            Some(Outcome::Whole(whole)) => return decode_knowledge(&whole),
+            Some(Outcome::TooLarge) => return Err(PullError::TooLarge),
             None => {}
         }
-        let came = awaited.look(Reassembly::count) > before;
+        let came = pending.with_reassembly(Reassembly::count) > before;
         empty = if came { 0 } else { empty + 1 };
     }
-    Err(Unanswered::Silent)
+    Err(PullError::Silent)
 }
 
-fn read(whole: &[u8]) -> Result<Knowledge, Unanswered> {
+fn decode_knowledge(whole: &[u8]) -> Result<Knowledge, PullError> {
     postcard::from_bytes(whole).map_err(|error| {
-        log::warn!(target: "mates", "an answer can't be understood: {error}");
-        Unanswered::Unreadable
+        log::warn!(target: "mates", "can't decode the state of a peer: {error}");
+        PullError::Unreadable
     })
 }
 
-/// Asks mates that know more, for as long as the process lives.
+/// Pulls newer state from peers until the process ends.
 pub async fn sync_from_peers(gateway: Rc<Gateway>, datagrams: Rc<DatagramSocket>) {
-    let mut behind: Option<Instant> = None;
-    let mut mute: Vec<(SocketAddr, Instant)> = Vec::new();
+    let mut behind_since: Option<Instant> = None;
+    let mut skipped: Vec<(SocketAddr, Instant)> = Vec::new();
     let mut patience = Patience::default();
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let now = gateway.now();
-        mute.retain(|(_, at)| now.duration_since(*at) < MUTE);
+        skipped.retain(|(_, at)| now.duration_since(*at) < RETRY_DELAY);
         let pull = Pull {
             version: gateway.catalog_version(),
             revision: gateway.desk.borrow().registry.latest(),
         };
-        let ahead = ahead(&gateway, pull, &mute);
+        let ahead = peers_ahead(&gateway, pull, &skipped);
         if ahead.is_empty() {
-            behind = None;
+            behind_since = None;
             continue;
         }
-        if now.duration_since(*behind.get_or_insert(now)) < BEHIND {
+        if now.duration_since(*behind_since.get_or_insert(now)) < MIN_BEHIND {
             continue;
         }
-        let mut answered = true;
-        for mate in ahead {
-            let peer = mate.mate.peer;
-            mute.push((peer, now));
-            let told = match ask_in_datagrams(&gateway, &datagrams, peer, pull).await {
+        let mut all_answered = true;
+        for heard in ahead {
+            let peer = heard.mate.peer;
+            skipped.push((peer, now));
+            let pulled = match pull_by_datagrams(&gateway, &datagrams, peer, pull).await {
                 Ok(()) => true,
-                // Another one may answer at once.
-                Err(Unanswered::Silent) if !self::ahead(&gateway, pull, &mute).is_empty() => false,
-                Err(_) => ask_by_connection(&gateway, peer, pull, &mut patience).await,
+                // Another peer may answer sooner than a connection to this one.
+                Err(PullError::Silent)
+                    if !self::peers_ahead(&gateway, pull, &skipped).is_empty() =>
+                {
+                    false
+                }
+                Err(_) => pull_by_connection(&gateway, peer, pull, &mut patience).await,
             };
-            mute.pop();
-            if !told {
-                mute.push((peer, gateway.now()));
-                answered = false;
+            skipped.pop();
+            if !pulled {
+                skipped.push((peer, gateway.now()));
+                all_answered = false;
             }
         }
-        if answered {
-            behind = None;
+        if all_answered {
+            behind_since = None;
             patience = Patience::default();
         }
     }
 }
 
-/// Whom to ask for more than `pull` says, those in `mute` left out.
-fn ahead(gateway: &Gateway, pull: Pull, mute: &[(SocketAddr, Instant)]) -> SmallVec<[Heard; 2]> {
-    let mute: Vec<SocketAddr> = mute.iter().map(|(mate, _)| *mate).collect();
+/// Returns the peers to ask for newer state than `pull` names, except those in `skipped`.
+fn peers_ahead(
+    gateway: &Gateway,
+    pull: Pull,
+    skipped: &[(SocketAddr, Instant)],
+) -> SmallVec<[Heard; 2]> {
+    let skipped: Vec<SocketAddr> = skipped.iter().map(|(peer, _)| *peer).collect();
     let peers = gateway.peers.borrow();
-    peers.ahead(pull.version, pull.revision, &mute, gateway.now())
+    peers.ahead(pull.version, pull.revision, &skipped, gateway.now())
 }
 
-/// How far a question over a connection is.
+/// Progress of a pull over a connection; the log shows the variant.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Connecting,
@@ -162,40 +171,41 @@
     Asked,
 }
 
-/// Asks `mate` over a connection; false when it does not answer in the time that `patience` gives.
-async fn ask_by_connection(
+/// Pulls the state of `peer` over a connection; returns `false` if the peer doesn't answer in time.
+async fn pull_by_connection(
     gateway: &Gateway,
-    mate: SocketAddr,
+    peer: SocketAddr,
     pull: Pull,
     patience: &mut Patience,
 ) -> bool {
     let (began, step) = (gateway.now(), Cell::new(Step::Connecting));
-    let answer = tokio::time::timeout(patience.time(), ask(gateway, mate, pull, &step)).await;
+    let answer =
+        tokio::time::timeout(patience.time(), pull_knowledge(gateway, peer, pull, &step)).await;
     let why = match answer {
         Ok(Ok(knowledge)) => {
-            learn(gateway, knowledge, mate);
+            apply_knowledge(gateway, knowledge, peer);
             None
         }
         Ok(Err(error)) => Some(error.to_string()),
         Err(_elapsed) => Some(format!("no answer in {} ms", patience.time().as_millis())),
     };
     let step = format!("{:?}", step.get());
-    note_answer(gateway, mate, began, &step, why.as_deref());
+    log_pull(gateway, peer, began, &step, why.as_deref());
     if why.is_some() {
-        patience.missed(gateway.peers.borrow().is_heard_since(mate, began));
+        patience.missed(gateway.peers.borrow().is_heard_since(peer, began));
     }
     why.is_none()
 }
 
-fn note_answer(gateway: &Gateway, mate: SocketAddr, began: Instant, step: &str, why: Option<&str>) {
+fn log_pull(gateway: &Gateway, peer: SocketAddr, began: Instant, step: &str, why: Option<&str>) {
     let took = gateway.now().duration_since(began);
     let fields = json!({
-        "mate": mate.to_string(), "step": step, "why": why, "took_ms": took.as_millis() as u64,
+        "mate": peer.to_string(), "step": step, "why": why, "took_ms": took.as_millis() as u64,
     });
     event_log::state_change("mate_asked", fields);
 }
 
-fn learn(gateway: &Gateway, knowledge: Knowledge, from: SocketAddr) {
+fn apply_knowledge(gateway: &Gateway, knowledge: Knowledge, from: SocketAddr) {
     let from = from.to_string();
     if let Some(catalog) = knowledge.catalog {
         gateway.apply_catalog(catalog, &from);
@@ -213,51 +223,55 @@
     }
 }
 
-async fn ask(
+async fn pull_knowledge(
     gateway: &Gateway,
-    mate: SocketAddr,
+    peer: SocketAddr,
     pull: Pull,
     step: &Cell<Step>,
 ) -> std::io::Result<Knowledge> {
-    let mut link = connect_timeout(mate, patience::MOST).await?;
+    let mut stream = connect_timeout(peer, patience::MOST).await?;
     step.set(Step::Connected);
-    let channel = link.read_u64_le().await?;
+    let channel = stream.read_u64_le().await?;
     step.set(Step::Asked);
     let key = gateway.settings().key;
     let mut sealer = Sealer::new(key, gateway.id, gateway.incarnation, channel);
-    send(&mut link, &mut sealer, &Message::Pull(pull)).await?;
+    send_message(&mut stream, &mut sealer, &Message::Pull(pull)).await?;
     let mut opener = Opener::new(key, channel);
-    match receive(&mut link, &mut opener).await? {
+    match receive_message(&mut stream, &mut opener).await? {
         Message::Knowledge(knowledge) => Ok(*knowledge),
         _ => Err(std::io::ErrorKind::InvalidData.into()),
     }
 }
 
-async fn send(link: &mut TcpStream, sealer: &mut Sealer, message: &Message) -> std::io::Result<()> {
+async fn send_message(
+    stream: &mut TcpStream,
+    sealer: &mut Sealer,
+    message: &Message,
+) -> std::io::Result<()> {
     let frame = sealer.seal(message).map_err(std::io::Error::other)?;
     let mut bytes = Vec::with_capacity(frame.len() + size_of::<u32>());
     frames::append(&mut bytes, &frame);
-    link.write_all(&bytes).await
+    stream.write_all(&bytes).await
 }
 
-async fn receive(link: &mut TcpStream, opener: &mut Opener) -> std::io::Result<Message> {
-    let frame = frames::read(link).await.map_err(std::io::Error::other)?;
+async fn receive_message(stream: &mut TcpStream, opener: &mut Opener) -> std::io::Result<Message> {
+    let frame = frames::read(stream).await.map_err(std::io::Error::other)?;
     let frame = frame.ok_or(std::io::ErrorKind::UnexpectedEof)?;
     let frame = opener.open(&frame).map_err(std::io::Error::other)?;
     Ok(frame.message)
 }
 
-/// Answers mates that ask, for as long as the process lives.
+/// Answers pulls of peers over connections until the process ends.
 pub async fn serve_peers(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
-        let Ok((link, from)) = listener.accept().await else {
-            tokio::time::sleep(LOOK).await;
+        let Ok((stream, from)) = listener.accept().await else {
+            tokio::time::sleep(CHECK_INTERVAL).await;
             continue;
         };
         let gateway = Rc::clone(&gateway);
         tokio::task::spawn_local(async move {
-            let told = tokio::time::timeout(patience::MOST, tell_one(&gateway, link)).await;
-            if let Ok(Err(error)) = told {
+            let answered = tokio::time::timeout(patience::MOST, serve_peer(&gateway, stream)).await;
+            if let Ok(Err(error)) = answered {
                 let fields = json!({"mate": from.to_string(), "why": error.to_string()});
                 event_log::state_change("mate_not_told", fields);
             }
@@ -265,25 +279,25 @@
     }
 }
 
-async fn tell_one(gateway: &Gateway, mut link: TcpStream) -> std::io::Result<()> {
+async fn serve_peer(gateway: &Gateway, mut stream: TcpStream) -> std::io::Result<()> {
     let channel: u64 = rand::random();
-    link.write_u64_le(channel).await?;
+    stream.write_u64_le(channel).await?;
     let key = gateway.settings().key;
     let mut opener = Opener::new(key, channel);
-    let Message::Pull(pull) = receive(&mut link, &mut opener).await? else {
+    let Message::Pull(pull) = receive_message(&mut stream, &mut opener).await? else {
         return Err(std::io::ErrorKind::InvalidData.into());
     };
-    let knowledge = knowledge(gateway, pull);
+    let knowledge = collect_knowledge(gateway, pull);
     let mut sealer = Sealer::new(key, gateway.id, gateway.incarnation, channel);
-    send(
-        &mut link,
+    send_message(
+        &mut stream,
         &mut sealer,
         &Message::Knowledge(Box::new(knowledge)),
     )
     .await
 }
 
-fn knowledge(gateway: &Gateway, pull: Pull) -> Knowledge {
+fn collect_knowledge(gateway: &Gateway, pull: Pull) -> Knowledge {
     let table = gateway.table();
     let newer = table.filter(|t| t.version() > pull.version);
     let desk = gateway.desk.borrow();
