--- a/crates/hawthornmill-gateway/src/connection.rs
+++ b/crates/hawthornmill-gateway/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections of callers: one request after the other, and noticing when the caller leaves.
+//! Client connections: handles one request after the other, and detects that the client disconnects.
 
 use std::mem::MaybeUninit;
 use std::rc::Rc;
@@ -17,38 +17,39 @@
 use crate::trip::settle::Trip;
 use crate::trip::{Closing, End, Way, carry};
 
-/// Connections from which a refused caller's is closed: it comes back on a new one, and the old one
-/// would lie idle until its time is over.
-const MANY_CONNECTIONS: usize = 500;
-/// Bytes that a caller may send ahead of its answer; more are left in the socket.
-const MOST_AHEAD: usize = 16 << 10;
-/// Time for which what a refused caller still sends is read, so that it can read its answer.
+/// Number of connections above which the connection of a rejected client is closed.
 ///
-/// Closing a connection with unread bytes resets it, and the reset overtakes the answer.
-const LINGER: Duration = Duration::from_millis(300);
+/// Such a client retries on a new connection, and the old one would stay idle until its timeout.
+const CROWDED_CONNECTIONS: usize = 500;
+/// Most bytes that are read ahead of the response; further ones are left in the socket.
+const MAX_PIPELINED_BYTES: usize = 16 << 10;
+/// Time for which bytes of a rejected client are read and dropped, so that the response arrives.
+///
+/// Closing a connection with unread bytes resets it, and the reset may overtake the response.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What a caller sends.
+/// The receiving half of a client connection.
 #[derive(Debug)]
-pub struct Reader {
+pub struct RequestReader {
     half: OwnedReadHalf,
-    /// Bytes received and not used yet.
+    /// Bytes received and not parsed yet.
     pub buffer: BytesMut,
 }
 
-impl Reader {
-    /// Reads more; 0 when the caller has closed.
+impl RequestReader {
+    /// Reads more bytes into the buffer; returns 0 if the client closed the connection.
     ///
     /// # Errors
-    /// When the connection broke.
+    /// If the connection fails.
     pub async fn read_more(&mut self) -> std::io::Result<usize> {
         self.half.read_buf(&mut self.buffer).await
     }
 
-    /// Tells whether the caller has closed its connection already.
+    /// Tells whether the client has closed its connection already.
     ///
-    /// A process that got no processor for a while finds requests whose callers have left meanwhile. The
-    /// socket itself is asked: the runtime hears of the end only after the request was sent on.
-    fn has_left(&self) -> bool {
+    /// After a process got no CPU time for a while, the clients of some requests have disconnected. Asks the
+    /// socket itself, because the runtime would notice only after the request was forwarded.
+    fn is_closed(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         match SockRef::from(self.half.as_ref()).peek(&mut byte) {
             Ok(bytes) => bytes == 0,
@@ -56,12 +57,12 @@
         }
     }
 
-    /// Ends when the caller has closed its connection.
-    async fn gone(&mut self) {
+    /// Waits until the client closes its connection.
+    async fn wait_closed(&mut self) {
         loop {
-            if self.buffer.len() >= MOST_AHEAD {
-                // Reading on would take memory for a caller that sends without waiting; its
-                // leaving is noticed when the answer can't be written.
+            if self.buffer.len() >= MAX_PIPELINED_BYTES {
+                // Reading on would use memory for a client that sends without waiting. That it
+                // disconnects shows when the response can't be written.
                 std::future::pending::<()>().await;
             }
             match self.read_more().await {
@@ -72,59 +73,60 @@
     }
 }
 
-struct Open<'a>(&'a std::cell::Cell<usize>);
+/// Counts its own lifetime in a cell.
+struct CountGuard<'a>(&'a std::cell::Cell<usize>);
 
-impl<'a> Open<'a> {
+impl<'a> CountGuard<'a> {
     fn count(cell: &'a std::cell::Cell<usize>) -> Self {
         cell.set(cell.get() + 1);
         Self(cell)
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Serves one connection to its end.
+/// Serves a client connection until it ends.
 pub async fn serve(gateway: Rc<Gateway>, stream: TcpStream) {
     let (half, mut out) = stream.into_split();
-    calls(&gateway, half, &mut out).await;
-    // The descriptor is closed with the half that was read; shut down before, it would take one more system
-    // call a connection.
+    handle_requests(&gateway, half, &mut out).await;
+    // The read half closes the descriptor; shutting down the write half would cost one more system call per
+    // connection.
     out.forget();
 }
 
-async fn calls(gateway: &Rc<Gateway>, half: OwnedReadHalf, out: &mut OwnedWriteHalf) {
-    let _open = Open::count(&gateway.connections);
-    let mut reader = Reader {
+async fn handle_requests(gateway: &Rc<Gateway>, half: OwnedReadHalf, out: &mut OwnedWriteHalf) {
+    let _connection = CountGuard::count(&gateway.connections);
+    let mut reader = RequestReader {
         half,
         buffer: BytesMut::with_capacity(2048),
     };
     loop {
         let call = match next(gateway, &mut reader, out).await {
             Next::Call(call) => call,
-            Next::Refuse(code) => return turn_away(gateway, code, &mut reader, out).await,
+            Next::Refuse(code) => return reject(gateway, code, &mut reader, out).await,
             Next::Closed => return,
         };
-        let _flying = Open::count(&gateway.in_flight);
-        let elsewhere = gateway.phase() >= Phase::LameDuck || gateway.is_outdated();
-        let last = call.head.closes() || elsewhere;
-        let crowded = gateway.connections.get() > MANY_CONNECTIONS;
+        let _in_flight = CountGuard::count(&gateway.in_flight);
+        let reconnect = gateway.phase() >= Phase::LameDuck || gateway.is_outdated();
+        let last = call.head.closes() || reconnect;
+        let crowded = gateway.connections.get() > CROWDED_CONNECTIONS;
         let mut trip = Trip::default();
         let way = Way {
             gateway,
             call: &call,
             closing: Closing { last, crowded },
         };
-        let end = if reader.has_left() {
+        let end = if reader.is_closed() {
             End::Left
         } else {
             tokio::select! {
                 biased;
                 end = carry(way, &mut trip, out) => end,
-                () = reader.gone() => End::Left,
+                () = reader.wait_closed() => End::Left,
             }
         };
         trip.settle(gateway, &call, end);
@@ -134,13 +136,18 @@
     }
 }
 
-/// Answers what is no request, and reads on for a moment so that the answer arrives.
-async fn turn_away(gateway: &Gateway, code: Code, reader: &mut Reader, out: &mut OwnedWriteHalf) {
+/// Answers a malformed request, and reads on for a moment so that the response arrives.
+async fn reject(
+    gateway: &Gateway,
+    code: Code,
+    reader: &mut RequestReader,
+    out: &mut OwnedWriteHalf,
+) {
     let reply = Reply::new(code);
     if reply.write(gateway, None, true, out).await.is_err() {
         return;
     }
-    let rest = async {
+    let drain = async {
         loop {
             reader.buffer.clear();
             if !matches!(reader.read_more().await, Ok(bytes) if bytes > 0) {
@@ -148,5 +155,5 @@
             }
         }
     };
-    let _ended = tokio::time::timeout(LINGER, rest).await;
+    let _ended = tokio::time::timeout(DRAIN_TIMEOUT, drain).await;
 }
--- a/crates/hawthornmill-gateway/src/endpoints.rs
+++ b/crates/hawthornmill-gateway/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Small calls beside callers' requests: state, directory, metrics.
+//! HTTP endpoints of the gateway itself: readiness, directory, metrics.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,95 +14,100 @@
 use crate::http::head;
 use crate::http::write::Bytes;
 
-/// Time for which a connection may stay without a call.
-const IDLE: Duration = Duration::from_secs(20);
-/// Bytes of a head at most.
-const MOST_HEAD: usize = 8 << 10;
-/// Instances of the caller's own failure domain from which no others are named.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// Ready instances that suffice for a response to list only those near the client.
 ///
-/// One alone would get all requests of the domain, and its callers had no second to turn to.
-const ENOUGH: usize = 2;
-/// Addresses in one answer at most.
-const MOST_NAMED: usize = 64;
-/// Path of the metrics.
-const METRICS: &str = "/metrics";
+/// A single one would get all requests of the failure domain, and its clients would have no alternative.
+const MIN_LOCAL_INSTANCES: usize = 2;
+/// Most addresses in one response.
+const MAX_ADDRESSES: usize = 64;
+const METRICS_PATH: &str = "/metrics";
 
-/// Which small call a listener answers.
+/// Which endpoint a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Endpoint {
-    /// Whether the process takes requests.
+    /// Whether the process accepts requests.
     Ready,
-    /// Which addresses callers should use.
+    /// Which addresses clients should use.
     Directory,
-    /// Counters.
+    /// Metrics in the text format of Prometheus.
     Metrics,
 }
 
-/// Answers calls for as long as the process lives.
-pub async fn serve(gateway: Rc<Gateway>, listener: TcpListener, side: Endpoint) {
+/// Serves `endpoint` on `listener` until the process ends.
+pub async fn serve(gateway: Rc<Gateway>, listener: TcpListener, endpoint: Endpoint) {
     loop {
-        let Ok((link, _from)) = listener.accept().await else {
-            // Out of descriptors, most likely; others are given back meanwhile.
+        let Ok((stream, _from)) = listener.accept().await else {
+            // Mostly the process is out of file descriptors, and others are closed meanwhile.
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
         let gateway = Rc::clone(&gateway);
         tokio::task::spawn_local(async move {
-            // A caller that goes away or sends no calls ends its own connection only.
-            let _ended = tokio::time::timeout(IDLE * 30, calls(&gateway, link, side)).await;
+            // A client that disconnects or sends nothing only ends its own connection.
+            let _ended = tokio::time::timeout(
+                IDLE_TIMEOUT * 30,
+                handle_requests(&gateway, stream, endpoint),
+            )
+            .await;
         });
     }
 }
 
-async fn calls(gateway: &Gateway, mut link: TcpStream, side: Endpoint) -> std::io::Result<()> {
+async fn handle_requests(
+    gateway: &Gateway,
+    mut stream: TcpStream,
+    endpoint: Endpoint,
+) -> std::io::Result<()> {
     let mut buffer = BytesMut::with_capacity(1024);
     loop {
-        let Some((head, length)) = read_head(&mut link, &mut buffer).await? else {
+        let Some((head, head_length)) = read_head(&mut stream, &mut buffer).await? else {
             return Ok(());
         };
-        let _head = buffer.split_to(length);
-        let (status, reason, kind, body) = answer(gateway, &head, side);
+        let _head = buffer.split_to(head_length);
+        let (status, reason, content_type, body) = respond(gateway, &head, endpoint);
         let close = head.closes() || !buffer.is_empty();
         let mut bytes = Bytes::answer(status, reason);
-        bytes.field("Content-Type", kind);
+        bytes.field("Content-Type", content_type);
         bytes.field("Content-Length", body.len().to_string());
         if close {
             bytes.field("Connection", "close");
         }
         bytes.end();
         bytes.0.extend_from_slice(&body);
-        link.write_all(&bytes.0).await?;
+        stream.write_all(&bytes.0).await?;
         if close {
-            return link.shutdown().await;
+            return stream.shutdown().await;
         }
     }
 }
 
 async fn read_head(
-    link: &mut TcpStream,
+    stream: &mut TcpStream,
     buffer: &mut BytesMut,
 ) -> std::io::Result<Option<(head::RequestHead, usize)>> {
     loop {
         match head::request(buffer) {
             Ok(Some(found)) => return Ok(Some(found)),
-            Ok(None) if buffer.len() <= MOST_HEAD => {}
+            Ok(None) if buffer.len() <= MAX_HEAD_BYTES => {}
             _ => return Ok(None),
         }
-        let read = tokio::time::timeout(IDLE, link.read_buf(buffer)).await;
-        if read.map_err(|_elapsed| std::io::Error::from(std::io::ErrorKind::TimedOut))?? == 0 {
+        let received = tokio::time::timeout(IDLE_TIMEOUT, stream.read_buf(buffer)).await;
+        if received.map_err(|_elapsed| std::io::Error::from(std::io::ErrorKind::TimedOut))?? == 0 {
             return Ok(None);
         }
     }
 }
 
-type Answer = (u16, &'static str, &'static str, Vec<u8>);
+type Response = (u16, &'static str, &'static str, Vec<u8>);
 
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain";
 
-fn answer(gateway: &Gateway, head: &head::RequestHead, side: Endpoint) -> Answer {
+fn respond(gateway: &Gateway, head: &head::RequestHead, endpoint: Endpoint) -> Response {
     let discovery = &gateway.adapter.discovery;
-    match side {
+    match endpoint {
         Endpoint::Ready if head.path() == discovery.ready_path => {
             if gateway.is_ready() {
                 (200, "OK", TEXT, b"ready\n".to_vec())
@@ -111,18 +116,18 @@
             }
         }
         Endpoint::Directory => match (discovery.parse_query)(&head.target) {
-            Some(question) => named(gateway, &question),
+            Some(query) => directory_response(gateway, &query),
             None => (404, "Not Found", TEXT, b"no such call\n".to_vec()),
         },
-        Endpoint::Metrics if head.path() == METRICS => {
-            (200, "OK", TEXT, metrics(gateway).into_bytes())
+        Endpoint::Metrics if head.path() == METRICS_PATH => {
+            (200, "OK", TEXT, encode_metrics(gateway).into_bytes())
         }
         Endpoint::Ready | Endpoint::Metrics => (404, "Not Found", TEXT, b"no such call\n".to_vec()),
     }
 }
 
-fn named(gateway: &Gateway, question: &DirectoryQuery) -> Answer {
-    let addresses = addresses(gateway, question);
+fn directory_response(gateway: &Gateway, query: &DirectoryQuery) -> Response {
+    let addresses = ready_addresses(gateway, query);
     if addresses.is_empty() {
         return (
             503,
@@ -140,9 +145,8 @@
     )
 }
 
-/// Instances that take requests: those of the caller's failure domain, or of a wider circle when
-/// they are too few.
-fn addresses(gateway: &Gateway, question: &DirectoryQuery) -> Vec<SocketAddr> {
+/// Returns the ready instances of the client's failure domain, or of a wider scope if they are too few.
+fn ready_addresses(gateway: &Gateway, query: &DirectoryQuery) -> Vec<SocketAddr> {
     let settings = gateway.settings();
     let now = gateway.now();
     let peers = gateway.peers.borrow();
@@ -152,26 +156,26 @@
     if gateway.is_ready() {
         all.push((settings.domain, settings.listen.front));
     }
-    let domain = DomainId::of(&question.domain);
-    let region = RegionId::of(&question.region);
+    let domain = DomainId::of(&query.domain);
+    let region = RegionId::of(&query.region);
     let within = |d: DomainId| settings.regions.contains(&(d, region));
-    let circles: [&dyn Fn(DomainId) -> bool; 3] = [&|d| d == domain, &within, &|_| true];
+    let scopes: [&dyn Fn(DomainId) -> bool; 3] = [&|d| d == domain, &within, &|_| true];
     let mut chosen = Vec::new();
-    for circle in circles {
+    for scope in scopes {
         chosen = all
             .iter()
-            .filter(|(d, _)| circle(*d))
+            .filter(|(d, _)| scope(*d))
             .map(|(_, a)| *a)
             .collect();
-        if chosen.len() >= ENOUGH {
+        if chosen.len() >= MIN_LOCAL_INSTANCES {
             break;
         }
     }
-    chosen.truncate(MOST_NAMED);
+    chosen.truncate(MAX_ADDRESSES);
     chosen
 }
 
-fn metrics(gateway: &Gateway) -> String {
+fn encode_metrics(gateway: &Gateway) -> String {
     let now = gateway.now();
     let desk = gateway.desk.borrow();
     let work = desk.loads.own();
@@ -179,17 +183,17 @@
     let unread: u32 = work.iter().map(|(_, w)| w.unread).sum();
     let peers = gateway.peers.borrow().live(now).count();
     let count = |value: usize| value.cast_signed() as i64;
-    let number = |value: u64| value.cast_signed();
+    let gauge = |value: u64| value.cast_signed();
     gateway.metrics.encode(&[
         (
             "catalog_version",
             "Catalog in force",
-            number(gateway.catalog_version()),
+            gauge(gateway.catalog_version()),
         ),
         (
             "registrations_revision",
             "Newest change known",
-            number(desk.registry.latest()),
+            gauge(desk.registry.latest()),
         ),
         (
             "registrations",
--- a/crates/hawthornmill-gateway/src/listener.rs
+++ b/crates/hawthornmill-gateway/src/listener.rs
@@ -1,8 +1,8 @@
-//! Taking new connections of callers, or turning them away while the process is behind.
+//! Accepts client connections, and rejects some while the process is overloaded.
 //!
-//! What [`hawthornmill::limits::strain`] decides is done here at the least cost: a connection that is turned
-//! away gets no task and no place in the runtime. If its request is there already, it is told when to come
-//! back; if not, the connection is closed unread, and its caller may go to another instance at once.
+//! [`hawthornmill::limits::strain`] decides how many to reject. A rejected connection costs little: it gets no
+//! task and is not registered with the runtime. If its request has arrived completely, the response tells when
+//! to retry; otherwise the connection is closed unread, and the client may try another instance at once.
 
 use std::net::TcpStream;
 use std::os::fd::AsRawFd;
@@ -21,61 +21,65 @@
 use crate::http::head::{self, Framing};
 use crate::trip::reply::Reply;
 
-/// Connections that are served at once; the rest of the descriptors is for servers.
-const MOST_CONNECTIONS: usize = 2_600;
-/// Time to wait when no connection can be taken: out of descriptors, most likely; others are given back
-/// meanwhile.
-const NO_DESCRIPTOR: Duration = Duration::from_millis(20);
-/// Bytes of a request that is read to be turned away; a longer one is closed unread.
-const MOST_READ: usize = 16 << 10;
-/// Time after which a caller that is turned away may come back: by then the process is through with what it has.
-const COME_BACK: Duration = Duration::from_millis(400);
+/// Most open client connections; the remaining file descriptors are for servers.
+const MAX_CONNECTIONS: usize = 2_600;
+/// Delay after a failed accept; mostly the process is out of file descriptors, and others are closed meanwhile.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Longest request that is answered when rejected; the connection of a longer one is closed unread.
+const MAX_PEEK_BYTES: usize = 16 << 10;
+/// Time after which a rejected client may retry; by then the process has handled its backlog.
+const RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// Takes callers for as long as the process lives.
+/// Accepts client connections until the process ends.
 pub async fn accept_connections(gateway: Rc<Gateway>, listener: TcpListener) {
-    let listener = match listener.into_std().and_then(watch) {
+    let listener = match listener.into_std().and_then(register_listener) {
         Ok(listener) => listener,
         Err(error) => {
-            log::error!(target: "door", "callers can't be taken: {error}");
-            // Callers must not be sent to an instance that takes none.
+            log::error!(target: "door", "can't accept connections: {error}");
+            // The directory must not list an instance that accepts no connections.
             gateway.set_phase(Phase::Draining);
             return;
         }
     };
     loop {
         let Ok(mut ready) = listener.readable().await else {
-            tokio::time::sleep(NO_DESCRIPTOR).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         match ready.try_io(|l| l.get_ref().accept()) {
-            Ok(Ok((stream, _from))) => take(&gateway, stream),
+            Ok(Ok((stream, _from))) => serve_or_reject(&gateway, stream),
             Ok(Err(error)) => {
-                log::warn!(target: "door", "no connection can be taken: {error}");
-                tokio::time::sleep(NO_DESCRIPTOR).await;
+                log::warn!(target: "door", "failed to accept a connection: {error}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
             Err(_would_block) => {}
         }
     }
 }
 
-/// Watches `listener` without the runtime entering each connection into its poll before it can be judged.
-#[expect(unsafe_code, reason = "the runtime's safe way is deprecated")]
-fn watch(listener: std::net::TcpListener) -> std::io::Result<AsyncFd<std::net::TcpListener>> {
-    // SAFETY: a standard listener owns its descriptor, gives the same one as long as it lives, and nothing
-    // replaces it behind a shared reference.
+/// Registers `listener` such that the runtime does not register each accepted connection as well.
+#[expect(
+    unsafe_code,
+    reason = "the safe constructor of the runtime is deprecated"
+)]
+fn register_listener(
+    listener: std::net::TcpListener,
+) -> std::io::Result<AsyncFd<std::net::TcpListener>> {
+    // SAFETY: a standard listener owns its descriptor, returns the same one as long as it lives, and can't be
+    // replaced through a shared reference.
     let watched = unsafe { AsyncFd::register_with_interest(listener, Interest::READABLE) };
     watched.map_err(Into::into)
 }
 
-fn take(gateway: &Rc<Gateway>, stream: TcpStream) {
-    if gateway.connections.get() >= MOST_CONNECTIONS {
-        // Closed without a byte of a request read, so its caller may go elsewhere at once.
+fn serve_or_reject(gateway: &Rc<Gateway>, stream: TcpStream) {
+    if gateway.connections.get() >= MAX_CONNECTIONS {
+        // Nothing was read, so the client may try another instance at once.
         gateway.metrics.connection_rejected("full");
         return;
     }
-    let part = gateway.strain.get().part(gateway.now());
-    if part > 0.0 && rand::random::<f64>() < part {
-        turn_away(gateway, &stream);
+    let share = gateway.strain.get().part(gateway.now());
+    if share > 0.0 && rand::random::<f64>() < share {
+        reject(gateway, &stream);
         return;
     }
     let stream = stream
@@ -83,35 +87,36 @@
         .and_then(|()| tokio::net::TcpStream::from_std(stream));
     match stream {
         Ok(stream) => drop(spawn_local(connection::serve(Rc::clone(gateway), stream))),
-        Err(error) => log::warn!(target: "door", "a connection can't be served: {error}"),
+        Err(error) => log::warn!(target: "door", "can't serve a connection: {error}"),
     }
 }
 
-/// Tells the caller when to come back, if its whole request is there; else closes the connection unread.
-fn turn_away(gateway: &Gateway, stream: &TcpStream) {
-    let Some(attempt) = whole_request(gateway, stream) else {
+/// Answers with a time to retry if the whole request has arrived; otherwise closes the connection unread.
+fn reject(gateway: &Gateway, stream: &TcpStream) {
+    let Some(attempt) = peek_attempt_id(gateway, stream) else {
         gateway.rejected.borrow_mut().unread += 1;
         gateway.metrics.connection_rejected("unread");
         return;
     };
-    // Closed with unread bytes, the connection would be reset, and the reset overtake the answer.
-    let mut request = [0; MOST_READ];
+    // Closing a connection with unread bytes resets it, and the reset may overtake the response.
+    let mut request = [0; MAX_PEEK_BYTES];
     if recv(stream.as_raw_fd(), &mut request, MsgFlags::MSG_DONTWAIT).is_err() {
         return;
     }
-    let bytes = Reply::again(Code::InstanceFull, COME_BACK).bytes(gateway, Some(&attempt), true);
-    // A caller that is gone needs no answer, and the little that is written fits an empty socket.
+    let bytes = Reply::again(Code::InstanceFull, RETRY_AFTER).bytes(gateway, Some(&attempt), true);
+    // A client that has disconnected needs no response, and a short one fits into the empty send buffer.
     let _sent = send(stream.as_raw_fd(), &bytes.0, MsgFlags::MSG_DONTWAIT);
     gateway.rejected.borrow_mut().answered.push(attempt);
     gateway.metrics.connection_rejected("told");
 }
 
-/// The identity of the request on `stream`, if all of it has come and nothing else; nothing is taken from the
-/// stream.
-fn whole_request(gateway: &Gateway, stream: &TcpStream) -> Option<Box<str>> {
-    let mut buffer = [0; MOST_READ];
-    let look = MsgFlags::MSG_DONTWAIT | MsgFlags::MSG_PEEK;
-    let length = recv(stream.as_raw_fd(), &mut buffer, look).ok()?;
+/// Returns the attempt id of the request on `stream` if exactly one whole request has arrived.
+///
+/// Leaves the bytes in the socket.
+fn peek_attempt_id(gateway: &Gateway, stream: &TcpStream) -> Option<Box<str>> {
+    let mut buffer = [0; MAX_PEEK_BYTES];
+    let flags = MsgFlags::MSG_DONTWAIT | MsgFlags::MSG_PEEK;
+    let length = recv(stream.as_raw_fd(), &mut buffer, flags).ok()?;
     let bytes = &buffer[..length];
     let (head, end) = head::request(bytes).ok()??;
     let body = match head.framing().ok()? {
@@ -119,7 +124,7 @@
         Framing::Length(body) => usize::try_from(body).ok()?,
         Framing::Chunked | Framing::UntilClose => return None,
     };
-    let whole = end + body == length && length < MOST_READ;
+    let is_complete = end + body == length && length < MAX_PEEK_BYTES;
     let attempt = head.fields.text(gateway.adapter.headers.attempt_id)?;
-    whole.then(|| attempt.into())
+    is_complete.then(|| attempt.into())
 }
--- a/crates/hawthornmill-gateway/src/trip/read.rs
+++ b/crates/hawthornmill-gateway/src/trip/read.rs
@@ -9,7 +9,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
 
-use crate::connection::Reader;
+use crate::connection::RequestReader;
 use crate::gateway::{Gateway, Phase};
 use crate::http::body::{Decoder, Piece};
 use crate::http::head::{self, Framing, RequestHead};
@@ -52,7 +52,11 @@
 }
 
 /// Reads the next request of a connection.
-pub async fn next(gateway: &Rc<Gateway>, reader: &mut Reader, out: &mut OwnedWriteHalf) -> Next {
+pub async fn next(
+    gateway: &Rc<Gateway>,
+    reader: &mut RequestReader,
+    out: &mut OwnedWriteHalf,
+) -> Next {
     let limits = gateway
         .table()
         .map_or_else(Limits::default, |t| *t.limits());
@@ -116,7 +120,7 @@
 ///
 /// A process that takes no more requests closes idle connections; a request that crosses the close
 /// was not read, and its caller may send it elsewhere.
-async fn first_byte(gateway: &Gateway, reader: &mut Reader, idle: Duration) -> bool {
+async fn first_byte(gateway: &Gateway, reader: &mut RequestReader, idle: Duration) -> bool {
     let mut phases = gateway.subscribe_phase();
     tokio::select! {
         biased;
@@ -125,7 +129,7 @@
     }
 }
 
-async fn whole_head(reader: &mut Reader, most: usize) -> Result<Option<RequestHead>, Code> {
+async fn whole_head(reader: &mut RequestReader, most: usize) -> Result<Option<RequestHead>, Code> {
     loop {
         match head::request(&reader.buffer) {
             Ok(Some((_, length))) if length > most => return Err(Code::HeadersTooLarge),
@@ -151,7 +155,7 @@
 
 /// Reads the body; none when the caller closed before its end.
 async fn whole_body(
-    reader: &mut Reader,
+    reader: &mut RequestReader,
     framing: Framing,
     most: usize,
     idle: Duration,
