--- a/crates/hawthornmill-gateway/src/daemon.rs
+++ b/crates/hawthornmill-gateway/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Joins the parts of a gateway into one process.
+//! The gateway process: start, settings reload and shutdown.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -22,19 +22,19 @@
 use crate::settings::Settings;
 use crate::{endpoints, event_log, gossip, listener, state_sync, store_watch};
 
-/// Time for which a leaving process takes requests of callers that have not heard of it.
+/// Multiple of the directory's time to live for which a stopping process still accepts requests.
 ///
-/// Some callers keep a directory's answer for three times its lifetime; a request that comes much
-/// later could not end within the grace.
-const OLD_ANSWERS: u32 = 3;
-/// Time before the end of the grace at which the process ends by itself.
-const BEFORE_GRACE: Duration = Duration::from_millis(400);
-/// Time between two looks at what is under way.
-const LOOK: Duration = Duration::from_millis(20);
-/// Time between two looks at the settings file, which may change without a signal.
-const REREAD: Duration = Duration::from_secs(1);
+/// Some clients cache a response of the directory for three times its time to live. A request that
+/// arrives much later could not complete within the shutdown grace.
+const DIRECTORY_TTL_FACTOR: u32 = 3;
+/// Time before the end of the shutdown grace at which the process exits.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+/// Interval at which the requests in flight are checked during shutdown.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the settings file is checked for changes, which may come without a signal.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs a gateway until it is told to stop; the result is the process's exit code.
+/// Runs a gateway until it is told to stop; returns the exit code of the process.
 pub fn main(config: &Path, adapter: Adapter) -> u8 {
     let settings = match Settings::load(config) {
         Ok(settings) => settings,
@@ -46,7 +46,7 @@
     match runtime {
         Ok(runtime) => LocalSet::new().block_on(&runtime, run(settings, config, &adapter)),
         Err(error) => {
-            eprintln!("the runtime can't start: {error}");
+            eprintln!("can't start the async runtime: {error}");
             1
         }
     }
@@ -54,26 +54,27 @@
 
 struct Sockets {
     front: TcpListener,
-    sides: Vec<(TcpListener, Endpoint)>,
+    endpoints: Vec<(TcpListener, Endpoint)>,
     peer: TcpListener,
-    news: UdpSocket,
+    datagrams: UdpSocket,
 }
 
 async fn bind(settings: &Settings) -> Result<Sockets, Vec<Fault>> {
-    let open = |address| sockets::listen(address).map_err(|e| unbound(&address.to_string(), &e));
+    let bind_tcp =
+        |address| sockets::listen(address).map_err(|e| unbound(&address.to_string(), &e));
     let listen = settings.listen;
-    let mut sides = vec![
-        (open(listen.ready)?, Endpoint::Ready),
-        (open(listen.directory)?, Endpoint::Directory),
+    let mut endpoints = vec![
+        (bind_tcp(listen.ready)?, Endpoint::Ready),
+        (bind_tcp(listen.directory)?, Endpoint::Directory),
     ];
     if let Some(metrics) = listen.metrics {
-        sides.push((open(metrics)?, Endpoint::Metrics));
+        endpoints.push((bind_tcp(metrics)?, Endpoint::Metrics));
     }
     Ok(Sockets {
-        front: open(listen.front)?,
-        sides,
-        peer: open(listen.peer)?,
-        news: UdpSocket::bind(listen.peer)
+        front: bind_tcp(listen.front)?,
+        endpoints,
+        peer: bind_tcp(listen.peer)?,
+        datagrams: UdpSocket::bind(listen.peer)
             .await
             .map_err(|e| unbound(&listen.peer.to_string(), &e))?,
     })
@@ -85,27 +86,30 @@
         Err(faults) => return report(&faults),
     };
     let (Ok(signals), Ok(())) = (Signals::new(), event_log::init(settings.level)) else {
-        eprintln!("signals or the log can't be had");
+        eprintln!("can't install signal handlers or start the log");
         return 1;
     };
     let gateway = Gateway::new(settings, *adapter, Clock::system(), incarnation());
-    let name = gateway.settings().name.clone();
+    let instance_name = gateway.settings().name.clone();
     event_log::state_change(
         "start",
-        json!({"instance": name, "run": gateway.incarnation.0}),
+        json!({"instance": instance_name, "run": gateway.incarnation.0}),
+    );
+    spawn_tasks(&gateway, sockets);
+    spawn_local(watch_settings(Rc::clone(&gateway), config.to_path_buf()));
+    let requests_cut = run_until_signal(&gateway, signals, config).await;
+    event_log::state_change(
+        "stop",
+        json!({"instance": instance_name, "requests_cut": requests_cut}),
     );
-    start(&gateway, sockets);
-    spawn_local(reread(Rc::clone(&gateway), config.to_path_buf()));
-    let cut = until_told(&gateway, signals, config).await;
-    event_log::state_change("stop", json!({"instance": name, "requests_cut": cut}));
     event_log::flush();
-    u8::from(cut > 0)
+    u8::from(requests_cut > 0)
 }
 
-fn start(gateway: &Rc<Gateway>, sockets: Sockets) {
+fn spawn_tasks(gateway: &Rc<Gateway>, sockets: Sockets) {
     let key = gateway.settings().key;
     let sealer = Sealer::new(key, gateway.id, gateway.incarnation, datagrams::CHANNEL);
-    let datagrams = Rc::new(DatagramSocket::new(sockets.news, sealer));
+    let datagrams = Rc::new(DatagramSocket::new(sockets.datagrams, sealer));
     spawn_local(store_watch::watch(
         Rc::clone(gateway),
         store_watch::Topic::Catalog,
@@ -118,8 +122,8 @@
     spawn_local(gossip::receive(Rc::clone(gateway), Rc::clone(&datagrams)));
     spawn_local(state_sync::sync_from_peers(Rc::clone(gateway), datagrams));
     spawn_local(state_sync::serve_peers(Rc::clone(gateway), sockets.peer));
-    for (listener, side) in sockets.sides {
-        spawn_local(endpoints::serve(Rc::clone(gateway), listener, side));
+    for (listener, endpoint) in sockets.endpoints {
+        spawn_local(endpoints::serve(Rc::clone(gateway), listener, endpoint));
     }
     spawn_local(listener::accept_connections(
         Rc::clone(gateway),
@@ -146,33 +150,33 @@
     }
 }
 
-/// Serves until a signal to stop, then ends in order; the result is the number of requests cut.
-async fn until_told(gateway: &Rc<Gateway>, mut signals: Signals, config: &Path) -> usize {
+/// Serves until a signal to stop, then shuts down; returns the number of requests cut off.
+async fn run_until_signal(gateway: &Rc<Gateway>, mut signals: Signals, config: &Path) -> usize {
     loop {
         tokio::select! {
             _ = signals.term.recv() => break,
             _ = signals.int.recv() => break,
-            _ = signals.hup.recv() => load_again(gateway, config),
+            _ = signals.hup.recv() => reload_settings(gateway, config),
         }
     }
-    leave(gateway).await
+    shut_down(gateway).await
 }
 
-async fn leave(gateway: &Gateway) -> usize {
+async fn shut_down(gateway: &Gateway) -> usize {
     let guarantees = gateway.settings().guarantees;
-    let end = tokio::time::Instant::now() + guarantees.shutdown_grace.saturating_sub(BEFORE_GRACE);
+    let end = tokio::time::Instant::now() + guarantees.shutdown_grace.saturating_sub(EXIT_MARGIN);
     event_log::state_change("leaving", json!({"under_way": gateway.in_flight.get()}));
     gateway.set_phase(Phase::LameDuck);
-    tokio::time::sleep(guarantees.directory_ttl * OLD_ANSWERS).await;
+    tokio::time::sleep(guarantees.directory_ttl * DIRECTORY_TTL_FACTOR).await;
     gateway.set_phase(Phase::Draining);
     while gateway.in_flight.get() > 0 && tokio::time::Instant::now() < end {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
     gateway.in_flight.get()
 }
 
-/// Takes changed settings; a file with faults changes nothing.
-fn load_again(gateway: &Gateway, config: &Path) {
+/// Applies changed settings; keeps the current ones if the file has faults.
+fn reload_settings(gateway: &Gateway, config: &Path) {
     let settings = match Settings::load(config) {
         Ok(settings) => settings,
         Err(faults) => {
@@ -196,15 +200,15 @@
     event_log::state_change("settings_in_force", json!({}));
 }
 
-async fn reread(gateway: Rc<Gateway>, config: PathBuf) {
-    let stamp = || std::fs::metadata(&config).and_then(|m| m.modified()).ok();
-    let mut last = stamp();
+async fn watch_settings(gateway: Rc<Gateway>, config: PathBuf) {
+    let modified = || std::fs::metadata(&config).and_then(|m| m.modified()).ok();
+    let mut last_modified = modified();
     loop {
-        tokio::time::sleep(REREAD).await;
-        let now = stamp();
-        if now != last {
-            last = now;
-            load_again(&gateway, &config);
+        tokio::time::sleep(SETTINGS_CHECK_INTERVAL).await;
+        let now = modified();
+        if now != last_modified {
+            last_modified = now;
+            reload_settings(&gateway, &config);
         }
     }
 }
--- a/crates/hawthornmill-gateway/src/event_log.rs
+++ b/crates/hawthornmill-gateway/src/event_log.rs
@@ -1,8 +1,8 @@
-//! The log: JSON lines on standard output that never hold up a request.
+//! The event log: JSON lines on standard output, written without blocking requests.
 //!
-//! Lines gather in memory and a thread of their own writes them out. When the reader of standard
-//! output is slow, memory fills: past half of it lines about ordinary successes are dropped, past
-//! all of it any line. What was dropped is counted and said once there is room again.
+//! Lines are buffered in memory and written by a separate thread. If the reader of standard output is
+//! slow, the buffer fills up: lines of level info are dropped once it is half full, and all lines once
+//! it is full. The number of dropped lines is logged when there is room again.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,36 +13,39 @@
 use log4rs::config::{Appender, Config, Root};
 use serde_json::{Map, Value, json};
 
-/// Bytes that wait to be written at most: some seconds of one instance's lines under high load.
-const MOST_BYTES: usize = 512 << 10;
-/// Bytes that are written at once: a pipe takes them whole.
-const MOST_PIECE: usize = 4 << 10;
-/// Time between two writes.
-const WRITE_EVERY: Duration = Duration::from_millis(100);
+/// Size of the buffer: a few seconds of an instance's lines under high load.
+const BUFFER_BYTES: usize = 512 << 10;
+/// Bytes per write: a pipe accepts that many at once.
+const WRITE_BYTES: usize = 4 << 10;
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Default)]
-struct Pending {
+struct Buffered {
     bytes: Vec<u8>,
-    ordinary: u64,
-    others: u64,
+    info_dropped: u64,
+    other_dropped: u64,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Lines(Arc<Mutex<Pending>>);
+struct LineBuffer(Arc<Mutex<Buffered>>);
 
-impl Lines {
-    fn lock(&self) -> MutexGuard<'_, Pending> {
+impl LineBuffer {
+    fn lock(&self) -> MutexGuard<'_, Buffered> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn push(&self, ordinary: bool, line: &str) {
+    fn push(&self, low_priority: bool, line: &str) {
         let mut pending = self.lock();
-        let room = if ordinary { MOST_BYTES / 2 } else { MOST_BYTES };
-        if pending.bytes.len() + line.len() > room {
-            if ordinary {
-                pending.ordinary += 1;
+        let limit = if low_priority {
+            BUFFER_BYTES / 2
+        } else {
+            BUFFER_BYTES
+        };
+        if pending.bytes.len() + line.len() > limit {
+            if low_priority {
+                pending.info_dropped += 1;
             } else {
-                pending.others += 1;
+                pending.other_dropped += 1;
             }
             return;
         }
@@ -53,28 +56,28 @@
     fn take(&self) -> Vec<u8> {
         let mut pending = self.lock();
         let mut bytes = std::mem::take(&mut pending.bytes);
-        if pending.ordinary + pending.others > 0 {
+        if pending.info_dropped + pending.other_dropped > 0 {
             let line = json!({
                 "event": "lines_dropped",
-                "ordinary": pending.ordinary,
-                "others": pending.others,
+                "ordinary": pending.info_dropped,
+                "others": pending.other_dropped,
             });
             bytes.extend_from_slice(format!("{line}\n").as_bytes());
-            (pending.ordinary, pending.others) = (0, 0);
+            (pending.info_dropped, pending.other_dropped) = (0, 0);
         }
         bytes
     }
 }
 
-impl Append for Lines {
+impl Append for LineBuffer {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
-        let ordinary = record.level() >= Level::Info;
+        let low_priority = record.level() >= Level::Info;
         if record.target() == TARGET {
-            self.push(ordinary, &record.args().to_string());
+            self.push(low_priority, &record.args().to_string());
         } else {
             let text = record.args().to_string();
             let line = json!({"event": "note", "from": record.target(), "text": text});
-            self.push(ordinary, &line.to_string());
+            self.push(low_priority, &line.to_string());
         }
         Ok(())
     }
@@ -84,7 +87,7 @@
     }
 }
 
-/// Target of lines that are JSON objects already.
+/// Target of records that are JSON objects already.
 const TARGET: &str = "journal";
 
 fn write(bytes: &[u8]) {
@@ -92,20 +95,20 @@
         return;
     }
     let mut out = std::io::stdout().lock();
-    // A reader of the log that is gone must not end the service.
-    for piece in bytes.chunks(MOST_PIECE) {
+    // The service must go on if nobody reads the log.
+    for piece in bytes.chunks(WRITE_BYTES) {
         let _written = out.write_all(piece).and_then(|()| out.flush());
     }
 }
 
-/// Starts the log.
+/// Initializes the log.
 ///
 /// # Errors
-/// Words for a library that refuses to start, or a thread that can't.
+/// A message if the logger or the writer thread can't be started.
 pub fn init(level: LevelFilter) -> Result<(), Box<str>> {
-    let lines = Lines::default();
+    let buffer = LineBuffer::default();
     let config = Config::builder()
-        .appender(Appender::builder().build("lines", Box::new(lines.clone())))
+        .appender(Appender::builder().build("lines", Box::new(buffer.clone())))
         .build(Root::builder().appender("lines").build(level))
         .map_err(|error| error.to_string())?;
     log4rs::init_config(config).map_err(|error| error.to_string())?;
@@ -113,15 +116,15 @@
         .name("journal".into())
         .spawn(move || {
             loop {
-                std::thread::sleep(WRITE_EVERY);
-                write(&lines.take());
+                std::thread::sleep(WRITE_INTERVAL);
+                write(&buffer.take());
             }
         })
         .map_err(|error| error.to_string())?;
     Ok(())
 }
 
-fn line(event: &str, request: Option<&str>, fields: Value) -> Value {
+fn format_event(event: &str, request: Option<&str>, fields: Value) -> Value {
     let time = SystemTime::now().duration_since(UNIX_EPOCH);
     let mut map = Map::new();
     map.insert(
@@ -138,24 +141,24 @@
     Value::Object(map)
 }
 
-/// An ordinary step of a request; the first to be dropped.
+/// Logs a step of a request at level info; such lines are dropped first.
 pub fn request_step(event: &str, request: &str, fields: Value) {
     if log::log_enabled!(target: TARGET, Level::Info) {
-        log::info!(target: TARGET, "{}", line(event, Some(request), fields));
+        log::info!(target: TARGET, "{}", format_event(event, Some(request), fields));
     }
 }
 
-/// A request that did not go as it should.
+/// Logs a problem of a request.
 pub fn request_problem(event: &str, request: &str, fields: Value) {
-    log::warn!(target: TARGET, "{}", line(event, Some(request), fields));
+    log::warn!(target: TARGET, "{}", format_event(event, Some(request), fields));
 }
 
-/// A change of what the process believes, its start, its stop, a dependency lost or regained.
+/// Logs a change of the process state: start, stop, new settings or catalog, a lost or restored dependency.
 pub fn state_change(event: &str, fields: Value) {
-    log::warn!(target: TARGET, "{}", line(event, None, fields));
+    log::warn!(target: TARGET, "{}", format_event(event, None, fields));
 }
 
-/// Writes out what is pending.
+/// Writes all buffered lines.
 pub fn flush() {
     log::logger().flush();
 }
--- a/crates/hawthornmill-gateway/src/lib.rs
+++ b/crates/hawthornmill-gateway/src/lib.rs
@@ -1,22 +1,24 @@
-//! The gateway: plain HTTP in, registered backend servers behind, answers unchanged.
+//! The gateway: receives HTTP requests of clients and forwards them to registered backend servers.
 //!
-//! A process has one thread. Every task borrows the shared [`gateway::Gateway`] for the length of a
-//! call. Decisions are those of [`hawthornmill::routing`]; what the wire looks like comes from an
-//! adapter as a [`adapter::Adapter`].
+//! Responses are passed on unchanged. The process has one thread, and every task borrows the shared
+//! [`gateway::Gateway`] for the length of a call. [`hawthornmill::routing`] selects the server of each
+//! request; a platform's header names and encodings come from its [`adapter::Adapter`].
 //!
-//! | module | owns |
+//! | module | contents |
 //! |---|---|
-//! | [`listener`] | taking new connections of callers, or turning them away |
-//! | [`connection`] | connections of callers |
-//! | [`trip`] | one request: admit, wait, send, deliver, settle |
-//! | [`pool`] | connections to servers |
-//! | [`store_watch`] | following the platform's store |
-//! | [`datagrams`], [`gossip`] | datagrams, and the news in them |
-//! | [`state_sync`], [`pending_state`] | getting from other instances what they know and this one does not |
-//! | [`endpoints`] | state, directory, metrics |
-//! | [`event_log`], [`metrics`] | the log and the counters |
-//! | [`http`] | heads and bodies |
-//! | [`settings`], [`daemon`] | the process |
+//! | [`listener`] | accepts or rejects new connections of clients |
+//! | [`connection`] | connections of clients |
+//! | [`trip`] | one request: admission, queueing, forwarding, the response |
+//! | [`pool`] | connections to backend servers |
+//! | [`store_watch`] | watches the platform's store |
+//! | [`datagrams`], [`gossip`] | messages between instances over UDP |
+//! | [`state_sync`], [`pending_state`] | pulls catalogs and registrations from other instances |
+//! | [`endpoints`] | readiness, directory, metrics |
+//! | [`event_log`], [`metrics`] | the event log, and the counters |
+//! | [`http`] | parsing and writing HTTP messages |
+//! | [`adapter`] | the interface to the platform |
+//! | [`gateway`] | the shared state |
+//! | [`settings`], [`daemon`] | settings and the process |
 
 pub mod adapter;
 pub mod connection;
--- a/crates/hawthornmill-gateway/src/settings.rs
+++ b/crates/hawthornmill-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one gateway process, read from an INI file and checked whole.
+//! Settings of a gateway process, read from an INI file that is checked as a whole.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -19,56 +19,56 @@
     "telemetry",
 ];
 
-/// Addresses that this process serves.
+/// Addresses on which this process listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// Callers' requests.
+    /// Requests of clients.
     pub front: SocketAddr,
-    /// Whether the process takes requests.
+    /// Readiness checks.
     pub ready: SocketAddr,
-    /// Which addresses callers should use.
+    /// Directory queries.
     pub directory: SocketAddr,
-    /// Other instances, UDP and TCP.
+    /// Messages of other instances, over UDP and TCP.
     pub peer: SocketAddr,
-    /// Metrics; none where they are not served.
+    /// Metrics, if they are served.
     pub metrics: Option<SocketAddr>,
 }
 
-/// What operators were promised of this deployment.
+/// Guarantees given for this deployment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Guarantees {
-    /// Time in which a published catalog is in force everywhere.
+    /// Time within which all instances apply a published catalog.
     pub apply_time: Duration,
-    /// Time from the signal to stop to the end of the process.
+    /// Time from the signal to stop until the process ends.
     pub shutdown_grace: Duration,
-    /// Time for which callers may use a directory's answer.
+    /// Time for which clients may cache a response of the directory.
     pub directory_ttl: Duration,
-    /// Second sends over the fleet.
+    /// Budget of the whole fleet for sending requests to another server.
     pub resend_budget: Terms,
 }
 
-/// Settings of one gateway process.
+/// Settings of a gateway process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Name of the instance.
     pub name: Box<str>,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainId,
-    /// Its region.
+    /// Region of the instance.
     pub region: RegionId,
     /// Region of each failure domain.
     pub regions: Vec<(DomainId, RegionId)>,
-    /// Addresses to serve.
+    /// Addresses on which to listen.
     pub listen: ListenAddresses,
-    /// Peer addresses of a few other instances, maybe out of date.
+    /// Peer addresses of a few other instances, some of which may be outdated.
     pub seeds: Vec<SocketAddr>,
-    /// Key of the frames between instances.
+    /// Key that seals the frames between instances.
     pub key: [u8; 32],
-    /// Time between two pieces of news to the others.
+    /// Interval of news to the other instances.
     pub news_interval: Duration,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// What was promised.
+    /// Guarantees given for the deployment.
     pub guarantees: Guarantees,
     /// Least severe level that is logged.
     pub level: log::LevelFilter,
@@ -78,7 +78,7 @@
     /// Reads and checks the file at `path`.
     ///
     /// # Errors
-    /// Every fault of the file.
+    /// All faults of the file.
     pub fn load(path: &Path) -> Result<Self, Vec<Fault>> {
         hawthornmill_process::settings::load(path, Self::parse)
     }
@@ -86,7 +86,7 @@
     /// Checks the text of a settings file.
     ///
     /// # Errors
-    /// Every fault of the text.
+    /// All faults of the text.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Fault>> {
         let (mut reader, sections) = Reader::open(file, text, SECTIONS)?;
         let one = |kind: &str| Section::first(&sections, kind);
@@ -130,7 +130,7 @@
     }
 }
 
-/// An address, or one that nobody has where there is a fault.
+/// Reads an address; returns the unspecified one after a fault.
 fn address(reader: &mut Reader<'_>, section: &Section, key: &str) -> SocketAddr {
     let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
     reader.address(section, key).unwrap_or(nowhere)
@@ -142,7 +142,7 @@
     (DomainId::of(&section.name), RegionId::of(&region))
 }
 
-/// The seeds' machines at this process's own peer port: instances use the same port everywhere.
+/// Reads the hosts of the seeds, with this process's own peer port: all instances use the same one.
 fn seeds(reader: &mut Reader<'_>, section: &Section, port: u16) -> Vec<SocketAddr> {
     let Some(entry) = section.get("seeds") else {
         return Vec::new();
@@ -157,7 +157,7 @@
         match word.parse::<SocketAddr>() {
             Ok(address) => seeds.push(SocketAddr::new(address.ip(), port)),
             Err(_unreadable) => {
-                let what = format!("`seeds` are IP:port, not `{word}`");
+                let what = format!("`seeds` must be a list of IP:port, not `{word}`");
                 reader.fault(Code::BadValue, entry.line, 0, what);
             }
         }
--- a/crates/hawthornmill-gateway/src/store_watch.rs
+++ b/crates/hawthornmill-gateway/src/store_watch.rs
@@ -1,9 +1,9 @@
-//! The platform's store: one list, then a wait for changes, for the catalog and the registrations.
+//! Watches the catalog and the registrations in the platform's store.
 //!
-//! The catalog and the registrations are followed apart, each on a connection of its own. A wait
-//! that is not answered in its time means a connection that went silent; it is dropped and the next
-//! call takes a new one. Every call costs the platform something, so waits are long and news of the
-//! other instances tell in between when this one has missed something.
+//! Each of them is listed once and then watched for changes, on a connection of its own. A watch that
+//! is not answered in time means that its connection is dead; the next call opens a new one. Each
+//! call costs the platform something, so watches are long, and gossip tells in between if this
+//! instance has missed a change.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -24,33 +24,34 @@
 use crate::http::write::Bytes;
 use crate::pool::connect;
 
-/// Time for which a wait for changes may stay at the store.
+/// Time after which the store answers a watch even without changes.
 ///
-/// A connection that went silent shows when the wait is over, well within the bound of four seconds
-/// after which the platform counts an instance as undisturbed again, and three more for changes.
-const WAIT: Duration = Duration::from_millis(3_500);
-/// Pause after a change, in which others gather.
-const GATHER: Duration = Duration::from_millis(100);
-/// Time allowed for a call besides the wait that it asks for.
-const CALL: Duration = Duration::from_millis(900);
-/// Bounds of the pause after a call that failed.
-const AGAIN: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(500));
-/// The longest such pause of an instance of a large fleet that knows something already.
+/// A dead connection shows when the watch times out. That must be well within the four seconds after
+/// which the platform counts an instance as undisturbed again, and the three more that it allows for changes.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(3_500);
+/// Delay after a change, so that one watch returns several changes.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
+/// Time allowed for a call, in addition to the timeout of a watch.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+/// Shortest and longest delay after a failed call.
+const RETRY_DELAY_RANGE: (Duration, Duration) =
+    (Duration::from_millis(60), Duration::from_millis(500));
+/// Longest delay after a failed call of a ready instance in a large fleet.
 ///
-/// While the store answers nobody, all of them ask it; whoever is answered first tells the others.
-const AGAIN_LARGE: Duration = Duration::from_millis(1_800);
-/// Time without an answer after which servers may have lapsed through the store's fault.
+/// All instances call the store while it is unavailable, and the first one that gets an answer tells the others.
+const MAX_RETRY_DELAY_LARGE: Duration = Duration::from_millis(1_800);
+/// Time without an answer after which registrations may have expired because the store was unavailable.
 ///
-/// Servers write every 1.2 s and lapse after three silent intervals.
-const AWAY: Duration = Duration::from_secs(2);
-/// Time after the store's return in which missing servers are still waited for.
-const RETURN: Duration = Duration::from_millis(2_500);
-/// Time between two looks of an instance for which others read.
-const LOOK: Duration = Duration::from_millis(200);
-/// Bytes of one answer at most: a megabyte of values in base64, and their keys.
-const MOST_BYTES: usize = 4 << 20;
+/// Servers renew their registrations every 1.2 s, and these expire after three missed renewals.
+const OUTAGE_THRESHOLD: Duration = Duration::from_secs(2);
+/// Time after an outage of the store in which servers may register again.
+const RETURN_GRACE: Duration = Duration::from_millis(2_500);
+/// Interval at which an instance checks whether it should read the store itself.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Longest response: a megabyte of values in base64, and their keys.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// What is followed.
+/// What is watched; the log shows the variant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Topic {
     /// The catalog.
@@ -59,40 +60,40 @@
     Servers,
 }
 
-/// How a call to the store failed.
+/// How a call of the store failed; the log shows the variant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Failure {
-    /// The changes asked for are no longer kept.
+enum StoreError {
+    /// The store no longer keeps the requested changes.
     HistoryLost,
-    /// It said no.
+    /// The store answered with this error status.
     Refused(u16),
-    /// No answer, or none that can be read.
+    /// No response came, or one that could not be parsed.
     Silent,
 }
 
 struct Watcher {
     gateway: Rc<Gateway>,
     topic: Topic,
-    link: Option<TcpStream>,
+    stream: Option<TcpStream>,
     revision: Option<u64>,
-    answered: Instant,
-    /// Until when entries that are missing may come back.
-    returning: Option<Instant>,
-    lost: bool,
+    answered_at: Instant,
+    /// Until when missing registrations may come back.
+    grace_until: Option<Instant>,
+    unreachable: bool,
     failures: u32,
 }
 
-/// Follows `topic` for as long as the process lives.
+/// Watches `topic` until the process ends.
 pub async fn watch(gateway: Rc<Gateway>, topic: Topic) {
     let now = gateway.now();
     let mut watcher = Watcher {
         gateway,
         topic,
-        link: None,
+        stream: None,
         revision: None,
-        answered: now,
-        returning: None,
-        lost: false,
+        answered_at: now,
+        grace_until: None,
+        unreachable: false,
         failures: 0,
     };
     loop {
@@ -106,7 +107,7 @@
 }
 
 impl Watcher {
-    /// Waits while other instances read for this one.
+    /// Waits while other instances read the store for this one.
     async fn wait_until_reader(&self) {
         let gateway = &self.gateway;
         loop {
@@ -119,7 +120,7 @@
                 return;
             }
             gateway.store_access.set(Reading::Idle);
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
         }
     }
 
@@ -131,27 +132,27 @@
         }
     }
 
-    async fn list_all(&mut self) -> Result<(), Failure> {
+    async fn list_all(&mut self) -> Result<(), StoreError> {
         let store = self.gateway.adapter.store;
-        let mut items: Vec<KvEntry> = Vec::new();
+        let mut entries: Vec<KvEntry> = Vec::new();
         let mut revision = None;
         loop {
-            let path = (store.list_path)(self.prefix(), items.last().map(|i| &*i.key));
-            let page = self.call(&path, CALL).await?;
-            // Later pages are younger: changes between them come again with the first wait.
+            let path = (store.list_path)(self.prefix(), entries.last().map(|i| &*i.key));
+            let page = self.call(&path, CALL_TIMEOUT).await?;
+            // Later pages have newer revisions; the first watch repeats the changes between them.
             revision.get_or_insert(page.revision);
-            items.extend(page.entries);
+            entries.extend(page.entries);
             if !page.has_more {
                 break;
             }
         }
         let revision = revision.unwrap_or_default();
-        let away = self.may_lack_entries();
+        let away = self.is_in_grace();
         match self.topic {
-            Topic::Catalog => items.iter().for_each(|i| self.apply_entry(i)),
+            Topic::Catalog => entries.iter().for_each(|i| self.apply_entry(i)),
             Topic::Servers => {
                 let list = List {
-                    entries: items.iter().map(|i| self.parse_change(i)).collect(),
+                    entries: entries.iter().map(|i| self.parse_change(i)).collect(),
                     doubted: Vec::new(),
                     revision,
                     away,
@@ -163,16 +164,16 @@
         Ok(())
     }
 
-    async fn watch_changes(&mut self, after: u64) -> Result<(), Failure> {
+    async fn watch_changes(&mut self, after: u64) -> Result<(), StoreError> {
         let store = self.gateway.adapter.store;
-        let path = (store.watch_path)(self.prefix(), after, WAIT.as_millis() as u64);
-        let page = self.call(&path, WAIT + CALL).await?;
-        for item in &page.entries {
-            self.apply_entry(item);
+        let path = (store.watch_path)(self.prefix(), after, WATCH_TIMEOUT.as_millis() as u64);
+        let page = self.call(&path, WATCH_TIMEOUT + CALL_TIMEOUT).await?;
+        for entry in &page.entries {
+            self.apply_entry(entry);
         }
         if !page.entries.is_empty() {
-            // Changes come in bursts, and a wait that is answered for each one costs a call for each.
-            tokio::time::sleep(GATHER).await;
+            // Changes come in bursts, and returning each by itself would cost a call for each.
+            tokio::time::sleep(BATCH_DELAY).await;
         }
         self.revision = Some(page.revision.max(after));
         if self.topic == Topic::Servers {
@@ -185,40 +186,40 @@
         Ok(())
     }
 
-    fn apply_entry(&self, item: &KvEntry) {
-        match (self.topic, &item.value) {
-            (Topic::Catalog, Some(value)) if *item.key == *self.prefix() => {
+    fn apply_entry(&self, entry: &KvEntry) {
+        match (self.topic, &entry.value) {
+            (Topic::Catalog, Some(value)) if *entry.key == *self.prefix() => {
                 match (self.gateway.adapter.parse_catalog)(value) {
                     Ok(catalog) => self.gateway.apply_catalog(catalog, "store"),
                     Err(why) => {
-                        let fields = json!({"revision": item.revision, "why": why});
+                        let fields = json!({"revision": entry.revision, "why": why});
                         event_log::state_change("catalog_unreadable", fields);
                     }
                 }
             }
             (Topic::Catalog, _) => {}
-            (Topic::Servers, None) if self.may_lack_entries() => {
-                let server = ServerId::of(self.server_name(item));
-                self.gateway.suspect_removal(server, item.revision);
+            (Topic::Servers, None) if self.is_in_grace() => {
+                let server = ServerId::of(self.server_name(entry));
+                self.gateway.suspect_removal(server, entry.revision);
             }
             (Topic::Servers, _) => {
-                let change = self.parse_change(item);
+                let change = self.parse_change(entry);
                 self.gateway.apply_change(change, "store");
             }
         }
     }
 
-    fn server_name<'a>(&self, item: &'a KvEntry) -> &'a str {
-        item.key.strip_prefix(self.prefix()).unwrap_or(&item.key)
+    fn server_name<'a>(&self, entry: &'a KvEntry) -> &'a str {
+        entry.key.strip_prefix(self.prefix()).unwrap_or(&entry.key)
     }
 
-    fn parse_change(&self, item: &KvEntry) -> Change {
-        let name = self.server_name(item);
+    fn parse_change(&self, kv: &KvEntry) -> Change {
+        let name = self.server_name(kv);
         let read = |value: &Vec<u8>| (self.gateway.adapter.parse_registration)(name, value);
-        let entry = match item.value.as_ref().map(read) {
+        let entry = match kv.value.as_ref().map(read) {
             Some(Ok(entry)) => Some(entry),
             Some(Err(why)) => {
-                let fields = json!({"server": name, "revision": item.revision, "why": why});
+                let fields = json!({"server": name, "revision": kv.revision, "why": why});
                 event_log::state_change("registration_unreadable", fields);
                 None
             }
@@ -226,128 +227,133 @@
         };
         Change {
             server: ServerId::of(name),
-            revision: item.revision,
+            revision: kv.revision,
             entry,
         }
     }
 
-    /// Tells whether entries may be missing because servers could not write.
-    fn may_lack_entries(&self) -> bool {
-        self.returning
+    /// Tells whether registrations may be missing because servers could not renew them.
+    fn is_in_grace(&self) -> bool {
+        self.grace_until
             .is_some_and(|until| self.gateway.now() < until)
     }
 
-    async fn record_result(&mut self, result: Result<(), Failure>) {
+    async fn record_result(&mut self, result: Result<(), StoreError>) {
         let now = self.gateway.now();
         let topic = format!("{:?}", self.topic);
         match result {
             Ok(()) => {
-                if now.duration_since(self.answered) > WAIT + AWAY {
-                    self.returning = Some(now + RETURN);
+                if now.duration_since(self.answered_at) > WATCH_TIMEOUT + OUTAGE_THRESHOLD {
+                    self.grace_until = Some(now + RETURN_GRACE);
                 }
-                if std::mem::take(&mut self.lost) {
+                if std::mem::take(&mut self.unreachable) {
                     event_log::state_change("store_regained", json!({"topic": topic}));
                 }
-                self.answered = now;
+                self.answered_at = now;
                 self.failures = 0;
                 self.gateway.store_access.set(Reading::Answered);
             }
-            Err(Failure::HistoryLost) => {
+            Err(StoreError::HistoryLost) => {
                 event_log::state_change("store_history_lost", json!({"topic": topic}));
                 self.revision = None;
             }
             Err(failure) => {
-                if !std::mem::replace(&mut self.lost, true) {
+                if !std::mem::replace(&mut self.unreachable, true) {
                     let fields = json!({"topic": topic, "how": format!("{failure:?}")});
                     event_log::state_change("store_lost", fields);
                 }
                 self.gateway.store_access.set(Reading::Lost);
-                if now.duration_since(self.answered) > AWAY {
-                    self.returning = Some(now + RETURN);
+                if now.duration_since(self.answered_at) > OUTAGE_THRESHOLD {
+                    self.grace_until = Some(now + RETURN_GRACE);
                 }
                 let large = self.gateway.peers.borrow().is_large() && self.gateway.is_ready();
-                let most = if large { AGAIN_LARGE } else { AGAIN.1 };
-                let pause = (AGAIN.0 * 2_u32.saturating_pow(self.failures)).min(most);
+                let max_delay = if large {
+                    MAX_RETRY_DELAY_LARGE
+                } else {
+                    RETRY_DELAY_RANGE.1
+                };
+                let delay =
+                    (RETRY_DELAY_RANGE.0 * 2_u32.saturating_pow(self.failures)).min(max_delay);
                 self.failures = (self.failures + 1).min(8);
-                tokio::time::sleep(pause.mul_f64(rand::random_range(0.6..1.0))).await;
+                tokio::time::sleep(delay.mul_f64(rand::random_range(0.6..1.0))).await;
             }
         }
     }
 
-    async fn call(&mut self, path: &str, wait: Duration) -> Result<Page, Failure> {
-        let answer = tokio::time::timeout(wait, self.exchange(path)).await;
+    async fn call(&mut self, path: &str, timeout: Duration) -> Result<Page, StoreError> {
+        let answer = tokio::time::timeout(timeout, self.exchange(path)).await;
         let (outcome, result) = match answer {
             Ok(Ok((200, body))) => match (self.gateway.adapter.store.parse_page)(&body) {
                 Ok(page) => ("ok", Ok(page)),
                 Err(why) => {
                     event_log::state_change("store_unreadable", json!({"why": why}));
-                    ("unreadable", Err(Failure::Silent))
+                    ("unreadable", Err(StoreError::Silent))
                 }
             },
-            Ok(Ok((410, _))) => ("history_lost", Err(Failure::HistoryLost)),
-            Ok(Ok((status, _))) => ("refused", Err(Failure::Refused(status))),
-            Ok(Err(_)) => ("broken", Err(Failure::Silent)),
-            Err(_elapsed) => ("silent", Err(Failure::Silent)),
+            Ok(Ok((410, _))) => ("history_lost", Err(StoreError::HistoryLost)),
+            Ok(Ok((status, _))) => ("refused", Err(StoreError::Refused(status))),
+            Ok(Err(_)) => ("broken", Err(StoreError::Silent)),
+            Err(_elapsed) => ("silent", Err(StoreError::Silent)),
         };
         self.gateway.metrics.store_called(outcome);
-        if matches!(result, Err(Failure::Silent)) {
-            self.link = None;
+        if matches!(result, Err(StoreError::Silent)) {
+            self.stream = None;
         }
         result
     }
 
     async fn exchange(&mut self, path: &str) -> std::io::Result<(u16, Vec<u8>)> {
         let address = self.gateway.settings().store;
-        let mut link = match self.link.take() {
-            Some(link) => link,
+        let mut stream = match self.stream.take() {
+            Some(stream) => stream,
             None => connect(address).await?,
         };
         let mut request = Bytes::request("GET", path);
         request.field("Host", address.to_string());
         request.end();
-        link.write_all(&request.0).await?;
-        let (status, body, keep) = read_response(&mut link).await?;
-        // Kept only now: a call that is given up half-way drops its connection.
-        self.link = keep.then_some(link);
+        stream.write_all(&request.0).await?;
+        let (status, body, reusable) = read_response(&mut stream).await?;
+        // Kept only after the response: a call that is cancelled drops its connection.
+        self.stream = reusable.then_some(stream);
         Ok((status, body))
     }
 }
 
-/// Reads one whole answer; the last value tells whether the connection can be used again.
+/// Reads one response; returns its status, its body, and whether the connection can be used again.
 ///
 /// # Errors
-/// When the connection breaks, or what came is no answer or too long.
-pub async fn read_response(link: &mut TcpStream) -> std::io::Result<(u16, Vec<u8>, bool)> {
-    let broken = || std::io::Error::from(std::io::ErrorKind::InvalidData);
+/// If the connection fails, or the response is malformed or too long.
+pub async fn read_response(stream: &mut TcpStream) -> std::io::Result<(u16, Vec<u8>, bool)> {
+    let invalid = || std::io::Error::from(std::io::ErrorKind::InvalidData);
     let mut buffer = BytesMut::with_capacity(4096);
     let (head, length) = loop {
-        if let Some(found) = head::answer(&buffer).map_err(|_head| broken())? {
+        if let Some(found) = head::answer(&buffer).map_err(|_head| invalid())? {
             break found;
         }
-        if link.read_buf(&mut buffer).await? == 0 || buffer.len() > MOST_BYTES {
-            return Err(broken());
+        if stream.read_buf(&mut buffer).await? == 0 || buffer.len() > MAX_RESPONSE_BYTES {
+            return Err(invalid());
         }
     };
     let _head = buffer.split_to(length);
-    let mut decoder = Decoder::new(head.framing("GET").map_err(|_framing| broken())?);
+    let mut decoder = Decoder::new(head.framing("GET").map_err(|_framing| invalid())?);
     let mut body = Vec::new();
     loop {
-        match decoder.next(&mut buffer).map_err(|_body| broken())? {
+        match decoder.next(&mut buffer).map_err(|_body| invalid())? {
             Piece::Data(data) => body.extend_from_slice(&data),
             Piece::End => break,
             Piece::More => {
-                if link.read_buf(&mut buffer).await? == 0 {
+                if stream.read_buf(&mut buffer).await? == 0 {
                     if decoder.ends_with_connection() {
                         break;
                     }
-                    return Err(broken());
+                    return Err(invalid());
                 }
             }
         }
-        if body.len() > MOST_BYTES {
-            return Err(broken());
+        if body.len() > MAX_RESPONSE_BYTES {
+            return Err(invalid());
         }
     }
-    let keep = !head.closes() && !decoder.ends_with_connection() && buffer.is_empty();
-    Ok((head.status, body, keep))
+    let reusable = !head.closes() && !decoder.ends_with_connection() && buffer.is_empty();
+    Ok((head.status, body, reusable))
 }
