--- a/tests/testsuite/gateway/failed_requests.rs
+++ b/tests/testsuite/gateway/failed_requests.rs
@@ -51,7 +51,7 @@
 /// A caller was refused though servers were there: every one of them was draining, and the log shows
 /// that this instance believed so and since which revision.
 #[test]
-fn a_refusal_shows_what_the_instance_believed_of_the_servers() {
+fn refused_request_log_shows_draining_servers() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let revision = fleet.register(&fleet.servers[0], "draining");
@@ -95,7 +95,7 @@
 /// A stream broke off midway: the log names the server, the last event that the caller has, and why
 /// no other server went on.
 #[test]
-fn a_broken_stream_shows_the_server_and_the_last_event() {
+fn broken_stream_log_shows_server_and_last_event() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         fleet.servers[0].script(&[Act::Break(3)]);
@@ -126,7 +126,7 @@
 /// A token was taken away, and its caller is refused: the log shows the version of the catalog by
 /// which it was, and when that came into force and from where.
 #[test]
-fn an_unauthorised_request_shows_the_catalog_that_refused_it() {
+fn unauthorized_request_log_shows_catalog() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let mut newer = config(6);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_story_says_which_lines_are_missing() {
+fn missing_log_lines_are_reported() {
     let log = concat!(
         "10.5 g1 {\"event\":\"admitted\",\"request\":\"a\",\"time_ms\":5}\n",
         "half a line {\"event\":\"adm\n",
--- a/tests/testsuite/gateway/invalid_config.rs
+++ b/tests/testsuite/gateway/invalid_config.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_candidate_shows_what_it_would_change() {
+fn catalog_comparison_omits_no_change() {
     let mut newer = config(4);
     if let Some(routes) = newer["routes"].as_array_mut() {
         routes.remove(0);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn faults_are_numbered_and_end_with_2() {
+fn invalid_config_exits_with_numbered_errors() {
     let mut twice = config(4);
     twice["routes"] = json!([
         route("a", "idempotent", &json!({})),
--- a/tests/testsuite/gateway/missed_updates.rs
+++ b/tests/testsuite/gateway/missed_updates.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn instances_name_each_other_to_callers() {
+fn directory_lists_every_ready_instance() {
     block_on(async {
         let fleet = Fleet::start(3, 1).await;
         let all: Vec<_> = fleet
@@ -125,7 +125,7 @@
 /// The store turns one machine away and serves the others. A key is taken away meanwhile; the
 /// machine that hears nothing of the store must not go on taking it.
 #[test]
-fn a_machine_that_the_store_turns_away_learns_from_the_others() {
+fn instance_without_store_access_misses_no_update() {
     block_on(async {
         let fleet = Fleet::start(2, 1).await;
         let cut = &fleet.gateways[1];
@@ -148,7 +148,7 @@
 
 /// The store is down and an instance restarts. It knows nothing; another one knows all of it.
 #[test]
-fn an_instance_that_restarts_without_the_store_serves_what_the_others_know() {
+fn restart_during_store_outage_loses_no_state() {
     block_on(async {
         let mut fleet = Fleet::start(2, 1).await;
         fleet
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn changes_made_while_the_store_was_silent_are_in_force_after_it() {
+fn store_outage_stops_no_later_update() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let front = fleet.gateways[0].front();
@@ -194,7 +194,7 @@
 
 /// The store drops its history while a server leaves. No wait tells of that; only a fresh list does.
 #[test]
-fn a_server_that_left_while_the_history_was_lost_gets_no_requests() {
+fn lost_history_hides_no_removed_server() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
         let front = fleet.gateways[0].front();
@@ -216,7 +216,7 @@
 
 /// Waits are long, since every call is paid for.
 #[test]
-fn a_calm_second_costs_the_store_less_than_one_call_per_topic() {
+fn idle_instance_makes_few_store_calls() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         tokio::time::sleep(Duration::from_millis(500)).await;
@@ -231,7 +231,7 @@
 
 /// Failure: an instance that knows of a newer catalog, and can't get it, says by the old one that there is no such route.
 #[test]
-fn an_instance_that_knows_of_a_newer_catalog_says_no_final_word_by_its_own() {
+fn outdated_catalog_causes_no_final_error() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let front = fleet.gateways[0].front();
@@ -258,7 +258,7 @@
 
 /// Failure: an instance can't get a catalog that others have long decided by, and goes on by its own.
 #[test]
-fn an_instance_that_stays_behind_takes_no_requests_while_others_do() {
+fn outdated_instance_accepts_no_requests() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let gateway = &fleet.gateways[0];
@@ -279,7 +279,7 @@
 
 /// Failure: an instance whose list of registrations comes late sends on to a server that others know to leave.
 #[test]
-fn a_server_that_a_peer_knows_to_leave_gets_no_requests() {
+fn late_registrations_send_nothing_to_a_leaving_server() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
         let front = fleet.gateways[0].front();
@@ -305,7 +305,7 @@
 
 /// Failure: callers fill an instance's link, no connection to a peer is answered in time, and it never gets a new catalog.
 #[test]
-fn a_newer_catalog_comes_in_datagrams_where_no_connection_gets_through() {
+fn congested_link_blocks_no_catalog() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let front = fleet.gateways[0].front();
@@ -334,7 +334,7 @@
 /// one before. Taken for an echo of that one, its news would never be heard again, and callers would
 /// not be sent to it.
 #[test]
-fn an_instance_whose_clock_was_set_back_is_heard_again() {
+fn clock_set_back_silences_no_instance() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         Peer::bind(&fleet, 9).await.tell(1_001, 0).await;
--- a/tests/testsuite/gateway/overload.rs
+++ b/tests/testsuite/gateway/overload.rs
@@ -36,7 +36,7 @@
 
 /// Failure: a process that is behind takes its own lateness for slow servers, and sends them nothing.
 #[test]
-fn a_process_that_is_behind_knows_that_its_times_tell_of_itself() {
+fn own_lateness_is_not_taken_for_slow_servers() {
     let behind = |late: &[u64]| {
         let (strain, now) = strained(late);
         strain.is_behind(now)
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_process_in_time_turns_nobody_away() {
+fn punctual_process_rejects_nothing() {
     let parts = [0, 2, 14].map(|late| part(&[late]));
 
     assert!(parts.iter().all(|p| *p <= 0.0), "{parts:?}");
@@ -58,7 +58,7 @@
 /// read. Each step of a request waits behind those of all others, so each request is late, and by far more
 /// than one step.
 #[test]
-fn the_later_a_process_is_the_more_it_turns_away_but_never_all() {
+fn rejections_grow_with_lateness_but_never_reach_all() {
     let parts = [20, 40, 60, 5_000].map(|late| part(&[late]));
 
     assert!(parts.is_sorted(), "{parts:?}");
@@ -69,7 +69,7 @@
 /// A machine freezes for a second and goes on. Its callers were late once; turned away for seconds after,
 /// they would lose an instance that has nothing to do.
 #[test]
-fn after_a_pause_a_process_takes_all_again_within_half_a_second() {
+fn rejections_end_within_half_a_second_of_a_pause() {
     let after = [vec![1_000, 0], vec![1_000, 0, 0, 0, 0]].map(|late| part(&late));
 
     assert!(after[0] > 0.5, "{after:?}");
@@ -78,7 +78,7 @@
 
 /// A process wakes after a second. What came meanwhile is read before its timer has run.
 #[test]
-fn a_timer_that_should_have_come_counts_before_it_does() {
+fn overdue_timer_counts_before_it_fires() {
     let (strain, now) = strained(&[0]);
 
     let (due, overdue) = (
@@ -142,7 +142,7 @@
 /// after the other, all would be late, and new callers would wait behind them. Those that it can't read in
 /// time are told so at once, with a time to come back; none of them has run, and the log names each.
 #[test]
-fn a_process_that_is_behind_tells_new_callers_when_to_come_back() {
+fn overload_does_not_delay_rejections() {
     block_on(async {
         let fleet = Fleet::start(1, 4).await;
         let answers = ask_paused(&fleet, 60, |n| {
@@ -163,7 +163,7 @@
 /// closed without an answer, a request that must not run twice would be lost to its caller, who can't tell
 /// whether it ran. Closed with its bytes unread, which a reset shows, it may go to another instance.
 #[test]
-fn what_is_not_told_when_to_come_back_is_not_read() {
+fn overload_reads_no_request_that_it_does_not_answer() {
     block_on(async {
         let fleet = Fleet::start(1, 4).await;
         let paused = &fleet.gateways[0];
@@ -200,7 +200,7 @@
 
 /// Somebody asks why a request was turned away. The log has one line for all of a tenth of a second.
 #[test]
-fn a_request_that_was_turned_away_has_a_story() {
+fn rejected_request_is_found_in_the_log() {
     let log = "{\"event\":\"start\",\"instance\":\"g0\",\"time_ms\":1}\n\
         {\"event\":\"turned_away\",\"late_ms\":120,\"requests\":[\"a\",\"b\"],\"time_ms\":5}\n";
 
--- a/tests/testsuite/gateway/shutdown.rs
+++ b/tests/testsuite/gateway/shutdown.rs
@@ -11,7 +11,7 @@
 /// An operator stops an instance in the middle of answers. Cut off, their callers could not tell
 /// what ran; and callers that have not heard of it yet must still be served.
 #[test]
-fn a_stop_cuts_nothing_and_the_directory_names_others() {
+fn shutdown_cuts_no_request_and_directory_lists_others() {
     block_on(async {
         let mut fleet = Fleet::start(2, 1).await;
         fleet.servers[0].script(&[Act::Slow(1_500)]);
@@ -55,7 +55,7 @@
 /// and the ends of their connections lie in its sockets. Sent on when it wakes, they would take servers'
 /// places for nobody, or run what a caller has tried elsewhere since.
 #[test]
-fn a_request_whose_caller_left_before_it_was_read_goes_nowhere() {
+fn abandoned_request_is_not_forwarded() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let gateway = &fleet.gateways[0];
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_reload_ends_nothing_and_faulty_settings_change_nothing() {
+fn reload_drops_no_request_and_ignores_invalid_settings() {
     block_on(async {
         let mut fleet = Fleet::start(1, 1).await;
         let sound =
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn faulty_settings_end_a_start_with_every_fault() {
+fn startup_reports_every_invalid_setting() {
     let dir = std::env::temp_dir().join(format!("hawthornmill-faults-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("the directory can be made");
     let file = dir.join("g.ini");
@@ -167,7 +167,7 @@
 
 /// A server drains while requests go on; none may reach it once its word is known.
 #[test]
-fn a_draining_server_gets_nothing_new() {
+fn draining_server_gets_no_new_requests() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
 
@@ -179,7 +179,7 @@
 
 /// A server never says that it drains; its entry is just removed.
 #[test]
-fn a_server_whose_entry_is_removed_gets_nothing_new() {
+fn removed_server_gets_no_new_requests() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
 
