--- a/tests/testsuite/gateway/failed_requests.rs
+++ b/tests/testsuite/gateway/failed_requests.rs
@@ -1,4 +1,4 @@
-//! Causes of three kinds of failed request, found from logs alone as docs/OPERATIONS.md says.
+//! Finds the causes of failed requests from logs alone, as docs/OPERATIONS.md describes.
 
 use std::process::Command;
 
@@ -8,7 +8,7 @@
 use super::server::Act;
 use crate::block_on;
 
-/// The story of `id` that the tool tells from the fleet's logs.
+/// Runs the tool on the fleet's logs; returns its report on the request `id`.
 fn request_history(fleet: &Fleet, id: &str) -> Value {
     let output = Command::new(env!("CARGO_BIN_EXE_hawthornmill-explain"))
         .args(["request", id, "--json"])
@@ -18,8 +18,8 @@
     serde_json::from_slice(&output.stdout).expect("the tool prints JSON")
 }
 
-/// Waits until the last line of `id` is written.
-async fn written(fleet: &Fleet, id: &str) {
+/// Waits until the last log line of the request `id` is written.
+async fn wait_until_logged(fleet: &Fleet, id: &str) {
     wait_until("the last line is written", || async {
         fleet
             .gateways
@@ -32,30 +32,31 @@
 fn step<'a>(history: &'a Value, event: &str) -> &'a Value {
     let steps = history["parts"][0]["steps"]
         .as_array()
-        .expect("the story has steps");
+        .expect("the report has steps");
     steps
         .iter()
         .find(|l| l["event"] == event)
         .unwrap_or(&Value::Null)
 }
 
-fn belief<'a>(history: &'a Value, event: &str) -> &'a Value {
+fn state_change<'a>(history: &'a Value, event: &str) -> &'a Value {
     let list = history["parts"][0]["believed"]
         .as_array()
-        .expect("the story has beliefs");
+        .expect("the report has state changes");
     list.iter()
         .rfind(|l| l["event"] == event)
         .unwrap_or(&Value::Null)
 }
 
-/// A caller was refused though servers were there: every one of them was draining, and the log shows
-/// that this instance believed so and since which revision.
+/// Failure: the logs don't show that a request was rejected because all servers were draining.
+///
+/// They must show the state that the instance had, and the revision of the registration.
 #[test]
 fn refused_request_log_shows_draining_servers() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let revision = fleet.register(&fleet.servers[0], "draining");
-        wait_until("the word is known", || async {
+        wait_until("the registration is logged", || async {
             fleet.gateways[0]
                 .logged("registration")
                 .iter()
@@ -68,10 +69,10 @@
             request("GET", "/get/", "id-7", "").as_bytes(),
         )
         .await;
-        written(&fleet, "id-7").await;
+        wait_until_logged(&fleet, "id-7").await;
         let history = request_history(&fleet, "id-7");
 
-        assert_eq!(answer.expect("there is an answer").status(), 503);
+        assert_eq!(answer.expect("there is a response").status(), 503);
         let ended = step(&history, "ended");
         assert_eq!(
             (&ended["fields"]["outcome"], &ended["fields"]["code"]),
@@ -84,7 +85,7 @@
             (&json!(1), &json!(1))
         );
         assert_eq!(refused["registrations"], revision);
-        let known = &belief(&history, "registration")["fields"];
+        let known = &state_change(&history, "registration")["fields"];
         assert_eq!(
             (&known["server"], &known["revision"]),
             (&json!("i-0"), &json!(revision))
@@ -92,8 +93,9 @@
     });
 }
 
-/// A stream broke off midway: the log names the server, the last event that the caller has, and why
-/// no other server went on.
+/// Failure: the logs don't show which server broke off a stream.
+///
+/// They must also show the last event that the client received, and why no other server continued.
 #[test]
 fn broken_stream_log_shows_server_and_last_event() {
     block_on(async {
@@ -105,10 +107,10 @@
             request("POST", "/whole/", "id-8", "").as_bytes(),
         )
         .await;
-        written(&fleet, "id-8").await;
+        wait_until_logged(&fleet, "id-8").await;
         let history = request_history(&fleet, "id-8");
 
-        assert!(!answer.expect("there is an answer").whole);
+        assert!(!answer.expect("there is a response").whole);
         let broke = &step(&history, "server_broke_off")["fields"];
         assert_eq!(broke["server"], "i-0");
         let ended = &step(&history, "ended")["fields"];
@@ -123,8 +125,9 @@
     });
 }
 
-/// A token was taken away, and its caller is refused: the log shows the version of the catalog by
-/// which it was, and when that came into force and from where.
+/// Failure: the logs don't show which catalog revoked the token of a rejected request.
+///
+/// They must show its version, and when and from where the instance got it.
 #[test]
 fn unauthorized_request_log_shows_catalog() {
     block_on(async {
@@ -132,7 +135,7 @@
         let mut newer = config(6);
         newer["tenants"] = json!([{"name": "lab", "apiKeys": ["key-2"]}]);
         fleet.store.put("op/config", newer.to_string().as_bytes());
-        wait_until("it is in force", || async {
+        wait_until("the catalog is in force", || async {
             fleet.gateways[0]
                 .logged("catalog_in_force")
                 .iter()
@@ -145,12 +148,12 @@
             request("GET", "/get/", "id-9", "").as_bytes(),
         )
         .await;
-        written(&fleet, "id-9").await;
+        wait_until_logged(&fleet, "id-9").await;
         let history = request_history(&fleet, "id-9");
 
-        assert_eq!(answer.expect("there is an answer").status(), 401);
+        assert_eq!(answer.expect("there is a response").status(), 401);
         assert_eq!(step(&history, "ended")["fields"]["code"], 3001);
-        let catalog = &belief(&history, "catalog_in_force")["fields"];
+        let catalog = &state_change(&history, "catalog_in_force")["fields"];
         assert_eq!(
             (&catalog["version"], &catalog["before"], &catalog["from"]),
             (&json!(6), &json!(1), &json!("store"))
@@ -158,6 +161,7 @@
     });
 }
 
+/// Failure: the tool does not tell that log lines were dropped, cut or in an unexpected format.
 #[test]
 fn missing_log_lines_are_reported() {
     let log = concat!(
--- a/tests/testsuite/gateway/fleet.rs
+++ b/tests/testsuite/gateway/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet of gateway processes before stand-ins.
+//! A small fleet of gateway processes in front of fake servers and a fake store.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -20,51 +20,51 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hawthornmill-gateway");
 const KEY: &str = "8f0c1a52b7e64d39a1c5f2087be94d63105ad7c8e2f93b46700de1b85c2f4a97";
-/// Time for which something that must happen is waited for, on a busy machine too.
+/// Longest wait for an expected event, also on a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const FRONT_PORT: u16 = 7_401;
 const READY_PORT: u16 = 7_402;
 const DIRECTORY_PORT: u16 = 7_403;
-/// Where instances hear each other.
+/// Port for messages of other instances.
 pub const PEER_PORT: u16 = 7_404;
 const METRICS_PORT: u16 = 7_405;
 
 static FLEETS: AtomicU32 = AtomicU32::new(0);
 
-/// A loopback network of its own, so that no other test or process has its ports.
-fn network() -> [u8; 2] {
+/// Returns the two middle bytes of a loopback network that no other test or process uses.
+fn loopback_network() -> [u8; 2] {
     let number = std::process::id()
         .wrapping_mul(61)
         .wrapping_add(FLEETS.fetch_add(1, Ordering::Relaxed));
     [(16 + number / 250 % 200) as u8, (number % 250) as u8]
 }
 
-/// The key of the fleets' frames.
+/// Returns the key that seals the frames between instances.
 pub fn frame_key() -> [u8; 32] {
     *blake3::Hash::from_hex(KEY)
         .expect("the key is well-formed")
         .as_bytes()
 }
 
-/// One gateway process.
+/// A gateway process.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Its machine's address.
+    /// Address of its host.
     pub ip: IpAddr,
-    /// Its settings file.
+    /// Path of its settings file.
     pub config: PathBuf,
-    /// What it writes.
+    /// Path of the file that takes its standard output.
     pub log: PathBuf,
     child: Option<Child>,
 }
 
 impl Gateway {
-    /// Where callers connect.
+    /// Returns the address for clients.
     pub fn front(&self) -> SocketAddr {
         SocketAddr::new(self.ip, FRONT_PORT)
     }
 
-    /// Starts its process.
+    /// Starts the process.
     pub fn start(&mut self) {
         let log = std::fs::File::options()
             .create(true)
@@ -79,13 +79,13 @@
         self.child = Some(child.expect("the gateway starts"));
     }
 
-    /// Sends it `signal`.
+    /// Sends `signal` to the process.
     pub fn signal(&self, signal: Signal) {
         let child = self.child.as_ref().expect("the gateway runs");
-        kill(Pid::from_raw(child.id().cast_signed()), signal).expect("the process is ours");
+        kill(Pid::from_raw(child.id().cast_signed()), signal).expect("the signal can be sent");
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits until it ends.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _killed = child.kill();
@@ -93,17 +93,17 @@
         }
     }
 
-    /// Its exit code once it has ended; none while it runs.
+    /// Returns the exit code, or `None` while the process runs.
     pub fn exit_code(&mut self) -> Option<i32> {
         let status = self
             .child
             .as_mut()?
             .try_wait()
-            .expect("the process can be asked")?;
+            .expect("the process status can be read")?;
         status.code()
     }
 
-    /// What it has logged as `event`.
+    /// Returns the log lines of `event`.
     pub fn logged(&self, event: &str) -> Vec<Value> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         let lines = text
@@ -112,20 +112,20 @@
         lines.filter(|l| l["event"] == event).collect()
     }
 
-    /// Asks one of its small calls.
+    /// Sends a GET request to one of its endpoints.
     pub async fn get(&self, port: u16, path: &str) -> Option<Response> {
         let text = format!("GET {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
         send_request(SocketAddr::new(self.ip, port), text.as_bytes()).await
     }
 
-    /// Tells whether it takes requests.
+    /// Tells whether it accepts requests.
     pub async fn is_ready(&self) -> bool {
         self.get(READY_PORT, "/v1/ready")
             .await
             .is_some_and(|a| a.status() == 200)
     }
 
-    /// Addresses that its directory names.
+    /// Returns the addresses that its directory lists.
     pub async fn listed_addresses(&self) -> Vec<SocketAddr> {
         let answer = self
             .get(
@@ -141,7 +141,7 @@
             .collect()
     }
 
-    /// Its metrics.
+    /// Returns its metrics as text.
     pub async fn metrics(&self) -> String {
         let answer = self.get(METRICS_PORT, "/metrics").await;
         answer
@@ -156,14 +156,14 @@
     }
 }
 
-/// Gateways, servers and a store.
+/// Gateway processes with fake servers and a fake store.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The platform's store.
+    /// The fake store.
     pub store: Store,
-    /// Servers of the service `app`.
+    /// Fake servers of the service `app`.
     pub servers: Vec<Server>,
-    /// Gateway processes.
+    /// The gateway processes.
     pub gateways: Vec<Gateway>,
     net: [u8; 2],
     dir: PathBuf,
@@ -172,14 +172,14 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         self.gateways.clear();
-        // Set to look at the logs of a test afterwards.
+        // The variable keeps the logs of a test.
         if std::env::var_os("HAWTHORNMILL_KEEP").is_none() {
             let _removed = std::fs::remove_dir_all(&self.dir);
         }
     }
 }
 
-/// A route of the stand-in's configuration.
+/// Returns a route of the configuration, extended by the keys of `more`.
 pub fn route(name: &str, kind: &str, more: &Value) -> Value {
     let mut route = json!({
         "name": name, "host": "h.example", "pathPrefix": format!("/{name}/"), "kind": kind,
@@ -192,7 +192,7 @@
     route
 }
 
-/// The configuration with which a fleet starts.
+/// Returns the configuration with which a fleet starts.
 pub fn config(version: u64) -> Value {
     json!({
         "version": version,
@@ -211,7 +211,7 @@
 }
 
 impl Fleet {
-    /// Starts `gateways` processes before `servers` servers and waits until they are ready.
+    /// Starts `gateways` processes in front of `servers` servers and waits until they are ready.
     pub async fn start(gateways: usize, servers: usize) -> Self {
         let mut fleet = Self::prepare(gateways, servers).await;
         fleet
@@ -226,9 +226,9 @@
         fleet
     }
 
-    /// The same without starting a process or publishing a configuration.
+    /// Creates a fleet without starting a process or publishing a configuration.
     pub async fn prepare(gateways: usize, servers: usize) -> Self {
-        let net = network();
+        let net = loopback_network();
         let dir = std::env::temp_dir().join(format!(
             "hawthornmill-{}-{}-{}",
             std::process::id(),
@@ -262,12 +262,12 @@
         server
     }
 
-    /// Writes a server's entry.
+    /// Writes the registration of a server; returns its revision.
     pub fn register(&self, server: &Server, state: &str) -> u64 {
         self.register_at(server, server.address, state)
     }
 
-    /// Writes a server's entry with the address of something that stands before it.
+    /// Writes the registration of a server with the address of a proxy in front of it.
     pub fn register_at(&self, server: &Server, address: SocketAddr, state: &str) -> u64 {
         let entry = json!({"service": "app", "address": address.to_string(), "zone": "a",
             "version": "v1", "slots": 4, "state": state, "coldRemainingMs": 0, "sequence": 1, "born": 1});
@@ -299,7 +299,7 @@
         }
     }
 
-    /// What the gateways logged of the attempt `id`, as one story.
+    /// Returns what the gateways logged about the attempt `id`, as text.
     pub fn request_history(&self, id: &str) -> String {
         let mut parts: Vec<_> = self
             .gateways
@@ -316,7 +316,7 @@
         })
     }
 
-    /// Copies what the gateways wrote to `to`.
+    /// Copies the logs of the gateways to `to`.
     pub fn copy_logs(&self, to: &std::path::Path) {
         std::fs::create_dir_all(to).expect("the directory can be made");
         for gateway in &self.gateways {
@@ -325,7 +325,7 @@
         }
     }
 
-    /// Requests that all servers ran.
+    /// Returns the number of requests that the servers ran.
     pub fn runs(&self) -> usize {
         self.servers.iter().map(Server::runs).sum()
     }
@@ -335,44 +335,44 @@
     IpAddr::V4(Ipv4Addr::new(127, net[0], net[1], last))
 }
 
-/// Waits until `done` says so.
+/// Waits until `done` returns true, and fails with `what` after the timeout.
 pub async fn wait_until<F: Future<Output = bool>>(what: &str, mut done: impl FnMut() -> F) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while !done().await {
-        assert!(Instant::now() < end, "waited in vain: {what}");
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// An answer as a caller sees it.
+/// A response as a client receives it.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// Its head.
+    /// Status line and header fields.
     pub head: AnswerHead,
-    /// As much of the body as came.
+    /// The received part of the body.
     pub body: Vec<u8>,
-    /// The body came to its end.
+    /// Whether the body is complete.
     pub whole: bool,
 }
 
 impl Response {
-    /// Its status.
+    /// Returns the status code.
     pub fn status(&self) -> u16 {
         self.head.status
     }
 
-    /// One of its fields.
+    /// Returns the header field `name`.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.head.fields.text(name)
     }
 
-    /// Its body as text.
+    /// Returns the body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// The head of a request with the account's token.
+/// Returns the head of a request with the account's token; `more` holds further header lines.
 pub fn request(method: &str, path: &str, id: &str, more: &str) -> String {
     format!(
         "{method} {path} HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: {id}\r\nDeadline-Ms: 5000\r\n\
@@ -380,54 +380,61 @@
     )
 }
 
-/// A caller's connection.
+/// A client connection.
 #[derive(Debug)]
 pub struct Client {
     /// The socket.
-    pub link: TcpStream,
+    pub stream: TcpStream,
     buffer: BytesMut,
 }
 
 impl Client {
-    /// Connects.
+    /// Connects to a gateway.
     pub async fn connect(address: SocketAddr) -> Self {
-        let link = TcpStream::connect(address)
+        let stream = TcpStream::connect(address)
             .await
             .expect("the gateway listens");
         Self {
-            link,
+            stream,
             buffer: BytesMut::new(),
         }
     }
 
-    /// Sends bytes.
+    /// Sends bytes as they are.
     pub async fn send(&mut self, bytes: &[u8]) {
-        self.link
+        self.stream
             .write_all(bytes)
             .await
-            .expect("the gateway takes the bytes");
+            .expect("the gateway accepts the bytes");
     }
 
-    /// Reads one answer; none when the connection ends before one.
+    /// Reads one response; returns `None` if the connection ends before it.
     pub async fn read(&mut self) -> Option<Response> {
         tokio::time::timeout(WAIT_TIMEOUT, self.answer())
             .await
-            .expect("an answer comes in time")
+            .expect("a response arrives in time")
     }
 
     async fn answer(&mut self) -> Option<Response> {
         let head = loop {
-            if let Some((head, length)) = head::answer(&self.buffer).expect("the answer has a head")
+            if let Some((head, length)) =
+                head::answer(&self.buffer).expect("the response has a valid head")
             {
                 let _head = self.buffer.split_to(length);
                 break head;
             }
-            if !matches!(self.link.read_buf(&mut self.buffer).await, Ok(n) if n > 0) {
+            if !matches!(self.stream.read_buf(&mut self.buffer).await, Ok(n) if n > 0) {
                 return None;
             }
         };
-        let framing = head.framing("GET").expect("the answer's length is clear");
-        assert_ne!(framing, Framing::UntilClose, "the end of an answer shows");
+        let framing = head
+            .framing("GET")
+            .expect("the response has a clear length");
+        assert_ne!(
+            framing,
+            Framing::UntilClose,
+            "the end of the response is marked"
+        );
         let mut decoder = Decoder::new(framing);
         let (mut body, mut whole) = (Vec::new(), false);
         loop {
@@ -441,7 +448,7 @@
                     break;
                 }
                 Piece::More => {
-                    if !matches!(self.link.read_buf(&mut self.buffer).await, Ok(n) if n > 0) {
+                    if !matches!(self.stream.read_buf(&mut self.buffer).await, Ok(n) if n > 0) {
                         break;
                     }
                 }
@@ -451,15 +458,15 @@
     }
 }
 
-/// Sends `bytes` on a connection of their own and reads the answer.
+/// Sends `bytes` on a new connection and reads the response.
 pub async fn send_request(address: SocketAddr, bytes: &[u8]) -> Option<Response> {
-    let mut link = tokio::time::timeout(WAIT_TIMEOUT, TcpStream::connect(address))
+    let mut stream = tokio::time::timeout(WAIT_TIMEOUT, TcpStream::connect(address))
         .await
         .ok()?
         .ok()?;
-    link.write_all(bytes).await.ok()?;
+    stream.write_all(bytes).await.ok()?;
     Client {
-        link,
+        stream,
         buffer: BytesMut::new(),
     }
     .read()
--- a/tests/testsuite/gateway/invalid_config.rs
+++ b/tests/testsuite/gateway/invalid_config.rs
@@ -1,4 +1,4 @@
-//! Checking settings and catalogs before they are used.
+//! The tool that checks settings and catalogs before they are deployed.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -7,17 +7,17 @@
 
 use super::fleet::{config, route};
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("hawthornmill-{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("the file can be written");
     path
 }
 
-/// Exit code, standard output and standard error of the tool.
-fn check(words: &[&str], files: &[&PathBuf]) -> (Option<i32>, String, String) {
+/// Runs the tool; returns its exit code, standard output and standard error.
+fn check(args: &[&str], files: &[&PathBuf]) -> (Option<i32>, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_hawthornmill-check"));
     let output = command
-        .args(words)
+        .args(args)
         .args(files)
         .output()
         .expect("the tool starts");
@@ -29,6 +29,7 @@
     )
 }
 
+/// Failure: the comparison of a candidate with the present catalog omits a change.
 #[test]
 fn catalog_comparison_omits_no_change() {
     let mut newer = config(4);
@@ -38,8 +39,8 @@
         routes.push(route("added", "idempotent", &json!({})));
     }
     newer["tenants"][0]["apiKeys"] = json!(["key-2"]);
-    let present = file("present.json", &config(4).to_string());
-    let candidate = file("candidate.json", &newer.to_string());
+    let present = write_file("present.json", &config(4).to_string());
+    let candidate = write_file("candidate.json", &newer.to_string());
 
     let (code, text, _) = check(&["catalog", "--present"], &[&present, &candidate]);
 
@@ -56,23 +57,30 @@
     }
 }
 
+/// Failure: the tool accepts an invalid file, or reports a fault without its number.
 #[test]
 fn invalid_config_exits_with_numbered_errors() {
-    let mut twice = config(4);
-    twice["routes"] = json!([
+    let mut duplicate = config(4);
+    duplicate["routes"] = json!([
         route("a", "idempotent", &json!({})),
         route("a", "idempotent", &json!({}))
     ]);
-    let twice = file("twice.json", &twice.to_string());
-    let cut = file("cut.json", "{\"version\": 4, ");
-    let settings = file("gateway.ini", "[instance]\nnam = x\n");
+    let duplicate = write_file("twice.json", &duplicate.to_string());
+    let truncated = write_file("cut.json", "{\"version\": 4, ");
+    let settings = write_file("gateway.ini", "[instance]\nnam = x\n");
 
-    let (code, _, doubled) = check(&["catalog"], &[&twice]);
-    let (_, _, unreadable) = check(&["catalog"], &[&cut]);
-    let (_, _, faulty) = check(&["gateway"], &[&settings]);
+    let (code, _, duplicate_errors) = check(&["catalog"], &[&duplicate]);
+    let (_, _, truncated_errors) = check(&["catalog"], &[&truncated]);
+    let (_, _, settings_errors) = check(&["gateway"], &[&settings]);
 
     assert_eq!(code, Some(2));
-    assert!(doubled.contains("error 1007"), "{doubled}");
-    assert!(unreadable.contains("error 1006"), "{unreadable}");
-    assert!(faulty.contains("error 1004"), "{faulty}");
+    assert!(
+        duplicate_errors.contains("error 1007"),
+        "{duplicate_errors}"
+    );
+    assert!(
+        truncated_errors.contains("error 1006"),
+        "{truncated_errors}"
+    );
+    assert!(settings_errors.contains("error 1004"), "{settings_errors}");
 }
--- a/tests/testsuite/gateway/missed_updates.rs
+++ b/tests/testsuite/gateway/missed_updates.rs
@@ -1,4 +1,4 @@
-//! The store away, stale or forgetful, and instances that tell each other.
+//! Outages and faults of the store, and the exchange of state between instances.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     config.to_string()
 }
 
-/// A configuration that takes several datagrams.
+/// A configuration too large for one datagram.
 fn with_many_routes(version: u64) -> String {
     let mut config = config(version);
     if let Some(routes) = config["routes"].as_array_mut() {
@@ -33,7 +33,7 @@
     config.to_string()
 }
 
-/// Another instance as far as its datagrams go; no connection to it gets through.
+/// A fake instance that only exchanges datagrams; connections to it fail.
 struct Peer {
     socket: tokio::net::UdpSocket,
     to: std::net::SocketAddr,
@@ -41,7 +41,7 @@
 }
 
 impl Peer {
-    /// A peer of the first gateway, in process run `run`.
+    /// Creates a peer of the first gateway, with run number `run`.
     async fn bind(fleet: &Fleet, run: u64) -> Self {
         let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await;
         let sealer = Sealer::new(frame_key(), InstanceId::of("other"), Incarnation(run), 0);
@@ -54,13 +54,13 @@
 
     async fn send(&self, message: &Message) {
         let frame = self.sealer.borrow_mut().seal(message);
-        let frame = frame.expect("the message fits");
+        let frame = frame.expect("the message can be encoded");
         let sent = self.socket.send_to(&frame, self.to).await;
-        sent.expect("the datagram goes");
+        sent.expect("the datagram can be sent");
     }
 
-    /// Says that callers reach it at `port` and that it has the catalog of `version`.
-    async fn tell(&self, port: u16, version: u64) {
+    /// Announces `port` as the port for clients, and a catalog of `version`.
+    async fn announce(&self, port: u16, version: u64) {
         let own = self.socket.local_addr().expect("the socket has an address");
         let mate = Mate {
             front: std::net::SocketAddr::new(own.ip(), port),
@@ -77,13 +77,17 @@
         }
     }
 
-    /// Answers each question for its knowledge with `knowledge`, but loses the first part each time.
-    async fn answer(&self, knowledge: &Knowledge) {
-        let whole = postcard::to_allocvec(knowledge).expect("it can be encoded");
+    /// Answers each pull with `knowledge`, but drops the first part each time.
+    async fn serve_parts(&self, knowledge: &Knowledge) {
+        let whole = postcard::to_allocvec(knowledge).expect("the state can be encoded");
         let mut opener = Opener::new(frame_key(), 0);
         let mut buffer = vec![0; 2_048];
         loop {
-            let (length, _) = self.socket.recv_from(&mut buffer).await.expect("it comes");
+            let (length, _) = self
+                .socket
+                .recv_from(&mut buffer)
+                .await
+                .expect("a datagram arrives");
             let frame = opener.open(&buffer[..length]);
             if let Ok(Message::Wanted(wanted)) = frame.map(|f| f.message) {
                 let parts = split(&whole, &wanted);
@@ -102,6 +106,7 @@
         .map_or(0, |a| a.status())
 }
 
+/// Failure: the directory of an instance omits a ready instance.
 #[test]
 fn directory_lists_every_ready_instance() {
     block_on(async {
@@ -113,17 +118,18 @@
             .collect();
 
         for gateway in &fleet.gateways {
-            wait_until("every instance is named", || async {
-                let named = gateway.listed_addresses().await;
-                all.iter().all(|a| named.contains(a))
+            wait_until("every instance is listed", || async {
+                let is_listed = gateway.listed_addresses().await;
+                all.iter().all(|a| is_listed.contains(a))
             })
             .await;
         }
     });
 }
 
-/// The store turns one machine away and serves the others. A key is taken away meanwhile; the
-/// machine that hears nothing of the store must not go on taking it.
+/// Failure: an instance that the store rejects keeps its old routes and sends requests to a draining server.
+///
+/// The store serves the other instance, which passes the changes on.
 #[test]
 fn instance_without_store_access_misses_no_update() {
     block_on(async {
@@ -134,19 +140,21 @@
         fleet
             .store
             .put("op/config", with_route(2, "added").as_bytes());
-        wait_until("the route is served there", || async {
+        wait_until("the instance serves the route", || async {
             status(cut.front(), "/added/").await == 200
         })
         .await;
         fleet.register(&fleet.servers[0], "draining");
-        wait_until("the server is left there", || async {
+        wait_until("the instance sends nothing to the server", || async {
             status(cut.front(), "/added/").await == 503
         })
         .await;
     });
 }
 
-/// The store is down and an instance restarts. It knows nothing; another one knows all of it.
+/// Failure: an instance that restarts during an outage of the store never gets a catalog or registrations.
+///
+/// Another instance has both.
 #[test]
 fn restart_during_store_outage_loses_no_state() {
     block_on(async {
@@ -164,11 +172,12 @@
         fleet.gateways[1].kill();
         fleet.gateways[1].start();
 
-        wait_until("it is ready", || fleet.gateways[1].is_ready()).await;
+        wait_until("the instance is ready", || fleet.gateways[1].is_ready()).await;
         assert_eq!(status(fleet.gateways[1].front(), "/added/").await, 200);
     });
 }
 
+/// Failure: an instance no longer follows changes after the store was unresponsive or answered with errors.
 #[test]
 fn store_outage_stops_no_later_update() {
     block_on(async {
@@ -177,7 +186,11 @@
         for mode in [Mode::Unresponsive, Mode::Refusing] {
             fleet.store.set_mode(mode);
             tokio::time::sleep(Duration::from_millis(200)).await;
-            assert_eq!(status(front, "/get/").await, 200, "what is known serves on");
+            assert_eq!(
+                status(front, "/get/").await,
+                200,
+                "known routes are still served"
+            );
             fleet.store.set_mode(Mode::Healthy);
         }
 
@@ -192,14 +205,14 @@
     });
 }
 
-/// The store drops its history while a server leaves. No wait tells of that; only a fresh list does.
+/// Failure: a removal is missed because the store drops its history, and only a new list shows the removal.
 #[test]
 fn lost_history_hides_no_removed_server() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
         let front = fleet.gateways[0].front();
         fleet.store.drop_history(Some("servers/i-0"));
-        wait_until("the loss is noticed", || async {
+        wait_until("the instance notices the loss", || async {
             !fleet.gateways[0].logged("store_history_lost").is_empty()
         })
         .await;
@@ -214,7 +227,7 @@
     });
 }
 
-/// Waits are long, since every call is paid for.
+/// Failure: an instance calls the store often although nothing changes; each call costs the platform something.
 #[test]
 fn idle_instance_makes_few_store_calls() {
     block_on(async {
@@ -229,22 +242,30 @@
     });
 }
 
-/// Failure: an instance that knows of a newer catalog, and can't get it, says by the old one that there is no such route.
+/// Failure: an instance that knows of a newer catalog, but can't get it, answers 404 for a route that the newer one has.
 #[test]
 fn outdated_catalog_causes_no_final_error() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let front = fleet.gateways[0].front();
-        assert_eq!(status(front, "/added/").await, 404, "it has the newest");
-        let ahead = Peer::bind(&fleet, 1).await;
+        assert_eq!(
+            status(front, "/added/").await,
+            404,
+            "its catalog is the newest"
+        );
+        let peer = Peer::bind(&fleet, 1).await;
 
-        wait_until("it hears of a newer one", || async {
-            ahead.tell(1_001, 2).await;
+        wait_until("the instance learns of a newer catalog", || async {
+            peer.announce(1_001, 2).await;
             status(front, "/added/").await == 503
         })
         .await;
 
-        assert_eq!(status(front, "/get/").await, 200, "what is known serves on");
+        assert_eq!(
+            status(front, "/get/").await,
+            200,
+            "known routes are still served"
+        );
         fleet
             .store
             .put("op/config", with_route(2, "added").as_bytes());
@@ -252,32 +273,37 @@
             status(front, "/added/").await == 200
         })
         .await;
-        assert_eq!(status(front, "/unknown/").await, 404, "it has the newest");
+        assert_eq!(
+            status(front, "/unknown/").await,
+            404,
+            "its catalog is the newest"
+        );
     });
 }
 
-/// Failure: an instance can't get a catalog that others have long decided by, and goes on by its own.
+/// Failure: an instance can't get a catalog that others have long applied, and serves requests by its old one.
 #[test]
 fn outdated_instance_accepts_no_requests() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let gateway = &fleet.gateways[0];
-        let ahead = Peer::bind(&fleet, 1).await;
+        let peer = Peer::bind(&fleet, 1).await;
 
-        wait_until("it takes no more", || async {
-            ahead.tell(1_001, 2).await;
+        wait_until("the instance accepts no requests", || async {
+            peer.announce(1_001, 2).await;
             status(gateway.front(), "/get/").await == 503 && !gateway.is_ready().await
         })
         .await;
 
-        wait_until("it serves again once nobody has more", || async {
-            status(gateway.front(), "/get/").await == 200 && gateway.is_ready().await
-        })
+        wait_until(
+            "the instance accepts requests once nobody has a newer catalog",
+            || async { status(gateway.front(), "/get/").await == 200 && gateway.is_ready().await },
+        )
         .await;
     });
 }
 
-/// Failure: an instance whose list of registrations comes late sends on to a server that others know to leave.
+/// Failure: an instance whose registrations are late sends requests to a server that others know is leaving.
 #[test]
 fn late_registrations_send_nothing_to_a_leaving_server() {
     block_on(async {
@@ -289,7 +315,7 @@
             revision: 1_000,
         };
 
-        wait_until("it is heard", || async {
+        wait_until("the instance receives the announcement", || async {
             peer.send(&Message::Leaving(vec![leaving])).await;
             !fleet.gateways[0].logged("registration_leaving").is_empty()
         })
@@ -303,42 +329,42 @@
     });
 }
 
-/// Failure: callers fill an instance's link, no connection to a peer is answered in time, and it never gets a new catalog.
+/// Failure: clients congest an instance's link, its connections to peers time out, and it never gets a new catalog.
 #[test]
 fn congested_link_blocks_no_catalog() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let front = fleet.gateways[0].front();
-        let ahead = Peer::bind(&fleet, 1).await;
+        let peer = Peer::bind(&fleet, 1).await;
         let catalog = hawthornmill_platform::catalog::read(with_many_routes(2).as_bytes());
         let knowledge = Knowledge {
-            catalog: Some(catalog.expect("the catalog is sound")),
+            catalog: Some(catalog.expect("the catalog is valid")),
             servers: None,
             doubted: Vec::new(),
             revision: 0,
         };
-        ahead.tell(1_001, 2).await;
+        peer.announce(1_001, 2).await;
 
         let served = wait_until("the route is served", || async {
-            ahead.tell(1_001, 2).await;
+            peer.announce(1_001, 2).await;
             status(front, "/added-99/").await == 200
         });
         tokio::select! {
             () = served => {}
-            () = ahead.answer(&knowledge) => {}
+            () = peer.serve_parts(&knowledge) => {}
         }
     });
 }
 
-/// A machine's time of day is set back, and its process restarts: its run has a lower number than the
-/// one before. Taken for an echo of that one, its news would never be heard again, and callers would
-/// not be sent to it.
+/// Failure: a process that restarts after its clock was set back is never listed in the directory again.
+///
+/// Its run has a lower number than the one before, so its datagrams look like replays.
 #[test]
 fn clock_set_back_silences_no_instance() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
-        Peer::bind(&fleet, 9).await.tell(1_001, 0).await;
-        let named = |port: u16| {
+        Peer::bind(&fleet, 9).await.announce(1_001, 0).await;
+        let is_listed = |port: u16| {
             let gateway = &fleet.gateways[0];
             move || async move {
                 gateway
@@ -348,10 +374,10 @@
                     .any(|a| a.port() == port)
             }
         };
-        wait_until("the first run is named", named(1_001)).await;
+        wait_until("the first run is listed", is_listed(1_001)).await;
 
-        Peer::bind(&fleet, 5).await.tell(1_002, 0).await;
+        Peer::bind(&fleet, 5).await.announce(1_002, 0).await;
 
-        wait_until("the second run is named", named(1_002)).await;
+        wait_until("the second run is listed", is_listed(1_002)).await;
     });
 }
--- a/tests/testsuite/gateway/mod.rs
+++ b/tests/testsuite/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! The gateway's processes before stand-ins of the platform, and its parts that need none.
+//! Tests of gateway processes against fakes of the platform, and of parts that need none.
 
 mod answers;
 mod boundary;
--- a/tests/testsuite/gateway/overload.rs
+++ b/tests/testsuite/gateway/overload.rs
@@ -1,4 +1,4 @@
-//! Connections that are turned away while the process is behind.
+//! Connections that are rejected while the process is overloaded.
 
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
@@ -15,30 +15,30 @@
     Duration::from_millis(count)
 }
 
-const TICK: u64 = 100;
+const TICK_MS: u64 = 100;
 
-/// A process whose timers came so many milliseconds late one after the other, and the time after that.
-fn strained(late: &[u64]) -> (Strain, Instant) {
+/// The lateness of a process whose timers fired `late` milliseconds late, and the time of the last one.
+fn measure_lateness(late: &[u64]) -> (Strain, Instant) {
     let mut now = Instant::now();
     let mut strain = Strain::default();
-    strain.tick(now, now + millis(TICK));
+    strain.tick(now, now + millis(TICK_MS));
     for late in late {
-        now += millis(TICK + late);
-        strain.tick(now, now + millis(TICK));
+        now += millis(TICK_MS + late);
+        strain.tick(now, now + millis(TICK_MS));
     }
     (strain, now)
 }
 
-fn part(late: &[u64]) -> f64 {
-    let (strain, now) = strained(late);
+fn rejection_share(late: &[u64]) -> f64 {
+    let (strain, now) = measure_lateness(late);
     strain.part(now)
 }
 
-/// Failure: a process that is behind takes its own lateness for slow servers, and sends them nothing.
+/// Failure: an overloaded process takes its own lateness for slow servers, and sends them nothing.
 #[test]
 fn own_lateness_is_not_taken_for_slow_servers() {
     let behind = |late: &[u64]| {
-        let (strain, now) = strained(late);
+        let (strain, now) = measure_lateness(late);
         strain.is_behind(now)
     };
 
@@ -47,42 +47,43 @@
     assert!(!behind(&[30, 0, 0]));
 }
 
+/// Failure: a process whose timers are on time rejects connections.
 #[test]
 fn punctual_process_rejects_nothing() {
-    let parts = [0, 2, 14].map(|late| part(&[late]));
+    let parts = [0, 2, 14].map(|late| rejection_share(&[late]));
 
     assert!(parts.iter().all(|p| *p <= 0.0), "{parts:?}");
 }
 
-/// Load pattern: an account's callers come in by one instance, ten times as many as its processor can
-/// read. Each step of a request waits behind those of all others, so each request is late, and by far more
-/// than one step.
+/// Failure: an overloaded process rejects too few connections to recover, or all of them.
+///
+/// The clients of one client account send ten times as many requests to one instance as its CPU can read.
+/// Each step of a request waits for those of all others, so each request is late by far more than one step.
 #[test]
 fn rejections_grow_with_lateness_but_never_reach_all() {
-    let parts = [20, 40, 60, 5_000].map(|late| part(&[late]));
+    let parts = [20, 40, 60, 5_000].map(|late| rejection_share(&[late]));
 
     assert!(parts.is_sorted(), "{parts:?}");
     assert!(parts[0] > 0.0 && parts[1] > 0.3, "{parts:?}");
     assert!(parts[3] < 1.0, "{parts:?}");
 }
 
-/// A machine freezes for a second and goes on. Its callers were late once; turned away for seconds after,
-/// they would lose an instance that has nothing to do.
+/// Failure: a process that was paused for a second rejects connections for seconds although it is idle.
 #[test]
 fn rejections_end_within_half_a_second_of_a_pause() {
-    let after = [vec![1_000, 0], vec![1_000, 0, 0, 0, 0]].map(|late| part(&late));
+    let after = [vec![1_000, 0], vec![1_000, 0, 0, 0, 0]].map(|late| rejection_share(&late));
 
     assert!(after[0] > 0.5, "{after:?}");
     assert!(after[1] <= 0.01, "{after:?}");
 }
 
-/// A process wakes after a second. What came meanwhile is read before its timer has run.
+/// Failure: a process that was paused for a second accepts the backlog before its overdue timer fires.
 #[test]
 fn overdue_timer_counts_before_it_fires() {
-    let (strain, now) = strained(&[0]);
+    let (strain, now) = measure_lateness(&[0]);
 
     let (due, overdue) = (
-        strain.part(now + millis(TICK)),
+        strain.part(now + millis(TICK_MS)),
         strain.part(now + millis(1_000)),
     );
 
@@ -90,8 +91,8 @@
     assert!(overdue > 0.9, "{overdue}");
 }
 
-/// What callers get who come in while the process is paused, each with the request that `text` makes.
-async fn ask_paused(
+/// Sends requests made by `text` while the process is paused; returns the responses.
+async fn send_while_paused(
     fleet: &Fleet,
     count: usize,
     text: fn(usize) -> String,
@@ -99,32 +100,32 @@
     let paused = &fleet.gateways[0];
     paused.signal(Signal::SIGSTOP);
     tokio::time::sleep(millis(500)).await;
-    let asked = ask(fleet, count, text);
+    let asked = send_all(fleet, count, text);
     let (answers, ()) = tokio::join!(asked, async {
         tokio::time::sleep(millis(300)).await;
         paused.signal(Signal::SIGCONT);
     });
     let served = answers.iter().flatten().filter(|a| a.status() == 200);
-    let away = count - served.count();
-    wait_until("the log tells of all that were turned away", || async {
-        let (told, unread) = turned_away(fleet);
-        told + unread == away
+    let rejected = count - served.count();
+    wait_until("all rejected connections are logged", || async {
+        let (answered, unread) = rejected_counts(fleet);
+        answered + unread == rejected
     })
     .await;
     answers
 }
 
-/// Requests that the log names as turned away, and connections that were closed unread.
-fn turned_away(fleet: &Fleet) -> (usize, usize) {
+/// Counts the requests that were logged as rejected, and the connections closed unread.
+fn rejected_counts(fleet: &Fleet) -> (usize, usize) {
     let lines = fleet.gateways[0].logged("turned_away");
-    let told = lines
+    let answered = lines
         .iter()
         .filter_map(|l| l["requests"].as_array().map(Vec::len));
     let unread = lines.iter().filter_map(|l| l["unread"].as_u64());
-    (told.sum(), unread.sum::<u64>() as usize)
+    (answered.sum(), unread.sum::<u64>() as usize)
 }
 
-async fn ask(fleet: &Fleet, count: usize, text: fn(usize) -> String) -> Vec<Option<Response>> {
+async fn send_all(fleet: &Fleet, count: usize, text: fn(usize) -> String) -> Vec<Option<Response>> {
     let front = fleet.gateways[0].front();
     let tasks = (0..count).map(|n| {
         let text = text(n);
@@ -133,35 +134,42 @@
     let tasks: Vec<_> = tasks.collect();
     let mut answers = Vec::new();
     for task in tasks {
-        answers.push(task.await.expect("a caller's task ends"));
+        answers.push(task.await.expect("a client's task ends"));
     }
     answers
 }
 
-/// A process gets no processor for half a second while requests that must not run twice come in. Read one
-/// after the other, all would be late, and new callers would wait behind them. Those that it can't read in
-/// time are told so at once, with a time to come back; none of them has run, and the log names each.
+/// Failure: a process that got no CPU time for half a second serves its whole backlog late.
+///
+/// The requests must not run twice. Those that it can't handle in time are rejected at once with a time
+/// to retry. None of them runs, and the log names each.
 #[test]
 fn overload_does_not_delay_rejections() {
     block_on(async {
         let fleet = Fleet::start(1, 4).await;
-        let answers = ask_paused(&fleet, 60, |n| {
+        let answers = send_while_paused(&fleet, 60, |n| {
             request("POST", "/once/", &format!("id-{n}"), "")
         })
         .await;
 
         let status = |code: u16| answers.iter().flatten().filter(move |a| a.status() == code);
-        let (ran, told) = (status(200).count(), status(503).count());
-        assert!(told > 0, "{ran} of 60 were answered, nobody was told");
+        let (ran, rejected) = (status(200).count(), status(503).count());
+        assert!(rejected > 0, "{ran} of 60 were served, none was rejected");
         assert!(status(503).all(|a| a.field("retry-after").is_some()));
-        assert_eq!(fleet.runs(), ran, "what was turned away has not run");
-        assert_eq!(turned_away(&fleet).0, told, "each is named in the log");
+        assert_eq!(fleet.runs(), ran, "rejected requests have not run");
+        assert_eq!(
+            rejected_counts(&fleet).0,
+            rejected,
+            "the log names each rejected request"
+        );
     });
 }
 
-/// The same, and the requests have bodies whose end the process would have to look for. Read and then
-/// closed without an answer, a request that must not run twice would be lost to its caller, who can't tell
-/// whether it ran. Closed with its bytes unread, which a reset shows, it may go to another instance.
+/// Failure: an overloaded process reads a request and closes the connection without a response.
+///
+/// The client can't tell then whether a request that must not run twice ran. The bodies here are chunked,
+/// so the process can't tell whether a request is complete without parsing it. It must close the connection
+/// unread: the reset shows the client that it may try another instance.
 #[test]
 fn overload_reads_no_request_that_it_does_not_answer() {
     block_on(async {
@@ -175,11 +183,11 @@
         for _ in 0..40 {
             let mut caller = TcpStream::connect(paused.front())
                 .await
-                .expect("the queue of connections has room");
+                .expect("the listen backlog has room");
             caller
                 .write_all(text.as_bytes())
                 .await
-                .expect("the socket has room");
+                .expect("the send buffer has room");
             callers.push(caller);
         }
         tokio::time::sleep(millis(500)).await;
@@ -189,7 +197,7 @@
             match caller.read_u8().await {
                 Ok(_begin) => answered += 1,
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => reset += 1,
-                Err(error) => panic!("read and closed without an answer: {error}"),
+                Err(error) => panic!("closed after reading, without a response: {error}"),
             }
         }
 
@@ -198,13 +206,14 @@
     });
 }
 
-/// Somebody asks why a request was turned away. The log has one line for all of a tenth of a second.
+/// Failure: the tool does not find a rejected request, whose log line names all those rejected in 0.1 s.
 #[test]
 fn rejected_request_is_found_in_the_log() {
     let log = "{\"event\":\"start\",\"instance\":\"g0\",\"time_ms\":1}\n\
         {\"event\":\"turned_away\",\"late_ms\":120,\"requests\":[\"a\",\"b\"],\"time_ms\":5}\n";
 
-    let part = hawthornmill_tools::request::read("g0", log, "b").expect("it has a line");
+    let part =
+        hawthornmill_tools::request::read("g0", log, "b").expect("the log has a line for it");
     let none = hawthornmill_tools::request::read("g0", log, "c");
 
     assert_eq!(&*part.steps[0].event, "turned_away");
--- a/tests/testsuite/gateway/shutdown.rs
+++ b/tests/testsuite/gateway/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals: stopping in order, reloading, refusing faulty settings.
+//! Shutdown, settings reload, invalid settings, and servers that leave.
 
 use std::time::Duration;
 
@@ -8,8 +8,9 @@
 use super::server::Act;
 use crate::block_on;
 
-/// An operator stops an instance in the middle of answers. Cut off, their callers could not tell
-/// what ran; and callers that have not heard of it yet must still be served.
+/// Failure: a shutdown cuts off requests in flight, and their clients can't tell what ran.
+///
+/// Requests of clients that have not yet heard of the shutdown must be served, too.
 #[test]
 fn shutdown_cuts_no_request_and_directory_lists_others() {
     block_on(async {
@@ -22,38 +23,43 @@
         wait_until("the server has it", || async { fleet.runs() == 1 }).await;
 
         fleet.gateways[0].signal(Signal::SIGTERM);
-        wait_until("it is not ready", || async {
+        wait_until("the instance is not ready", || async {
             !fleet.gateways[0].is_ready().await
         })
         .await;
-        let late = send_request(
+        let unaware = send_request(
             fleet.gateways[0].front(),
             request("GET", "/get/", "late", "").as_bytes(),
         )
         .await;
         let front = fleet.gateways[0].front();
-        wait_until("others are named", || async {
+        wait_until("only the other instance is listed", || async {
             let named = fleet.gateways[1].listed_addresses().await;
             !named.is_empty() && !named.contains(&front)
         })
         .await;
-        let answer = caller.read().await.expect("the answer comes");
-        wait_until("it ends", || {
+        let answer = caller.read().await.expect("a response arrives");
+        wait_until("the process ends", || {
             let ended = fleet.gateways[0].exit_code();
             async move { ended.is_some() }
         })
         .await;
 
-        assert_eq!(late.expect("an early caller is served").status(), 200);
+        assert_eq!(
+            unaware
+                .expect("a client that has not heard of the shutdown is served")
+                .status(),
+            200
+        );
         assert_eq!((answer.status(), answer.field("connection")), (200, None));
         assert_eq!(fleet.gateways[0].exit_code(), Some(0));
         assert_eq!(fleet.gateways[0].logged("stop").len(), 1);
     });
 }
 
-/// A process gets no processor for a second. Callers send requests meanwhile and give up; their requests
-/// and the ends of their connections lie in its sockets. Sent on when it wakes, they would take servers'
-/// places for nobody, or run what a caller has tried elsewhere since.
+/// Failure: a process that got no CPU time for a second forwards requests whose clients have disconnected.
+///
+/// These would occupy slots of servers for nobody, or run what a client has since sent to another instance.
 #[test]
 fn abandoned_request_is_not_forwarded() {
     block_on(async {
@@ -78,6 +84,7 @@
     });
 }
 
+/// Failure: a reload cuts off requests, or applies invalid settings.
 #[test]
 fn reload_drops_no_request_and_ignores_invalid_settings() {
     block_on(async {
@@ -116,6 +123,7 @@
     });
 }
 
+/// Failure: the program starts with invalid settings, or reports only the first fault.
 #[test]
 fn startup_reports_every_invalid_setting() {
     let dir = std::env::temp_dir().join(format!("hawthornmill-faults-{}", std::process::id()));
@@ -145,12 +153,12 @@
     }
 }
 
-/// Waits until the gateway has logged a registration with `word` set, and checks that the first
-/// server gets none of the requests that come after.
-async fn gets_nothing_new(fleet: &Fleet, word: &str) {
-    wait_until("its word is known", || async {
+/// Waits until the gateway has logged a registration with `field` set, and checks that the first
+/// server gets none of the later requests.
+async fn assert_no_new_requests(fleet: &Fleet, field: &str) {
+    wait_until("the registration is logged", || async {
         let known = fleet.gateways[0].logged("registration");
-        known.iter().any(|l| l[word] == true)
+        known.iter().any(|l| l[field] == true)
     })
     .await;
     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -165,7 +173,7 @@
     assert_eq!(fleet.servers[0].arrivals().len(), before);
 }
 
-/// A server drains while requests go on; none may reach it once its word is known.
+/// Failure: a server gets new requests after it registered as draining.
 #[test]
 fn draining_server_gets_no_new_requests() {
     block_on(async {
@@ -173,11 +181,11 @@
 
         fleet.register(&fleet.servers[0], "draining");
 
-        gets_nothing_new(&fleet, "draining").await;
+        assert_no_new_requests(&fleet, "draining").await;
     });
 }
 
-/// A server never says that it drains; its entry is just removed.
+/// Failure: a server gets new requests after its registration was removed, without being draining before.
 #[test]
 fn removed_server_gets_no_new_requests() {
     block_on(async {
@@ -185,10 +193,11 @@
 
         fleet.store.remove("servers/i-0");
 
-        gets_nothing_new(&fleet, "gone").await;
+        assert_no_new_requests(&fleet, "gone").await;
     });
 }
 
+/// Failure: requests are missing from the metrics, or counted under another outcome.
 #[test]
 fn metrics_count_requests_by_outcome() {
     block_on(async {
--- a/tests/testsuite/gateway/store.rs
+++ b/tests/testsuite/gateway/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's store.
+//! A fake of the platform's store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,12 +14,12 @@
 
 use super::server::{read_request, write_answer};
 
-/// How the store answers.
+/// How the store responds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// As it should.
+    /// As specified.
     Healthy,
-    /// With 503.
+    /// With status 503.
     Refusing,
     /// Not at all.
     Unresponsive,
@@ -29,16 +29,16 @@
 struct State {
     items: BTreeMap<String, (Vec<u8>, u64)>,
     history: Vec<Value>,
-    kept_from: u64,
+    history_start: u64,
     revision: u64,
     rejected: Vec<std::net::IpAddr>,
     calls: u64,
 }
 
-/// The store, served until it is dropped.
+/// A store in memory with an HTTP server.
 #[derive(Debug, Clone)]
 pub struct Store {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     mode: Arc<watch::Sender<Mode>>,
@@ -59,8 +59,8 @@
         };
         let serving = store.clone();
         tokio::spawn(async move {
-            while let Ok((link, from)) = listener.accept().await {
-                tokio::spawn(serving.clone().serve(link, from));
+            while let Ok((stream, from)) = listener.accept().await {
+                tokio::spawn(serving.clone().serve(stream, from));
             }
         });
         store
@@ -70,7 +70,7 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// Writes `key`, as an operator or a server does.
+    /// Writes `key`; returns the new revision.
     pub fn put(&self, key: &str, value: &[u8]) -> u64 {
         let mut state = self.lock();
         state.revision += 1;
@@ -82,7 +82,7 @@
         revision
     }
 
-    /// Removes `key`.
+    /// Removes `key`; returns the new revision.
     pub fn remove(&self, key: &str) -> u64 {
         let mut state = self.lock();
         state.revision += 1;
@@ -96,7 +96,7 @@
         revision
     }
 
-    /// Forgets all changes up to now; `quietly` removes `key` besides without telling any wait.
+    /// Drops the history of changes, and removes `key` without recording it in the history.
     pub fn drop_history(&self, key: Option<&str>) {
         let mut state = self.lock();
         if let Some(key) = key {
@@ -104,44 +104,44 @@
             state.items.remove(key);
         }
         state.history.clear();
-        state.kept_from = state.revision;
+        state.history_start = state.revision;
         drop(state);
         let revision = self.lock().revision;
         self.changed.send_replace(revision);
     }
 
-    /// Changes how all calls are answered.
+    /// Changes how the store responds to all calls.
     pub fn set_mode(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 
-    /// Turns the machine at `ip` away from now on.
+    /// Rejects all further calls from `ip`.
     pub fn reject_address(&self, ip: std::net::IpAddr) {
         self.lock().rejected.push(ip);
         let revision = self.lock().revision;
         self.changed.send_replace(revision);
     }
 
-    /// Calls so far.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> u64 {
         self.lock().calls
     }
 
-    async fn serve(self, mut link: TcpStream, from: SocketAddr) {
+    async fn serve(self, mut stream: TcpStream, from: SocketAddr) {
         let mut mode = self.mode.subscribe();
         let mut buffer = BytesMut::new();
-        while let Some((head, _body)) = read_request(&mut link, &mut buffer).await {
+        while let Some((head, _body)) = read_request(&mut stream, &mut buffer).await {
             self.lock().calls += 1;
             if *mode.borrow_and_update() == Mode::Unresponsive {
                 std::future::pending::<()>().await;
             }
             let answer = self.answer(&head.target, from);
-            let silenced = async {
+            let unresponsive = async {
                 let _silent = mode.wait_for(|m| *m == Mode::Unresponsive).await.is_ok();
             };
             let (status, body) = tokio::select! {
                 answer = answer => answer,
-                () = silenced => std::future::pending().await,
+                () = unresponsive => std::future::pending().await,
             };
             let rejected =
                 *mode.borrow() == Mode::Refusing || self.lock().rejected.contains(&from.ip());
@@ -151,7 +151,7 @@
                 (status, body)
             };
             let body = body.to_string();
-            if write_answer(&mut link, status, &[], body.as_bytes())
+            if write_answer(&mut stream, status, &[], body.as_bytes())
                 .await
                 .is_err()
             {
@@ -171,18 +171,18 @@
         };
         let (prefix, after) = (find("pathPrefix"), find("afterRevision"));
         match path {
-            "/v1/kv-range" => (200, self.range(&prefix, &after)),
+            "/v1/kv-range" => (200, self.list_page(&prefix, &after)),
             "/v1/kv-watch" => {
                 let wait = Duration::from_millis(find("waitMs").parse().unwrap_or(0));
-                self.watch(&prefix, after.parse().unwrap_or(0), wait, from)
+                self.wait_for_changes(&prefix, after.parse().unwrap_or(0), wait, from)
                     .await
             }
             _ => (404, json!({})),
         }
     }
 
-    /// A page of two items, so that lists take several calls.
-    fn range(&self, prefix: &str, after: &str) -> Value {
+    /// Returns a page of two entries, so that a list takes several calls.
+    fn list_page(&self, prefix: &str, after: &str) -> Value {
         let state = self.lock();
         let all = state
             .items
@@ -194,7 +194,7 @@
         json!({"entries": entries, "hasMore": more, "asOf": state.revision})
     }
 
-    async fn watch(
+    async fn wait_for_changes(
         &self,
         prefix: &str,
         after: u64,
@@ -205,7 +205,7 @@
         let end = tokio::time::Instant::now() + wait;
         loop {
             changed.borrow_and_update();
-            if let Some(answer) = self.news(prefix, after, from) {
+            if let Some(answer) = self.pending_changes(prefix, after, from) {
                 return answer;
             }
             if tokio::time::timeout_at(end, changed.changed())
@@ -218,16 +218,16 @@
         }
     }
 
-    fn news(&self, prefix: &str, after: u64, from: SocketAddr) -> Option<(u16, Value)> {
+    fn pending_changes(&self, prefix: &str, after: u64, from: SocketAddr) -> Option<(u16, Value)> {
         let state = self.lock();
-        if after < state.kept_from {
+        if after < state.history_start {
             return Some((410, json!({})));
         }
-        let fresh = |e: &&Value| {
+        let is_newer = |e: &&Value| {
             let key = e["key"].as_str().unwrap_or_default();
             key.starts_with(prefix) && e["revision"].as_u64().unwrap_or(0) > after
         };
-        let events: Vec<&Value> = state.history.iter().filter(fresh).collect();
+        let events: Vec<&Value> = state.history.iter().filter(is_newer).collect();
         let rejected = state.rejected.contains(&from.ip());
         (!events.is_empty() || rejected)
             .then(|| (200, json!({"events": events, "asOf": state.revision})))
