--- a/crates/hawthornmill-gateway/src/proxy/admission.rs
+++ b/crates/hawthornmill-gateway/src/proxy/admission.rs
@@ -43,7 +43,7 @@
 /// # Errors
 /// The answer that refuses it; it has not run then.
 pub fn admit(gateway: &Gateway, request: &ClientRequest) -> Result<Admitted, ErrorResponse> {
-    if gateway.phase() == Phase::Closed {
+    if gateway.phase() == Phase::Draining {
         return Err(ErrorResponse::with_retry_after(
             Code::NotReady,
             SHUTDOWN_RETRY,
@@ -55,14 +55,14 @@
             CATALOG_RETRY,
         ));
     };
-    if !gateway.listed.get() || gateway.is_outdated() {
+    if !gateway.has_registrations.get() || gateway.is_outdated() {
         return Err(ErrorResponse::with_retry_after(
             Code::NotReady,
             CATALOG_RETRY,
         ));
     }
     let headers = &request.head.headers;
-    let names = &gateway.dialect.names;
+    let names = &gateway.adapter.headers;
     let mut hosts = headers.get_all("host");
     let (Some(host), None) = (hosts.next(), hosts.next()) else {
         return Err(ErrorResponse::new(Code::BadHeader));
@@ -74,13 +74,13 @@
         .ok_or_else(|| not_in_catalog(gateway, Code::NoSuchCall))?;
     let token = headers
         .get(names.token)
-        .and_then(|v| parse_token(v, names.scheme));
+        .and_then(|v| parse_token(v, names.auth_scheme));
     let caller = table
         .caller(route, token)
         .ok_or_else(|| not_in_catalog(gateway, Code::BadToken))?;
     let left = parse_deadline(headers.get(names.deadline))?;
-    let shape =
-        (gateway.dialect.shape)(headers).map_err(|_why| ErrorResponse::new(Code::BadHeader))?;
+    let shape = (gateway.adapter.parse_shape)(headers)
+        .map_err(|_why| ErrorResponse::new(Code::BadHeader))?;
     let service = split(route, rand::random());
     let known = table.service(service);
     let account = match caller {
@@ -114,7 +114,7 @@
 ///
 /// Only the newest catalog can say so for good.
 fn not_in_catalog(gateway: &Gateway, code: Code) -> ErrorResponse {
-    if gateway.lag.borrow().is_some() {
+    if gateway.catalog_lag.borrow().is_some() {
         ErrorResponse::with_retry_after(Code::NotReady, CATALOG_RETRY)
     } else {
         ErrorResponse::new(code)
--- a/crates/hawthornmill-gateway/src/proxy/error_response.rs
+++ b/crates/hawthornmill-gateway/src/proxy/error_response.rs
@@ -52,14 +52,17 @@
 
     /// Its bytes; `attempt` is the request's identity where it could be read.
     pub fn encode(&self, gateway: &Gateway, attempt: Option<&str>, last: bool) -> MessageBuffer {
-        let names = &gateway.dialect.names;
+        let names = &gateway.adapter.headers;
         let body = json!({"code": self.code.number(), "title": self.code.title()}).to_string();
         let mut bytes = MessageBuffer::response(self.code.status(), self.code.title());
         if let Some(attempt) = attempt.filter(|a| !a.is_empty()) {
-            bytes.header(names.attempt, attempt);
+            bytes.header(names.attempt_id, attempt);
         }
         if let Some(retry_after) = self.retry_after {
-            bytes.header(names.again, format!("{:.3}", retry_after.as_secs_f64()));
+            bytes.header(
+                names.retry_after,
+                format!("{:.3}", retry_after.as_secs_f64()),
+            );
         }
         bytes.header("Content-Type", "application/problem+json");
         bytes.header("Content-Length", body.len().to_string());
--- a/crates/hawthornmill-gateway/src/proxy/forward.rs
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -47,7 +47,7 @@
             Ok(Decoded::Incomplete) => {}
             Err(_malformed) => return BodyPart::Truncated,
         }
-        match response.upstream.more().await {
+        match response.upstream.read_more().await {
             // Only an orderly close ends a body that has no length; a reset cuts it.
             Ok(0) if decoder.ends_at_close() => return BodyPart::End,
             Ok(0) | Err(_) => return BodyPart::Truncated,
@@ -244,7 +244,7 @@
     let mut decoder = BodyDecoder::new(response.framing);
     let mut splitter = EventSplitter::default();
     let mut bytes = MessageBuffer::default();
-    let event_id = context.gateway.dialect.event;
+    let event_id = context.gateway.adapter.parse_event_id;
     loop {
         let (events, ended) = match next_part(&mut response, &mut decoder).await {
             BodyPart::Data(data) => (
--- a/crates/hawthornmill-gateway/src/proxy/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -22,23 +22,23 @@
 
 use std::time::Instant;
 
+use admission::Admitted;
+use error_response::ErrorResponse;
+use forward::{ForwardOutcome, forward_response, write_buffered};
 use hawthornmill::codes::Code;
 use hawthornmill::ident::ServerId;
 use hawthornmill::routing::loads;
 use hawthornmill::routing::placement::Placement;
 use hawthornmill::routing::request::{Cause, Refusal};
-use serde_json::json;
-use tokio::net::tcp::OwnedWriteHalf;
-
-use crate::gateway::Gateway;
-use crate::journal;
-use admission::Admitted;
-use error_response::ErrorResponse;
-use forward::{ForwardOutcome, forward_response, write_buffered};
 use progress::RequestProgress;
 use read::ClientRequest;
 use retry::RetryDecision;
 use send::{SendOutcome, ServerResponse, send};
+use serde_json::json;
+use tokio::net::tcp::OwnedWriteHalf;
+
+use crate::event_log;
+use crate::gateway::Gateway;
 
 /// How a request ended for its caller's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -138,18 +138,18 @@
         }
         let now = self.gateway.now();
         let request = &self.admitted.request;
-        let time = (!self.gateway.is_behind()).then(|| now.duration_since(self.sent_at));
+        let time = (!self.gateway.is_overloaded()).then(|| now.duration_since(self.sent_at));
         self.gateway.scheduler.borrow_mut().record_first_token(
             request.service,
             &self.choice,
             time,
             now,
         );
-        self.gateway.tell_work();
+        self.gateway.announce_work();
         let whole = now.duration_since(request.came);
         self.gateway
-            .meters
-            .began(&self.admitted.service_name, whole);
+            .metrics
+            .response_started(&self.admitted.service_name, whole);
     }
 }
 
@@ -163,7 +163,7 @@
     let mut request = admitted.request.clone();
     let mut fallback: Option<ServerResponse> = None;
     loop {
-        let choice = match context.gateway.place(&request).await {
+        let choice = match context.gateway.select_server(&request).await {
             Ok(choice) => choice,
             Err(refusal) => {
                 progress::log_rejection(context, &request, &refusal);
@@ -265,7 +265,7 @@
 
 fn log_interruption(context: RequestContext<'_>, server: ServerId, why: &str) {
     let fields = json!({"server": context.gateway.server_name(server), "why": why});
-    journal::trouble("server_broke_off", &context.request.attempt_id, fields);
+    event_log::request_problem("server_broke_off", &context.request.attempt_id, fields);
 }
 
 /// Ends a request for which there is no further server: with a failure that a server gave, or with
--- a/crates/hawthornmill-gateway/src/proxy/progress.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -11,8 +11,8 @@
 use super::error_response::ErrorResponse;
 use super::read::ClientRequest;
 use super::{RequestContext, RequestOutcome};
+use crate::event_log;
 use crate::gateway::Gateway;
-use crate::journal;
 
 /// Writes why the scheduler turned a request away.
 pub fn log_rejection(context: RequestContext<'_>, request: &Request, refusal: &Refusal) {
@@ -27,15 +27,15 @@
         "full": outlook.full, "waiting": outlook.waiting, "short_at": outlook.short,
         "lack": outlook.lack, "standing": format!("{:?}", outlook.share.standing), "lead": outlook.share.lead,
         "asked": outlook.sums.asked, "got": outlook.sums.got, "registrations": scheduler.registry.latest(),
-        "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
+        "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway),
         "link_wait_ms": gateway.link.borrow().wait(now).as_millis() as u64,
     });
-    journal::trouble("refused", &context.request.attempt_id, fields);
+    event_log::request_problem("refused", &context.request.attempt_id, fields);
 }
 
 /// How long this instance has known of a newer catalog than its own.
 fn lag_ms(gateway: &Gateway) -> u64 {
-    let lag = gateway.lag.borrow();
+    let lag = gateway.catalog_lag.borrow();
     lag.time(gateway.now()).as_millis() as u64
 }
 
@@ -71,7 +71,7 @@
             "body_ms": request.received.duration_since(request.head_received).as_millis() as u64,
             "time_left_ms": admitted.request.ends.duration_since(request.received).as_millis() as u64,
         });
-        journal::step("admitted", &request.attempt_id, fields);
+        event_log::request_step("admitted", &request.attempt_id, fields);
     }
 
     /// The request goes to a server.
@@ -86,9 +86,9 @@
         let fields = json!({
             "server": name, "waited_ms": waited.as_millis() as u64, "send": self.sends + 1,
             "tokens_before_first": choice.queued_prefill, "tokens_again": choice.duplicate_prefill, "stray": choice.spilled, "expected_ms": choice.expected_ttft.as_millis() as u64,
-            "catalog": gateway.version(), "lag_ms": lag_ms(gateway), "registrations": gateway.scheduler.borrow().registry.latest(),
+            "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway), "registrations": gateway.scheduler.borrow().registry.latest(),
         });
-        journal::step("sent", &request.attempt_id, fields);
+        event_log::request_step("sent", &request.attempt_id, fields);
         self.servers.push(name);
         self.earlier_uncertain |= std::mem::take(&mut self.bytes_sent);
     }
@@ -163,18 +163,18 @@
             Some((route, service)) => (&**route, &**service),
             None => ("none", "none"),
         };
-        gateway.meters.ended(service, outcome);
+        gateway.metrics.request_ended(service, outcome);
         let fields = json!({
             "outcome": outcome, "status": self.status, "code": self.code.map(Code::number),
             "route": route, "service": service, "servers": self.servers, "sends": self.sends,
-            "last_event": self.last_event_id, "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
+            "last_event": self.last_event_id, "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway),
             "begin_ms": self.response_start.map(|b| b.duration_since(request.received).as_millis() as u64),
             "took_ms": now.duration_since(request.received).as_millis() as u64,
         });
         if outcome == "answered" {
-            journal::step("ended", &request.attempt_id, fields);
+            event_log::request_step("ended", &request.attempt_id, fields);
         } else {
-            journal::trouble("ended", &request.attempt_id, fields);
+            event_log::request_problem("ended", &request.attempt_id, fields);
         }
     }
 }
--- a/crates/hawthornmill-gateway/src/proxy/read.rs
+++ b/crates/hawthornmill-gateway/src/proxy/read.rs
@@ -9,10 +9,10 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
 
+use crate::connection::RequestReader;
 use crate::gateway::{Gateway, Phase};
 use crate::http::body::{BodyDecoder, Decoded};
 use crate::http::head::{self, Framing, RequestHead};
-use crate::serve::Reader;
 
 /// Bytes of bodies that one process holds at once; an instance has about a hundred megabytes.
 const MOST_BODIES: usize = 32 << 20;
@@ -35,8 +35,8 @@
 
 impl Drop for ClientRequest {
     fn drop(&mut self) {
-        let bodies = &self.gateway.bodies;
-        bodies.set(bodies.get() - self.body.len());
+        let body_bytes = &self.gateway.body_bytes;
+        body_bytes.set(body_bytes.get() - self.body.len());
     }
 }
 
@@ -54,7 +54,7 @@
 /// Reads the next request of a connection.
 pub async fn read_request(
     gateway: &Rc<Gateway>,
-    reader: &mut Reader,
+    reader: &mut RequestReader,
     out: &mut OwnedWriteHalf,
 ) -> ReadOutcome {
     let limits = gateway
@@ -80,7 +80,7 @@
     if known > limits.body_bytes {
         return ReadOutcome::Reject(Code::BodyTooLarge);
     }
-    if gateway.bodies.get() + known > MOST_BODIES {
+    if gateway.body_bytes.get() + known > MOST_BODIES {
         return ReadOutcome::Reject(Code::InstanceFull);
     }
     if framing != Framing::Empty && head.headers.has_token("expect", "100-continue") {
@@ -104,10 +104,12 @@
     body: Bytes,
     began: Instant,
 ) -> ClientRequest {
-    gateway.bodies.set(gateway.bodies.get() + body.len());
+    gateway
+        .body_bytes
+        .set(gateway.body_bytes.get() + body.len());
     let attempt = head
         .headers
-        .get_str(gateway.dialect.names.attempt)
+        .get_str(gateway.adapter.headers.attempt_id)
         .unwrap_or_default();
     ClientRequest {
         attempt_id: attempt.into(),
@@ -123,16 +125,16 @@
 ///
 /// A process that takes no more requests closes idle connections; a request that crosses the close
 /// was not read, and its caller may send it elsewhere.
-async fn first_byte(gateway: &Gateway, reader: &mut Reader, idle: Duration) -> bool {
-    let mut phases = gateway.phases();
+async fn first_byte(gateway: &Gateway, reader: &mut RequestReader, idle: Duration) -> bool {
+    let mut phases = gateway.subscribe_phase();
     tokio::select! {
         biased;
-        read = tokio::time::timeout(idle, reader.more()) => matches!(read, Ok(Ok(bytes)) if bytes > 0),
-        _ = phases.wait_for(|p| *p == Phase::Closed) => false,
+        read = tokio::time::timeout(idle, reader.read_more()) => matches!(read, Ok(Ok(bytes)) if bytes > 0),
+        _ = phases.wait_for(|p| *p == Phase::Draining) => false,
     }
 }
 
-async fn whole_head(reader: &mut Reader, most: usize) -> Result<Option<RequestHead>, Code> {
+async fn whole_head(reader: &mut RequestReader, most: usize) -> Result<Option<RequestHead>, Code> {
     loop {
         match head::parse_request(&reader.buffer) {
             Ok(Some((_, length))) if length > most => return Err(Code::HeadersTooLarge),
@@ -150,7 +152,7 @@
             Err(_malformed) if reader.buffer.len() > most => return Err(Code::HeadersTooLarge),
             Err(_malformed) => return Err(Code::BadHeader),
         }
-        if !matches!(reader.more().await, Ok(bytes) if bytes > 0) {
+        if !matches!(reader.read_more().await, Ok(bytes) if bytes > 0) {
             return Ok(None);
         }
     }
@@ -158,7 +160,7 @@
 
 /// Reads the body; none when the caller closed before its end.
 async fn whole_body(
-    reader: &mut Reader,
+    reader: &mut RequestReader,
     framing: Framing,
     most: usize,
     idle: Duration,
@@ -169,7 +171,7 @@
         match decoder.next(&mut reader.buffer) {
             Ok(Decoded::Data(data)) => body.extend_from_slice(&data),
             Ok(Decoded::End) => return Ok(Some(body.freeze())),
-            Ok(Decoded::Incomplete) => match tokio::time::timeout(idle, reader.more()).await {
+            Ok(Decoded::Incomplete) => match tokio::time::timeout(idle, reader.read_more()).await {
                 Ok(Ok(bytes)) if bytes > 0 => {}
                 Ok(_) => return Ok(None),
                 Err(_elapsed) => return Err(Code::HeadTooSlow),
--- a/crates/hawthornmill-gateway/src/proxy/retry.rs
+++ b/crates/hawthornmill-gateway/src/proxy/retry.rs
@@ -12,8 +12,8 @@
 use super::progress::RequestProgress;
 use super::read::ClientRequest;
 use super::send::ServerResponse;
+use crate::event_log;
 use crate::gateway::Gateway;
-use crate::journal;
 
 /// Servers that one request may fail to reach; each costs up to a connection's time.
 const MAX_UNREACHABLE: u32 = 3;
@@ -65,7 +65,7 @@
         .budget
         .take(service, gateway.now());
     if taken {
-        gateway.meters.resent(&admitted.service_name);
+        gateway.metrics.request_resent(&admitted.service_name);
     }
     taken
 }
@@ -88,8 +88,8 @@
     why: &str,
 ) -> RetryDecision {
     let fields = json!({"server": gateway.server_name(server), "why": why});
-    journal::trouble("server_unreached", &request.attempt_id, fields);
-    gateway.pool.drop_idle(server);
+    event_log::request_problem("server_unreached", &request.attempt_id, fields);
+    gateway.pool.discard_idle(server);
     record_verdict(gateway, server, ServerOutcome::Unreachable);
     progress.unreachable += 1;
     if progress.unreachable <= MAX_UNREACHABLE {
@@ -108,7 +108,7 @@
     misdirected: bool,
 ) -> RetryDecision {
     if misdirected {
-        gateway.pool.drop_idle(server);
+        gateway.pool.discard_idle(server);
         record_verdict(gateway, server, ServerOutcome::Unreachable);
     } else {
         record_verdict(gateway, server, ServerOutcome::Full);
--- a/crates/hawthornmill-gateway/src/proxy/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -86,7 +86,7 @@
     };
     let now = gateway.now();
     let once = admitted.repeat == Repeat::Never;
-    let taken = gateway.pool.take(server, address, once, now).await;
+    let taken = gateway.pool.acquire(server, address, once, now).await;
     if !taken.as_ref().is_ok_and(|u| u.reused) {
         let after = gateway.now();
         let took = after.duration_since(now);
@@ -97,7 +97,7 @@
         Err(error) => return SendOutcome::Unreachable(error.to_string().into()),
     };
     if !upstream.reused {
-        gateway.meters.connected();
+        gateway.metrics.server_connected();
     }
     let bytes = encode_request(gateway, request, admitted, progress, &name);
     let written = match write_request(&mut upstream, &bytes.0, progress).await {
@@ -129,14 +129,14 @@
     progress: &RequestProgress,
     server: &str,
 ) -> MessageBuffer {
-    let names = &gateway.dialect.names;
-    let mut excluded: Vec<&str> = vec![names.deadline, names.expect, names.account];
+    let names = &gateway.adapter.headers;
+    let mut excluded: Vec<&str> = vec![names.deadline, names.expected_server, names.account];
     excluded.extend(names.reserved);
     if admitted.strip_token {
         excluded.push(names.token);
     }
     if progress.last_event_id.is_some() {
-        excluded.push(names.resume);
+        excluded.push(names.last_event_id);
     }
     let mut bytes = MessageBuffer::request(&request.head.method, &request.head.target);
     bytes.forwarded_headers(&request.head.headers, &excluded);
@@ -145,12 +145,12 @@
         .ends
         .saturating_duration_since(gateway.now());
     bytes.header(names.deadline, left.as_millis().to_string());
-    bytes.header(names.expect, server);
+    bytes.header(names.expected_server, server);
     if let Some(account) = &admitted.account_name {
         bytes.header(names.account, account.as_bytes());
     }
     if let Some(event) = progress.last_event_id {
-        bytes.header(names.resume, event.to_string());
+        bytes.header(names.last_event_id, event.to_string());
     }
     // A body in chunks was read whole; its length says the same in fewer ways.
     let sized = request.head.headers.get("content-length").is_some()
@@ -217,7 +217,7 @@
     server: ServerId,
     written: bool,
 ) -> SendOutcome {
-    let names = &gateway.dialect.names;
+    let names = &gateway.adapter.headers;
     let mut reusable = written;
     loop {
         let head = match read_head(&mut upstream).await {
@@ -230,7 +230,7 @@
         let Ok(framing) = head.framing(&request.head.method) else {
             return SendOutcome::Interrupted("answer's length can be read in two ways".into());
         };
-        let response_id = head.headers.get_str(names.attempt);
+        let response_id = head.headers.get_str(names.attempt_id);
         if response_id.is_some_and(|id| id != &*request.attempt_id) {
             // The answer to an earlier request on this connection, come late or twice.
             reusable = false;
@@ -239,7 +239,7 @@
             }
             continue;
         }
-        if let Some(load) = (gateway.dialect.load)(&head.headers) {
+        if let Some(load) = (gateway.adapter.parse_load)(&head.headers) {
             gateway
                 .scheduler
                 .borrow_mut()
@@ -247,7 +247,7 @@
                 .apply_server_report(server, load, gateway.now());
         }
         let misdirected = head.status == MISDIRECTED_REQUEST;
-        if misdirected || head.headers.get(names.not_run).is_some() {
+        if misdirected || head.headers.get(names.not_executed).is_some() {
             let response = server_response(head, framing, upstream, server, reusable);
             if !misdirected {
                 reuse_after_rejection(gateway, response).await;
@@ -290,7 +290,7 @@
             Ok(None) => return Err("answer's head is too long".into()),
             Err(_malformed) => return Err("what came is no answer".into()),
         }
-        match upstream.more().await {
+        match upstream.read_more().await {
             Ok(0) => return Err("connection closed before an answer".into()),
             Ok(_) => {}
             Err(error) => return Err(error.to_string().into()),
@@ -309,7 +309,7 @@
             Ok(Decoded::End) => return Ok(()),
             Ok(Decoded::Data(data)) => skipped += data.len(),
             Ok(Decoded::Incomplete) => {
-                let read = upstream.more().await;
+                let read = upstream.read_more().await;
                 if !matches!(read, Ok(bytes) if bytes > 0) {
                     return Err(());
                 }
@@ -341,10 +341,10 @@
     pub fn recycle_connection(self, gateway: &Gateway) {
         if self.reusable {
             let keep_alive = keep_alive_timeout(&self.head);
-            let (max_idle, now) = (gateway.idle_bound(self.server), gateway.now());
+            let (max_idle, now) = (gateway.max_idle(self.server), gateway.now());
             gateway
                 .pool
-                .give(self.server, self.upstream, keep_alive, max_idle, now);
+                .put_back(self.server, self.upstream, keep_alive, max_idle, now);
         }
     }
 }
--- a/crates/hawthornmill-gateway/src/settings.rs
+++ b/crates/hawthornmill-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one gateway process, read from an INI file and checked whole.
+//! Settings of a gateway process, read from an INI file that is checked as a whole.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -19,57 +19,57 @@
     "telemetry",
 ];
 
-/// Addresses that this process serves.
+/// Addresses on which this process listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Listen {
-    /// Callers' requests.
+pub struct ListenAddresses {
+    /// Requests of clients.
     pub front: SocketAddr,
-    /// Whether the process takes requests.
+    /// Readiness checks.
     pub ready: SocketAddr,
-    /// Which addresses callers should use.
+    /// Directory queries.
     pub directory: SocketAddr,
-    /// Other instances, UDP and TCP.
+    /// Messages of other instances, over UDP and TCP.
     pub peer: SocketAddr,
-    /// Metrics; none where they are not served.
+    /// Metrics, if they are served.
     pub metrics: Option<SocketAddr>,
 }
 
-/// What operators were promised of this deployment.
+/// Guarantees given for this deployment.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Promises {
-    /// Time in which a published catalog is in force everywhere.
-    pub apply: Duration,
-    /// Time from the signal to stop to the end of the process.
-    pub grace: Duration,
-    /// Time for which callers may use a directory's answer.
-    pub ttl: Duration,
-    /// Second sends over the fleet.
-    pub resends: Terms,
+pub struct Guarantees {
+    /// Time within which all instances apply a published catalog.
+    pub apply_time: Duration,
+    /// Time from the signal to stop until the process ends.
+    pub shutdown_grace: Duration,
+    /// Time for which clients may cache a response of the directory.
+    pub directory_ttl: Duration,
+    /// Budget of the whole fleet for sending requests to another server.
+    pub resend_budget: Terms,
 }
 
-/// Settings of one gateway process.
+/// Settings of a gateway process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Name of the instance.
     pub name: Box<str>,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: DomainId,
-    /// Its region.
+    /// Region of the instance.
     pub region: RegionId,
     /// Region of each failure domain.
     pub regions: Vec<(DomainId, RegionId)>,
-    /// Addresses to serve.
-    pub listen: Listen,
-    /// Peer addresses of a few other instances, maybe out of date.
+    /// Addresses on which to listen.
+    pub listen: ListenAddresses,
+    /// Peer addresses of a few other instances, some of which may be outdated.
     pub seeds: Vec<SocketAddr>,
-    /// Key of the frames between instances.
+    /// Key that seals the frames between instances.
     pub key: [u8; 32],
-    /// Time between two pieces of news to the others.
-    pub news: Duration,
+    /// Interval of news to the other instances.
+    pub news_interval: Duration,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// What was promised.
-    pub promises: Promises,
+    /// Guarantees given for the deployment.
+    pub guarantees: Guarantees,
     /// Least severe level that is logged.
     pub level: log::LevelFilter,
 }
@@ -78,7 +78,7 @@
     /// Reads and checks the file at `path`.
     ///
     /// # Errors
-    /// Every fault of the file.
+    /// All faults of the file.
     pub fn load(path: &Path) -> Result<Self, Vec<Diagnostic>> {
         hawthornmill_process::settings::load(path, Self::parse)
     }
@@ -86,7 +86,7 @@
     /// Checks the text of a settings file.
     ///
     /// # Errors
-    /// Every fault of the text.
+    /// All faults of the text.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Diagnostic>> {
         let (mut reader, sections) = Reader::open(file, text, SECTIONS)?;
         let one = |kind: &str| Section::first_or_empty(&sections, kind);
@@ -109,19 +109,19 @@
             listen,
             seeds: seeds(&mut reader, &peers, listen.peer.port()),
             key: key(&mut reader, &peers),
-            news: reader.millis(&peers, "news_ms", 200.0),
+            news_interval: reader.millis(&peers, "news_ms", 200.0),
             store: store(&mut reader, &one("store")),
-            promises: promises(&mut reader, &one("promises")),
+            guarantees: guarantees(&mut reader, &one("promises")),
             level: level(&mut reader, &one("telemetry")),
         };
         reader.finish(settings)
     }
 }
 
-fn listen(reader: &mut Reader<'_>, section: &Section) -> Listen {
+fn listen(reader: &mut Reader<'_>, section: &Section) -> ListenAddresses {
     reader.reject_unknown_keys(section, &["front", "ready", "directory", "peer", "metrics"]);
     let metrics = section.get("metrics").is_some();
-    Listen {
+    ListenAddresses {
         front: address(reader, section, "front"),
         ready: address(reader, section, "ready"),
         directory: address(reader, section, "directory"),
@@ -130,7 +130,7 @@
     }
 }
 
-/// An address, or one that nobody has where there is a fault.
+/// Reads an address; returns the unspecified one after a fault.
 fn address(reader: &mut Reader<'_>, section: &Section, key: &str) -> SocketAddr {
     let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
     reader.address(section, key).unwrap_or(nowhere)
@@ -142,7 +142,7 @@
     (DomainId::of(&section.name), RegionId::of(&region))
 }
 
-/// The seeds' machines at this process's own peer port: instances use the same port everywhere.
+/// Reads the hosts of the seeds, with this process's own peer port: all instances use the same one.
 fn seeds(reader: &mut Reader<'_>, section: &Section, port: u16) -> Vec<SocketAddr> {
     let Some(entry) = section.get("seeds") else {
         return Vec::new();
@@ -157,7 +157,7 @@
         match word.parse::<SocketAddr>() {
             Ok(address) => seeds.push(SocketAddr::new(address.ip(), port)),
             Err(_unreadable) => {
-                let what = format!("`seeds` are IP:port, not `{word}`");
+                let what = format!("`seeds` must be a list of IP:port, not `{word}`");
                 reader.report(Code::BadValue, entry.line, 0, what);
             }
         }
@@ -181,7 +181,7 @@
     Duration::from_secs_f64(reader.number_in(section, key, default, 0.01..=3_600.0))
 }
 
-fn promises(reader: &mut Reader<'_>, section: &Section) -> Promises {
+fn guarantees(reader: &mut Reader<'_>, section: &Section) -> Guarantees {
     let known = [
         "apply_ms",
         "grace_s",
@@ -191,11 +191,11 @@
         "resend_window_s",
     ];
     reader.reject_unknown_keys(section, &known);
-    Promises {
-        apply: reader.millis(section, "apply_ms", 3_000.0),
-        grace: seconds(reader, section, "grace_s", 8.0),
-        ttl: seconds(reader, section, "ttl_s", 1.0),
-        resends: Terms {
+    Guarantees {
+        apply_time: reader.millis(section, "apply_ms", 3_000.0),
+        shutdown_grace: seconds(reader, section, "grace_s", 8.0),
+        directory_ttl: seconds(reader, section, "ttl_s", 1.0),
+        resend_budget: Terms {
             ratio: reader.number_in(section, "resend_ratio", 0.1, 0.0..=1.0),
             extra: reader.number_in(section, "resend_extra", 20.0, 0.0..=1e6),
             window: seconds(reader, section, "resend_window_s", 10.0),
