--- a/crates/hawthornmill-net/src/entry/admit.rs
+++ b/crates/hawthornmill-net/src/entry/admit.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use hawthornmill::codes::Code;
-use hawthornmill::config::{AnswerRule, CostKind, Repeat};
+use hawthornmill::config::{CostKind, ResponseRules, RetryPolicy};
 use hawthornmill::ident::{AccountId, ServiceId};
 use poem::Request;
 use poem::http::HeaderMap;
@@ -30,11 +30,11 @@
     /// Its name.
     pub service_name: Box<str>,
     /// May the call be run again.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
     /// How it is charged.
     pub cost: CostKind,
     /// What its answer must be like.
-    pub answer: AnswerRule,
+    pub answer: ResponseRules,
     /// Path and query at the backend server.
     pub path: Box<str>,
     /// When it arrived.
@@ -75,7 +75,7 @@
             .services
             .get(&service)
             .ok_or((Code::UnknownService, None))?;
-        if !config.service_open(*account, service) {
+        if !config.can_use_service(*account, service) {
             return Err((Code::NotGranted, None));
         }
         Ok(Admitted {
@@ -83,9 +83,9 @@
             account_name: config.accounts[account].name.clone(),
             service,
             service_name: known.name.clone(),
-            repeat: known.repeat,
+            repeat: known.retry,
             cost: known.cost,
-            answer: known.answer,
+            answer: known.response,
             path,
             arrived: now,
             deadline: now + asked.unwrap_or(known.timeout),
--- a/crates/hawthornmill-net/src/entry/call.rs
+++ b/crates/hawthornmill-net/src/entry/call.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use hawthornmill::codes::{Code, Outcome};
-use hawthornmill::config::{CostKind, Repeat};
+use hawthornmill::config::{CostKind, RetryPolicy};
 use hawthornmill::ident::ServerId;
 use hawthornmill::pools::entry;
 use opentelemetry::Context;
@@ -85,7 +85,7 @@
         }
     };
     let call = prepare(fleet, request, admitted, body, id);
-    if call.admitted.repeat == Repeat::Never {
+    if call.admitted.repeat == RetryPolicy::Never {
         return keyed::run(fleet, request, call, flying).await;
     }
     match retries::run(fleet, &call).await {
--- a/crates/hawthornmill-net/src/entry/keyed.rs
+++ b/crates/hawthornmill-net/src/entry/keyed.rs
@@ -306,7 +306,7 @@
     let mut body = Vec::new();
     let ended = loop {
         // A server that falls silent must not hold its slot for ever.
-        match tokio::time::timeout(rule.stall, answer.chunk()).await {
+        match tokio::time::timeout(rule.idle_timeout, answer.chunk()).await {
             Ok(Ok(Some(chunk))) => body.extend_from_slice(&chunk),
             Ok(Ok(None)) => break true,
             Ok(Err(_)) | Err(_) => break false,
--- a/crates/hawthornmill-net/src/entry/record.rs
+++ b/crates/hawthornmill-net/src/entry/record.rs
@@ -161,7 +161,7 @@
     let admitted = &call.admitted;
     fleet.view(|board| {
         let config = &board.config;
-        let pools = config.by_service.get(&admitted.service);
+        let pools = config.pools_by_service.get(&admitted.service);
         let mut servers = pools
             .into_iter()
             .flatten()
--- a/crates/hawthornmill-net/src/entry/stream.rs
+++ b/crates/hawthornmill-net/src/entry/stream.rs
@@ -14,7 +14,7 @@
 use futures_util::future::BoxFuture;
 use hawthornmill::answer::{Lines, Splice};
 use hawthornmill::codes::{Code, Outcome};
-use hawthornmill::config::Complete;
+use hawthornmill::config::Completion;
 use poem::http::{Method, StatusCode};
 use poem::{Body, Response};
 use tokio::time::{Instant, Sleep, sleep};
@@ -122,7 +122,7 @@
         self.splice = Splice::new(partial);
         let mut call = self.call.clone();
         call.out.body = body.to_string().into();
-        call.admitted.deadline = self.fleet.clock.now() + rule.stall;
+        call.admitted.deadline = self.fleet.clock.now() + rule.idle_timeout;
         Some(call)
     }
 
@@ -167,7 +167,7 @@
                     // Counted from the moment that the caller is ready for more: a slow reader
                     // is not the server's silence.
                     self.silent = true;
-                    let until = Instant::now() + self.call.admitted.answer.stall;
+                    let until = Instant::now() + self.call.admitted.answer.idle_timeout;
                     self.silence.as_mut().reset(until);
                 }
                 ready!(self.silence.as_mut().poll(cx));
@@ -251,7 +251,7 @@
 
 /// Tells whether an answer with `status` is whole only with its last line.
 pub fn needs_done(call: &Call, status: StatusCode) -> bool {
-    call.admitted.answer.complete == Complete::DoneLine
+    call.admitted.answer.completion == Completion::DoneLine
         && status.is_success()
         && status != StatusCode::NO_CONTENT
         && call.out.method != Method::HEAD
@@ -284,7 +284,7 @@
         resumes: 0,
         tail: Tail::default(),
         reported: reported(&answer),
-        silence: Box::pin(sleep(call.admitted.answer.stall)),
+        silence: Box::pin(sleep(call.admitted.answer.idle_timeout)),
         silent: false,
         source: Source::Chunks(Box::pin(answer.bytes_stream())),
         call,
--- a/crates/hawthornmill-net/src/peers/inbox.rs
+++ b/crates/hawthornmill-net/src/peers/inbox.rs
@@ -127,7 +127,9 @@
 /// Asks `from`, which named `revision`, for the configuration if that is newer.
 fn pull(fleet: &Arc<Fleet>, from: InstanceId, revision: u64) {
     let have = fleet.feed(|board, now| {
-        let ask = board.intake.ask(revision, board.config.revision, now);
+        let ask = board
+            .revisions
+            .should_request(revision, board.config.revision, now);
         ask.then(|| board.manifest.clone())
     });
     if let Some(have) = have {
@@ -181,7 +183,7 @@
             taken
         }
         Err(faults) => {
-            fleet.feed(|board, _| board.intake.refuse(manifest, &faults));
+            fleet.feed(|board, _| board.revisions.reject(manifest, &faults));
             for fault in &faults {
                 log::error!(target: "config", "revision {} refused: {fault}", manifest.revision);
             }
--- a/crates/hawthornmill-net/src/platform.rs
+++ b/crates/hawthornmill-net/src/platform.rs
@@ -6,7 +6,7 @@
 
 use hawthornmill::board::Board;
 use hawthornmill::codes::Code;
-use hawthornmill::config::accept::{Manifest, VALUE_LIMIT, Values};
+use hawthornmill::config::accept::{MAX_VALUE_BYTES, Manifest, Values};
 use hawthornmill::membership::place;
 use hawthornmill::wire::message::{Contact, RosterEntry};
 use serde::Deserialize;
@@ -187,7 +187,7 @@
     let newest = fleet.platform.lock().newest;
     let (have, after) = fleet.view(|board| {
         let have = board.config.revision;
-        (have, board.intake.watch_after(have, newest))
+        (have, board.revisions.watch_after(have, newest))
     });
     let wait = match reader {
         false => Duration::ZERO,
@@ -196,7 +196,7 @@
     };
     let began = Instant::now();
     let path = format!("/v1/manifest?after={after}&wait_ms={}", wait.as_millis());
-    let Some(bytes) = get(fleet, &path, VALUE_LIMIT, wait + CALL).await else {
+    let Some(bytes) = get(fleet, &path, MAX_VALUE_BYTES, wait + CALL).await else {
         return (Look::Failed, false);
     };
     let Ok(manifest) = serde_json::from_slice::<Manifest>(&bytes) else {
@@ -205,7 +205,7 @@
     fleet.platform.lock().newest = manifest.revision;
     fleet.feed(|board, _| board.start.platform = true);
     let quick = began.elapsed() < wait / 2;
-    let refused = fleet.view(|board| board.intake.is_refused(&manifest));
+    let refused = fleet.view(|board| board.revisions.is_rejected(&manifest));
     if manifest.revision <= have || refused {
         return (Look::Nothing, quick);
     }
@@ -217,7 +217,7 @@
     }
     // A peer may have been faster, and a verdict is final; anything else is tried again.
     let settled = fleet.view(|board| {
-        board.config.revision >= manifest.revision || board.intake.is_refused(&manifest)
+        board.config.revision >= manifest.revision || board.revisions.is_rejected(&manifest)
     });
     let look = if settled { Look::Nothing } else { Look::Failed };
     (look, false)
@@ -228,7 +228,7 @@
     values.retain(|name, _| manifest.values.iter().any(|v| v.name == *name));
     for value in manifest.values.iter().filter(|v| !have.values.contains(v)) {
         let path = format!("/v1/values/{}?revision={}", value.name, manifest.revision);
-        let bytes = get(fleet, &path, VALUE_LIMIT, CALL).await?;
+        let bytes = get(fleet, &path, MAX_VALUE_BYTES, CALL).await?;
         let text = String::from_utf8(bytes).ok()?;
         values.insert(value.name.clone(), text.into());
     }
@@ -255,7 +255,7 @@
 }
 
 async fn read_list(fleet: &Fleet) {
-    let Some(bytes) = get(fleet, "/v1/instances", VALUE_LIMIT, CALL).await else {
+    let Some(bytes) = get(fleet, "/v1/instances", MAX_VALUE_BYTES, CALL).await else {
         return;
     };
     let Ok(list) = serde_json::from_slice::<Vec<ListedJson>>(&bytes) else {
--- a/crates/hawthornmill-tools/src/check/show.rs
+++ b/crates/hawthornmill-tools/src/check/show.rs
@@ -40,7 +40,7 @@
             writeln!(out, "  lost: {}", list("server", lost))?;
         }
     }
-    if comparison.owed.is_empty() {
+    if comparison.entitlements.is_empty() {
         return writeln!(out, "no owed share changes");
     }
     writeln!(
@@ -52,7 +52,7 @@
         "  {:<18} {:<18} {:>8} {:>8}",
         "service", "account", "before", "after"
     )?;
-    for change in &comparison.owed {
+    for change in &comparison.entitlements {
         writeln!(
             out,
             "  {:<18} {:<18} {:>8.1} {:>8.1}",
@@ -62,7 +62,7 @@
             100.0 * change.after
         )?;
     }
-    writeln!(out, "  {} others stay as they are", comparison.same)
+    writeln!(out, "  {} others stay as they are", comparison.unchanged)
 }
 
 fn list(what: &str, names: &[Box<str>]) -> String {
--- a/crates/hawthornmill/src/board.rs
+++ b/crates/hawthornmill/src/board.rs
@@ -12,7 +12,7 @@
 use smallvec::SmallVec;
 
 use crate::codes::Code;
-use crate::config::{FleetConfig, Manifest, accept::Values, intake::Intake};
+use crate::config::{FleetConfig, Manifest, accept::Values, revisions::RevisionTracker};
 use crate::fairness::Ledger;
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId, ServiceId};
 use crate::limits::backlog::Backlogs;
@@ -132,7 +132,7 @@
     /// Texts of the configuration in force, for peers that ask.
     pub values: Arc<Values>,
     /// Revisions that are not held.
-    pub intake: Intake,
+    pub revisions: RevisionTracker,
     /// What this instance was told at its start.
     pub start: Start,
     /// The platform's instance list.
@@ -204,7 +204,7 @@
             config: Arc::new(FleetConfig::default()),
             manifest: Manifest::default(),
             values: Arc::new(Values::new()),
-            intake: Intake::default(),
+            revisions: RevisionTracker::default(),
             start: Start::default(),
             roster: Roster::default(),
             members: Members::new(me, contact, incarnation, now),
--- a/crates/hawthornmill/src/config/accept.rs
+++ b/crates/hawthornmill/src/config/accept.rs
@@ -14,7 +14,7 @@
 use crate::ini::Diagnostic;
 
 /// Bytes that one configuration value may have, as the platform bounds it.
-pub const VALUE_LIMIT: usize = 1_000_000;
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
 /// One value that a manifest names.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -91,8 +91,11 @@
             "named by the manifest, not served".into(),
         );
     };
-    if text.len() > VALUE_LIMIT {
-        let what = format!("{} bytes; at most {VALUE_LIMIT} are allowed", text.len());
+    if text.len() > MAX_VALUE_BYTES {
+        let what = format!(
+            "{} bytes; at most {MAX_VALUE_BYTES} are allowed",
+            text.len()
+        );
         return fault(Code::ValueTooLarge, what);
     }
     if digest(text) != value.digest {
--- a/crates/hawthornmill/src/config/compare.rs
+++ b/crates/hawthornmill/src/config/compare.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use super::entitlement::entitlements;
 use super::model::FleetConfig;
-use super::owed::owed;
 use crate::ident::{AccountId, ServerId};
 use crate::labels::{Labels, Selector};
 
@@ -23,7 +23,7 @@
 
 /// An owed part before and after, from 0 to 1.
 #[derive(Debug, Clone, PartialEq)]
-pub struct OwedChange {
+pub struct EntitlementChange {
     /// Service by name.
     pub service: Box<str>,
     /// Account by name.
@@ -39,10 +39,10 @@
 pub struct Comparison {
     /// Accounts by name that gain or lose the same servers, with those.
     pub access: BTreeMap<Access, Vec<Box<str>>>,
-    /// Owed parts that change.
-    pub owed: Vec<OwedChange>,
+    /// Entitlements parts that change.
+    pub entitlements: Vec<EntitlementChange>,
     /// Number of owed parts that stay as they are.
-    pub same: usize,
+    pub unchanged: usize,
 }
 
 /// Compares `after` with `before`. A leaving server is open to nobody.
@@ -82,19 +82,19 @@
 }
 
 fn compare_owed(before: &FleetConfig, after: &FleetConfig, result: &mut Comparison) {
-    let (old, new) = (owed(before), owed(after));
+    let (old, new) = (entitlements(before), entitlements(after));
     let keys: BTreeSet<_> = old.keys().chain(new.keys()).copied().collect();
     for key in keys {
-        let of = |parts: &super::owed::Owed| parts.get(&key).copied().unwrap_or(0.0);
+        let of = |parts: &super::entitlement::Entitlements| parts.get(&key).copied().unwrap_or(0.0);
         let (was, is) = (of(&old), of(&new));
         if (is - was).abs() < TOLD {
-            result.same += 1;
+            result.unchanged += 1;
             continue;
         }
         let service = after.services.get(&key.0).or(before.services.get(&key.0));
         let account = after.accounts.get(&key.1).or(before.accounts.get(&key.1));
         if let (Some(service), Some(account)) = (service, account) {
-            result.owed.push(OwedChange {
+            result.entitlements.push(EntitlementChange {
                 service: service.name.clone(),
                 account: account.name.clone(),
                 before: was,
@@ -103,7 +103,7 @@
         }
     }
     result
-        .owed
+        .entitlements
         .sort_by(|a, b| (&a.service, &a.account).cmp(&(&b.service, &b.account)));
 }
 
@@ -111,7 +111,11 @@
 pub fn warnings(config: &FleetConfig) -> Vec<String> {
     let mut list = Vec::new();
     for (id, account) in &config.accounts {
-        if !config.services.keys().any(|s| config.service_open(*id, *s)) {
+        if !config
+            .services
+            .keys()
+            .any(|s| config.can_use_service(*id, *s))
+        {
             list.push(format!("account {} may use no server", account.name));
         }
     }
@@ -121,7 +125,7 @@
         }
     }
     for (id, service) in &config.services {
-        if !config.by_service.contains_key(id) {
+        if !config.pools_by_service.contains_key(id) {
             list.push(format!("service {} has no server", service.name));
         }
     }
--- a/crates/hawthornmill/src/config/owed.rs
+++ b/crates/hawthornmill/src/config/entitlement.rs
@@ -13,7 +13,7 @@
 const ROUNDS: usize = 4000;
 
 /// Part of a service's slots that an account is owed, from 0 to 1.
-pub type Owed = BTreeMap<(ServiceId, AccountId), f64>;
+pub type Entitlements = BTreeMap<(ServiceId, AccountId), f64>;
 
 #[derive(Debug)]
 struct Room<'a> {
@@ -22,8 +22,8 @@
 }
 
 /// Works out what every account is owed of every service; leaving servers have no slots.
-pub fn owed(config: &FleetConfig) -> Owed {
-    let mut owed = Owed::new();
+pub fn entitlements(config: &FleetConfig) -> Entitlements {
+    let mut owed = Entitlements::new();
     for service in config.services.keys() {
         for (account, part) in owed_of(config, *service) {
             owed.insert((*service, account), part);
--- a/crates/hawthornmill/src/config/mod.rs
+++ b/crates/hawthornmill/src/config/mod.rs
@@ -7,13 +7,13 @@
 
 pub mod accept;
 pub mod compare;
-pub mod intake;
+pub mod entitlement;
 pub mod model;
 pub mod names;
-pub mod owed;
 pub mod parse;
+pub mod revisions;
 
 pub use accept::{Manifest, ValueRef, accept};
 pub use model::{
-    Account, AnswerRule, BackendServer, Complete, CostKind, FleetConfig, Repeat, Service,
+    Account, BackendServer, Completion, CostKind, FleetConfig, ResponseRules, RetryPolicy, Service,
 };
--- a/crates/hawthornmill/src/config/model.rs
+++ b/crates/hawthornmill/src/config/model.rs
@@ -8,7 +8,7 @@
 
 /// May a call of a service be run again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// A call may be retried while nothing of its answer was passed on.
     Allowed,
     /// A call runs at most once and needs an idempotency key.
@@ -26,7 +26,7 @@
 
 /// What makes an answer whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Complete {
+pub enum Completion {
     /// The length or end that HTTP names.
     Length,
     /// A last line with `"done":true` besides.
@@ -35,13 +35,13 @@
 
 /// Rules for the answers of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnswerRule {
+pub struct ResponseRules {
     /// What makes an answer whole.
-    pub complete: Complete,
+    pub completion: Completion,
     /// A broken answer can be resumed: the field `from` of the request counts lines to leave out.
     pub resume: bool,
     /// Longest silence within an answer.
-    pub stall: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// A client account.
@@ -65,7 +65,7 @@
     /// Name in the configuration and in the call path.
     pub name: Box<str>,
     /// May a call be run again.
-    pub repeat: Repeat,
+    pub retry: RetryPolicy,
     /// How a call is charged.
     pub cost: CostKind,
     /// Cost assumed of an account's first call, in the service's unit.
@@ -73,7 +73,7 @@
     /// Deadline of a call that names none.
     pub timeout: Duration,
     /// Rules for its answers.
-    pub answer: AnswerRule,
+    pub response: ResponseRules,
 }
 
 /// A backend server.
@@ -112,7 +112,7 @@
 
 /// Servers that the same grants select.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Class {
+pub struct ServerClass {
     /// Share of each account that may use the class: the largest of its grants.
     pub shares: BTreeMap<AccountId, f64>,
 }
@@ -140,7 +140,7 @@
     /// Name of each failure domain.
     pub domain_names: BTreeMap<DomainId, Box<str>>,
     /// Name of each region.
-    pub regions: BTreeMap<RegionId, Box<str>>,
+    pub region_names: BTreeMap<RegionId, Box<str>>,
     /// Client accounts.
     pub accounts: BTreeMap<AccountId, Account>,
     /// Services.
@@ -150,11 +150,11 @@
     /// Grants in the order of their names.
     pub grants: Vec<Grant>,
     /// Classes of servers that the same grants select.
-    pub classes: Vec<Class>,
+    pub classes: Vec<ServerClass>,
     /// Pools.
     pub pools: BTreeMap<PoolId, Pool>,
     /// Pools of each service.
-    pub by_service: BTreeMap<ServiceId, Vec<PoolId>>,
+    pub pools_by_service: BTreeMap<ServiceId, Vec<PoolId>>,
     /// Account of each token hash.
     pub tokens: BTreeMap<[u8; 32], AccountId>,
 }
@@ -176,16 +176,16 @@
     }
 
     /// Tells whether any server of `pool` is open to `account`.
-    pub fn pool_open(&self, account: AccountId, pool: PoolId) -> bool {
+    pub fn can_use_pool(&self, account: AccountId, pool: PoolId) -> bool {
         self.pools
             .get(&pool)
             .is_some_and(|p| p.servers.iter().any(|s| self.share(account, *s).is_some()))
     }
 
     /// Tells whether any server of `service` is open to `account`.
-    pub fn service_open(&self, account: AccountId, service: ServiceId) -> bool {
-        self.by_service
+    pub fn can_use_service(&self, account: AccountId, service: ServiceId) -> bool {
+        self.pools_by_service
             .get(&service)
-            .is_some_and(|pools| pools.iter().any(|p| self.pool_open(account, *p)))
+            .is_some_and(|pools| pools.iter().any(|p| self.can_use_pool(account, *p)))
     }
 }
--- a/crates/hawthornmill/src/config/names.rs
+++ b/crates/hawthornmill/src/config/names.rs
@@ -8,13 +8,13 @@
 
 /// Names seen so far, by kind and key.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct NameRegistry {
     seen: BTreeMap<(&'static str, u64), Box<str>>,
 }
 
-impl Names {
+impl NameRegistry {
     /// Notes that `name` has `key`; the result is an earlier other name with the same one.
-    pub fn claim(&mut self, kind: &'static str, key: u64, name: &str) -> Option<Box<str>> {
+    pub fn register(&mut self, kind: &'static str, key: u64, name: &str) -> Option<Box<str>> {
         let holder = self.seen.entry((kind, key)).or_insert_with(|| name.into());
         (**holder != *name).then(|| holder.clone())
     }
--- a/crates/hawthornmill/src/config/parse.rs
+++ b/crates/hawthornmill/src/config/parse.rs
@@ -6,10 +6,10 @@
 use smallvec::SmallVec;
 
 use super::model::{
-    Account, AnswerRule, BackendServer, Class, Complete, CostKind, FleetConfig, Grant, Pool,
-    Repeat, Service,
+    Account, BackendServer, Completion, CostKind, FleetConfig, Grant, Pool, ResponseRules,
+    RetryPolicy, ServerClass, Service,
 };
-use super::names::Names;
+use super::names::NameRegistry;
 use crate::codes::Code;
 use crate::ident::{AccountId, DomainId, PoolId, RegionId, ServerId, ServiceId};
 use crate::ini::{Diagnostic, Reader, Section, parse_sections};
@@ -43,7 +43,7 @@
         }
     }
     // Servers refer to domains and services, so those come first whatever file they stand in.
-    let mut names = Names::default();
+    let mut names = NameRegistry::default();
     for kinds in [&["domain", "account", "service"][..], &["server", "grant"]] {
         for (file, section) in parts.iter().filter(|(_, s)| kinds.contains(&&*s.kind)) {
             let mut reader = Reader::new(file);
@@ -67,7 +67,7 @@
 }
 
 /// Refuses a section with a name whose key is another's.
-fn claim_keys(names: &mut Names, reader: &mut Reader<'_>, section: &Section) {
+fn claim_keys(names: &mut NameRegistry, reader: &mut Reader<'_>, section: &Section) {
     let name = &*section.name;
     let value = |key: &str| section.get(key).map(|e| e.value.clone());
     let mut keys: SmallVec<[(&'static str, u64, Box<str>); 2]> = SmallVec::new();
@@ -88,7 +88,7 @@
         _ => {}
     }
     for (kind, key, name) in keys {
-        if let Some(other) = names.claim(kind, key, &name) {
+        if let Some(other) = names.register(kind, key, &name) {
             let what = format!("{kind}s `{other}` and `{name}` have one key; rename either");
             reader.report(Code::KeyCollision, section.line, 0, what);
         }
@@ -117,7 +117,7 @@
     };
     let id = DomainId::of(&section.name);
     let earlier = config.domains.insert(id, RegionId::of(&region));
-    config.regions.insert(RegionId::of(&region), region);
+    config.region_names.insert(RegionId::of(&region), region);
     config.domain_names.insert(id, section.name.clone());
     once(reader, section, earlier.is_some());
 }
@@ -163,10 +163,13 @@
     let timeout = reader.number_in(section, "timeout_ms", DEFAULT_TIMEOUT_MS, 1.0..=3_600_000.0);
     let service = Service {
         name: section.name.clone(),
-        repeat: reader.choice(
+        retry: reader.choice(
             section,
             "repeat",
-            &[("allowed", Repeat::Allowed), ("never", Repeat::Never)],
+            &[
+                ("allowed", RetryPolicy::Allowed),
+                ("never", RetryPolicy::Never),
+            ],
         ),
         cost: reader.choice(
             section,
@@ -175,7 +178,7 @@
         ),
         estimate: reader.number_in(section, "estimate", DEFAULT_ESTIMATE, 0.001..=1e9),
         timeout: Duration::from_secs_f64(timeout / 1000.0),
-        answer: answer_rule(reader, section),
+        response: answer_rule(reader, section),
     };
     let earlier = config
         .services
@@ -183,19 +186,19 @@
     once(reader, section, earlier.is_some());
 }
 
-fn answer_rule(reader: &mut Reader<'_>, section: &Section) -> AnswerRule {
+fn answer_rule(reader: &mut Reader<'_>, section: &Section) -> ResponseRules {
     let stall = reader.number_in(section, "stall_ms", DEFAULT_STALL_MS, 1.0..=3_600_000.0);
-    AnswerRule {
-        complete: reader.choice(
+    ResponseRules {
+        completion: reader.choice(
             section,
             "complete",
             &[
-                ("length", Complete::Length),
-                ("done-line", Complete::DoneLine),
+                ("length", Completion::Length),
+                ("done-line", Completion::DoneLine),
             ],
         ),
         resume: reader.choice(section, "resume", &[("no", false), ("from", true)]),
-        stall: Duration::from_secs_f64(stall / 1000.0),
+        idle_timeout: Duration::from_secs_f64(stall / 1000.0),
     }
 }
 
@@ -225,7 +228,7 @@
     if let Some(region) = config
         .domains
         .get(&ids.1)
-        .and_then(|r| config.regions.get(r))
+        .and_then(|r| config.region_names.get(r))
     {
         labels.insert("region".into(), region.clone());
     }
@@ -322,7 +325,7 @@
         server.class = *classes.entry(signature).or_insert(next);
     }
     let members: Vec<Vec<AccountId>> = config.grants.iter().map(|g| members(config, g)).collect();
-    config.classes = vec![Class::default(); classes.len()];
+    config.classes = vec![ServerClass::default(); classes.len()];
     for (signature, class) in classes {
         let shares = &mut config.classes[usize::from(class)].shares;
         for index in signature {
@@ -357,6 +360,10 @@
         entry.servers.push(*id);
     }
     for (id, pool) in &config.pools {
-        config.by_service.entry(pool.service).or_default().push(*id);
+        config
+            .pools_by_service
+            .entry(pool.service)
+            .or_default()
+            .push(*id);
     }
 }
--- a/crates/hawthornmill/src/config/intake.rs
+++ b/crates/hawthornmill/src/config/revisions.rs
@@ -11,17 +11,17 @@
 
 /// Revisions that were refused, and the one that a peer was asked for.
 #[derive(Debug, Clone, Default)]
-pub struct Intake {
+pub struct RevisionTracker {
     refused: Option<Manifest>,
     asked: Option<(u64, Instant)>,
 }
 
-impl Intake {
+impl RevisionTracker {
     /// Tells whether a peer that names `revision` should be asked for it; a yes is remembered.
     ///
     /// Every heartbeat and report names a revision. Without this, an instance that is behind would
     /// ask each peer with each of them and be sent the same values many times over.
-    pub fn ask(&mut self, revision: u64, have: u64, now: Instant) -> bool {
+    pub fn should_request(&mut self, revision: u64, have: u64, now: Instant) -> bool {
         if revision <= have {
             return false;
         }
@@ -40,7 +40,7 @@
     /// The verdict on a whole revision never changes, so fetching it again would only load the
     /// platform. A value that is missing, or of another revision, is no verdict: the platform was
     /// read in the middle of a change, and the same manifest may be good a moment later.
-    pub fn refuse(&mut self, manifest: &Manifest, faults: &[Diagnostic]) {
+    pub fn reject(&mut self, manifest: &Manifest, faults: &[Diagnostic]) {
         let partial = |f: &Diagnostic| matches!(f.code, Code::ValueMissing | Code::DigestMismatch);
         if !faults.iter().any(partial) {
             self.refused = Some(manifest.clone());
@@ -48,7 +48,7 @@
     }
 
     /// Tells whether `manifest` was refused before.
-    pub fn is_refused(&self, manifest: &Manifest) -> bool {
+    pub fn is_rejected(&self, manifest: &Manifest) -> bool {
         self.refused.as_ref() == Some(manifest)
     }
 
--- a/crates/hawthornmill/src/pools/entry.rs
+++ b/crates/hawthornmill/src/pools/entry.rs
@@ -442,7 +442,7 @@
         .map_or(0, std::collections::VecDeque::len)
         .min(WANT_CAP) as u32;
     let config = Arc::clone(&board.config);
-    let Some(pools) = config.by_service.get(&service) else {
+    let Some(pools) = config.pools_by_service.get(&service) else {
         return;
     };
     let chosen = regions::choose(board, service, account, pools);
--- a/crates/hawthornmill/src/pools/regions.rs
+++ b/crates/hawthornmill/src/pools/regions.rs
@@ -78,7 +78,7 @@
     let open = pools
         .iter()
         .copied()
-        .filter(|p| board.config.pool_open(account, *p));
+        .filter(|p| board.config.can_use_pool(account, *p));
     let (home, away): (Pools, Pools) = open.partition(|p| !is_away(board, *p));
     if board.tuning.policy == Policy::Static {
         return home.into_iter().chain(away).collect();
--- a/crates/hawthornmill/src/usage/causes.rs
+++ b/crates/hawthornmill/src/usage/causes.rs
@@ -114,12 +114,12 @@
         if during(self.stale) {
             return Reason::View;
         }
-        let pools = board.config.by_service.get(&service);
+        let pools = board.config.pools_by_service.get(&service);
         let open: SmallVec<[PoolId; 4]> = pools
             .into_iter()
             .flatten()
             .copied()
-            .filter(|p| board.config.pool_open(account, *p))
+            .filter(|p| board.config.can_use_pool(account, *p))
             .collect();
         // A cut also takes the owners of the pools behind it away, so it is looked for first.
         let is_cut = |p: &PoolId| during(self.cut.get(&board.config.pools[p].region).copied());
@@ -165,6 +165,6 @@
             .and_then(|(id, _)| board.reports.pool(*pool, id))
             .is_some_and(|s| s.idle > 0)
     };
-    let pools = config.by_service.get(&service);
+    let pools = config.pools_by_service.get(&service);
     pools.into_iter().flatten().any(|p| closed(p) && idle(p))
 }
--- a/tests/testsuite/check.rs
+++ b/tests/testsuite/check.rs
@@ -5,8 +5,8 @@
 
 use hawthornmill::config::FleetConfig;
 use hawthornmill::config::compare::warnings;
-use hawthornmill::config::names::Names;
-use hawthornmill::config::owed::owed;
+use hawthornmill::config::entitlement::entitlements;
+use hawthornmill::config::names::NameRegistry;
 use hawthornmill::ident::{AccountId, ServiceId};
 use hawthornmill_test_support::fleet::FleetText;
 use hawthornmill_test_support::procs::small_fleet;
@@ -28,7 +28,7 @@
 
 fn part(config: &FleetConfig, account: &str) -> f64 {
     let key = (ServiceId::of("drafting"), AccountId::of(account));
-    owed(config).get(&key).copied().unwrap_or(0.0)
+    entitlements(config).get(&key).copied().unwrap_or(0.0)
 }
 
 fn file(name: &str, fleet: &FleetText) -> PathBuf {
@@ -143,13 +143,13 @@
 /// silently replace the first.
 #[test]
 fn two_names_with_one_key_are_refused() {
-    let mut names = Names::default();
+    let mut names = NameRegistry::default();
 
     let found = [
-        names.claim("account", 5, "one"),
-        names.claim("server", 5, "other kind"),
-        names.claim("account", 5, "one"),
-        names.claim("account", 5, "two"),
+        names.register("account", 5, "one"),
+        names.register("server", 5, "other kind"),
+        names.register("account", 5, "one"),
+        names.register("account", 5, "two"),
     ];
 
     assert_eq!(found, [None, None, None, Some("one".into())]);
