--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -155,7 +155,7 @@
     loop {
         timer.tick().await;
         let now = fleet.clock.now();
-        fleet.home.lock().table.sweep(now);
+        fleet.home.lock().table.remove_expired(now);
         let config = fleet.view(|board| Arc::clone(&board.config));
         fleet.retries().retain(
             |service| config.services.contains_key(&service),
--- a/crates/hawthornmill-net/src/entry/home.rs
+++ b/crates/hawthornmill-net/src/entry/home.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use hawthornmill::ident::InstanceId;
-use hawthornmill::keys::{KeyTable, Prefix, table::OwnKey};
+use hawthornmill::keys::{KeyPrefix, KeyTable, table::AccountKey};
 use tokio::sync::watch;
 
 use crate::fleet::Fleet;
@@ -22,7 +22,7 @@
     /// Marks and kept answers.
     pub table: KeyTable,
     /// Calls that run now; the sender is dropped when the call ends.
-    pub running: BTreeMap<OwnKey, watch::Receiver<()>>,
+    pub running: BTreeMap<AccountKey, watch::Receiver<()>>,
 }
 
 impl Home {
@@ -45,10 +45,10 @@
 /// A fresh prefix of this process run.
 pub fn fresh_prefix(fleet: &Fleet) -> Box<str> {
     let age = fleet.clock.now().duration_since(fleet.started);
-    let prefix = Prefix {
+    let prefix = KeyPrefix {
         home: InstanceId::of(&fleet.settings.contact.name),
         incarnation: fleet.incarnation,
-        made: age.as_secs() as u32,
+        issued_secs: age.as_secs() as u32,
     };
-    prefix.text(&fleet.settings.key)
+    prefix.encode(&fleet.settings.key)
 }
--- a/crates/hawthornmill-net/src/entry/keyed.rs
+++ b/crates/hawthornmill-net/src/entry/keyed.rs
@@ -12,8 +12,8 @@
 use hawthornmill::answer::Lines;
 use hawthornmill::codes::{Code, Outcome};
 use hawthornmill::ident::InstanceId;
-use hawthornmill::keys::table::{OwnKey, forget_after};
-use hawthornmill::keys::{Claim, KeptAnswer, Prefix, PrefixError, Use};
+use hawthornmill::keys::table::{AccountKey, retention};
+use hawthornmill::keys::{ClaimResult, KeyError, KeyPrefix, KeyUse, StoredResponse};
 use hawthornmill::pools::tick;
 use poem::http::StatusCode;
 use poem::{Body, Request, Response};
@@ -95,11 +95,11 @@
         .get(KEY)
         .ok_or_else(|| Problem::not_run(Code::KeyRequired, &id))?;
     let text = text.to_str().unwrap_or_default();
-    let (prefix, _) = Prefix::read(&fleet.settings.key, text).map_err(|error| {
+    let (prefix, _) = KeyPrefix::parse_key(&fleet.settings.key, text).map_err(|error| {
         // A key that can't be read names no home, so this copy went nowhere.
         let words = match error {
-            PrefixError::Malformed => "malformed",
-            PrefixError::Foreign => "not made by this fleet",
+            KeyError::Malformed => "malformed",
+            KeyError::UnknownIssuer => "not made by this fleet",
         };
         Problem::not_run(Code::BadKey, &id).detail(words)
     })?;
@@ -124,7 +124,7 @@
     fleet: &Arc<Fleet>,
     call: Call,
     text: &str,
-    prefix: Prefix,
+    prefix: KeyPrefix,
     flying: Arc<Flying>,
 ) -> Result<Response, Problem> {
     let id = call.out.id.clone();
@@ -134,7 +134,7 @@
         return Err(problem.retry(SETTLE));
     }
     let ttl = fleet.settings.discovery.keys;
-    let own: OwnKey = (call.admitted.account, text.into());
+    let own: AccountKey = (call.admitted.account, text.into());
     let deadline = call.admitted.deadline;
     let digest = digest(&call);
     let ended = {
@@ -142,18 +142,18 @@
         // Read under the lock. Were the process stopped between this check and the claim, the sweep
         // could forget the key of an earlier copy in between, and this copy would run it again.
         let now = fleet.clock.now();
-        if prefix.expired(now.duration_since(fleet.started), ttl) {
+        if prefix.is_expired(now.duration_since(fleet.started), ttl) {
             // The mark may be forgotten, so nothing is known of the key; this copy goes nowhere.
             let problem = Problem::new(Code::KeyExpired, Outcome::Unknown, &id);
             return Err(problem.attempt(Outcome::NotRun));
         }
-        let usage = Use {
-            made: prefix.made,
+        let usage = KeyUse {
+            issued_secs: prefix.issued_secs,
             digest,
-            forget: now + forget_after(ttl, deadline.saturating_duration_since(now)),
+            expires_at: now + retention(ttl, deadline.saturating_duration_since(now)),
         };
         match home.table.claim(&own, usage) {
-            Claim::Run => {
+            ClaimResult::Run => {
                 let (sender, receiver) = watch::channel(());
                 home.running.insert(own.clone(), receiver.clone());
                 tokio::spawn(run_once(
@@ -165,9 +165,9 @@
                 ));
                 receiver
             }
-            Claim::Join => home.running[&own].clone(),
+            ClaimResult::InProgress => home.running[&own].clone(),
             // The refusal of another copy is final; the caller needs a new key.
-            Claim::Refused(_) => return Err(Problem::not_run(Code::KeyRefused, &id)),
+            ClaimResult::Rejected(_) => return Err(Problem::not_run(Code::KeyRefused, &id)),
             other => return settled(other, &id),
         }
     };
@@ -203,7 +203,7 @@
 async fn wait_end(
     fleet: &Arc<Fleet>,
     mut ended: watch::Receiver<()>,
-    own: &OwnKey,
+    own: &AccountKey,
     digest: [u8; 32],
     deadline: std::time::Instant,
     id: &str,
@@ -211,10 +211,10 @@
     let until = tokio::time::Instant::from_std(deadline + GRACE);
     // The sender says nothing and is dropped at the end, so an error is the awaited event.
     let _end = tokio::time::timeout_at(until, ended.changed()).await;
-    let found = fleet.home.lock().table.look(own, digest);
+    let found = fleet.home.lock().table.get(own, digest);
     match found {
         // The run was given up before a byte left, and its key never runs.
-        Some(Claim::Refused(code)) => {
+        Some(ClaimResult::Rejected(code)) => {
             Err(Problem::not_run(code, id).retry(Duration::from_millis(500)))
         }
         Some(other) => settled(other, id),
@@ -223,33 +223,35 @@
     }
 }
 
-fn settled(claim: Claim, id: &str) -> Result<Response, Problem> {
+fn settled(claim: ClaimResult, id: &str) -> Result<Response, Problem> {
     match claim {
-        Claim::Kept(answer) => Ok(kept(&answer)),
-        Claim::Gone => Err(Problem::new(Code::AnswerGone, Outcome::Ran, id)),
-        Claim::Mismatch => {
+        ClaimResult::Replay(answer) => Ok(kept(&answer)),
+        ClaimResult::Discarded => Err(Problem::new(Code::AnswerGone, Outcome::Ran, id)),
+        ClaimResult::Mismatch => {
             let problem = Problem::new(Code::BadKey, Outcome::Unknown, id);
             Err(problem
                 .attempt(Outcome::NotRun)
                 .detail("the key was used for a different request"))
         }
         // No room to mark the key, so nothing was started, nor will be: the table refuses it on.
-        Claim::Full => Err(Problem::not_run(Code::KeysFull, id).retry(Duration::from_secs(1))),
-        Claim::Run | Claim::Join | Claim::Refused(_) => Err(Problem::new(
+        ClaimResult::Full => {
+            Err(Problem::not_run(Code::KeysFull, id).retry(Duration::from_secs(1)))
+        }
+        ClaimResult::Run | ClaimResult::InProgress | ClaimResult::Rejected(_) => Err(Problem::new(
             Code::DeadlineWhileRunning,
             Outcome::Unknown,
             id,
         )),
-        Claim::Unknown => Err(Problem::new(Code::UpstreamFailed, Outcome::Unknown, id)),
+        ClaimResult::Unknown => Err(Problem::new(Code::UpstreamFailed, Outcome::Unknown, id)),
     }
 }
 
-fn kept(answer: &KeptAnswer) -> Response {
+fn kept(answer: &StoredResponse) -> Response {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let mut response = Response::builder()
         .status(status)
-        .header(REQUEST_ID, &*answer.request);
-    if let Some(kind) = &answer.kind {
+        .header(REQUEST_ID, &*answer.request_id);
+    if let Some(kind) = &answer.content_type {
         response = response.content_type(kind);
     }
     response.body(Bytes::copy_from_slice(&answer.body))
@@ -259,20 +261,20 @@
 async fn run_once(
     fleet: Arc<Fleet>,
     call: Call,
-    own: OwnKey,
+    own: AccountKey,
     ended: watch::Sender<()>,
     flying: Arc<Flying>,
 ) {
     let result = run_claimed(&fleet, &call).await;
     let mut home = fleet.home.lock();
     match result {
-        Ok(answer) => home.table.ran(&own, Some(answer)),
+        Ok(answer) => home.table.complete(&own, Some(answer)),
         // Nothing was sent. The key stays refused, so that a copy which is still on its way can't
         // run after its caller was told `not_run` and went on with a new key.
         Err(problem) if problem.outcome == Outcome::NotRun => {
-            home.table.refuse(&own, problem.code);
+            home.table.reject(&own, problem.code);
         }
-        Err(_) => home.table.unknown(&own),
+        Err(_) => home.table.set_unknown(&own),
     }
     home.running.remove(&own);
     drop(home);
@@ -280,7 +282,7 @@
     drop(flying);
 }
 
-async fn run_claimed(fleet: &Arc<Fleet>, call: &Call) -> Result<KeptAnswer, Problem> {
+async fn run_claimed(fleet: &Arc<Fleet>, call: &Call) -> Result<StoredResponse, Problem> {
     let mut slot = slot(fleet, call).await?;
     match attempt(fleet, call, &mut slot, true).await {
         Ok(answer) => collect(fleet, call, slot, answer).await,
@@ -300,7 +302,7 @@
     call: &Call,
     slot: SlotGuard,
     mut answer: reqwest::Response,
-) -> Result<KeptAnswer, Problem> {
+) -> Result<StoredResponse, Problem> {
     let reported = relay::reported(&answer);
     let rule = call.admitted.answer;
     let mut body = Vec::new();
@@ -335,11 +337,11 @@
         ));
     }
     let kind = answer.headers().get("content-type");
-    Ok(KeptAnswer {
+    Ok(StoredResponse {
         status: answer.status().as_u16(),
-        kind: kind.and_then(|k| k.to_str().ok()).map(Into::into),
+        content_type: kind.and_then(|k| k.to_str().ok()).map(Into::into),
         body: body.into(),
-        request: call.out.id.clone(),
+        request_id: call.out.id.clone(),
     })
 }
 
@@ -354,7 +356,7 @@
     fleet: &Arc<Fleet>,
     call: &Call,
     text: &str,
-    prefix: Prefix,
+    prefix: KeyPrefix,
 ) -> Result<Response, Problem> {
     let id = &call.out.id;
     let address = fleet.view(|board| {
--- a/crates/hawthornmill/src/keys/mod.rs
+++ b/crates/hawthornmill/src/keys/mod.rs
@@ -8,5 +8,5 @@
 pub mod prefix;
 pub mod table;
 
-pub use prefix::{Prefix, PrefixError};
-pub use table::{Claim, KeptAnswer, KeyTable, Use};
+pub use prefix::{KeyError, KeyPrefix};
+pub use table::{ClaimResult, KeyTable, KeyUse, StoredResponse};
--- a/crates/hawthornmill/src/keys/table.rs
+++ b/crates/hawthornmill/src/keys/table.rs
@@ -11,22 +11,22 @@
 
 /// An answer that is kept for a repeated key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeptAnswer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Value of `Content-Type`, if there was one.
-    pub kind: Option<Box<str>>,
+    pub content_type: Option<Box<str>>,
     /// Body.
     pub body: Box<[u8]>,
     /// Request id under which it ran.
-    pub request: Box<str>,
+    pub request_id: Box<str>,
 }
 
 /// What is known of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Mark {
     Running,
-    Ran(Option<KeptAnswer>),
+    Ran(Option<StoredResponse>),
     Unknown,
     Refused(Code),
 }
@@ -40,38 +40,38 @@
 
 /// What a call with a key may do.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Claim {
+pub enum ClaimResult {
     /// First use: run it, and say how it ended.
     Run,
     /// The call runs now.
-    Join,
+    InProgress,
     /// It ran, and this was the answer.
-    Kept(KeptAnswer),
+    Replay(StoredResponse),
     /// It ran; the answer is no longer kept.
-    Gone,
+    Discarded,
     /// It may or may not have run.
     Unknown,
     /// The key was used for a different request.
     Mismatch,
     /// It was refused with this code before a byte left; it never runs under this key.
-    Refused(Code),
+    Rejected(Code),
     /// No room to remember a new key; this one never runs.
     Full,
 }
 
 /// A use of a key.
 #[derive(Debug, Clone, Copy)]
-pub struct Use {
+pub struct KeyUse {
     /// Seconds of the home's run at which the key's prefix was made.
-    pub made: u32,
+    pub issued_secs: u32,
     /// Digest of the request's content.
     pub digest: [u8; 32],
     /// Until when the key's mark must stay.
-    pub forget: Instant,
+    pub expires_at: Instant,
 }
 
 /// A key as one account uses it; accounts never see each other's.
-pub type OwnKey = (AccountId, Box<str>);
+pub type AccountKey = (AccountId, Box<str>);
 
 /// Keys of one home.
 ///
@@ -84,11 +84,11 @@
 /// of that account that the table doesn't know is refused from then on, unless its prefix is newer.
 #[derive(Debug)]
 pub struct KeyTable {
-    rows: BTreeMap<OwnKey, Row>,
+    rows: BTreeMap<AccountKey, Row>,
     counts: BTreeMap<AccountId, usize>,
     /// Newest prefix of which a key was refused for want of room.
     floors: BTreeMap<AccountId, u32>,
-    answers: VecDeque<OwnKey>,
+    answers: VecDeque<AccountKey>,
     bytes: usize,
     max_rows: usize,
     max_bytes: usize,
@@ -109,55 +109,55 @@
     }
 
     /// Claims `key`; [`Claim::Run`] is said once for each key.
-    pub fn claim(&mut self, key: &OwnKey, usage: Use) -> Claim {
-        if let Some(claim) = self.look(key, usage.digest) {
+    pub fn claim(&mut self, key: &AccountKey, usage: KeyUse) -> ClaimResult {
+        if let Some(claim) = self.get(key, usage.digest) {
             return claim;
         }
         let floor = self.floors.get(&key.0);
-        if floor.is_some_and(|floor| usage.made <= *floor) {
-            return Claim::Full;
+        if floor.is_some_and(|floor| usage.issued_secs <= *floor) {
+            return ClaimResult::Full;
         }
         let count = self.counts.entry(key.0).or_default();
         // A flood of keys by one account must leave room for the others' keys.
         let part = self.max_rows.div_ceil(ACCOUNT_PART);
         if *count >= part || self.rows.len() >= self.max_rows {
-            self.floors.insert(key.0, usage.made);
-            return Claim::Full;
+            self.floors.insert(key.0, usage.issued_secs);
+            return ClaimResult::Full;
         }
         *count += 1;
         let row = Row {
             mark: Mark::Running,
-            forget: usage.forget,
+            forget: usage.expires_at,
             digest: usage.digest,
         };
         self.rows.insert(key.clone(), row);
-        Claim::Run
+        ClaimResult::Run
     }
 
     /// What is known of `key`, without a claim to it; none for an unknown key.
-    pub fn look(&self, key: &OwnKey, digest: [u8; 32]) -> Option<Claim> {
+    pub fn get(&self, key: &AccountKey, digest: [u8; 32]) -> Option<ClaimResult> {
         let row = self.rows.get(key)?;
         if row.digest != digest {
-            return Some(Claim::Mismatch);
+            return Some(ClaimResult::Mismatch);
         }
         Some(match &row.mark {
-            Mark::Running => Claim::Join,
-            Mark::Ran(Some(answer)) => Claim::Kept(answer.clone()),
-            Mark::Ran(None) => Claim::Gone,
-            Mark::Unknown => Claim::Unknown,
-            Mark::Refused(code) => Claim::Refused(*code),
+            Mark::Running => ClaimResult::InProgress,
+            Mark::Ran(Some(answer)) => ClaimResult::Replay(answer.clone()),
+            Mark::Ran(None) => ClaimResult::Discarded,
+            Mark::Unknown => ClaimResult::Unknown,
+            Mark::Refused(code) => ClaimResult::Rejected(*code),
         })
     }
 
     /// The call was given up before a byte left: the key never runs.
-    pub fn refuse(&mut self, key: &OwnKey, code: Code) {
+    pub fn reject(&mut self, key: &AccountKey, code: Code) {
         if let Some(row) = self.rows.get_mut(key) {
             row.mark = Mark::Refused(code);
         }
     }
 
     /// The call ran; its answer is kept within the bound of bytes.
-    pub fn ran(&mut self, key: &OwnKey, answer: Option<KeptAnswer>) {
+    pub fn complete(&mut self, key: &AccountKey, answer: Option<StoredResponse>) {
         let Some(row) = self.rows.get_mut(key) else {
             return;
         };
@@ -171,7 +171,7 @@
     }
 
     /// Nobody can say whether the call ran.
-    pub fn unknown(&mut self, key: &OwnKey) {
+    pub fn set_unknown(&mut self, key: &AccountKey) {
         if let Some(row) = self.rows.get_mut(key) {
             row.mark = Mark::Unknown;
         }
@@ -189,7 +189,7 @@
     }
 
     /// Forgets keys whose prefix can't be used any more.
-    pub fn sweep(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         let (bytes, counts) = (&mut self.bytes, &mut self.counts);
         self.rows.retain(|key, row| {
             let keep = row.forget > now || row.mark == Mark::Running;
@@ -237,6 +237,6 @@
 }
 
 /// Time for which a mark must stay: the rest of the prefix's life and the longest deadline.
-pub fn forget_after(ttl: Duration, deadline: Duration) -> Duration {
+pub fn retention(ttl: Duration, deadline: Duration) -> Duration {
     ttl + deadline
 }
