--- a/crates/hawthornmill-gateway/src/datagrams.rs
+++ b/crates/hawthornmill-gateway/src/datagrams.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-use hawthornmill::wire::frame::DATAGRAM_LIMIT;
+use hawthornmill::wire::frame::MAX_DATAGRAM_BYTES;
 use hawthornmill::wire::{Message, Sealer};
 use tokio::net::UdpSocket;
 
@@ -33,7 +33,7 @@
             log::error!(target: "mates", "a message can't be encoded");
             return;
         };
-        if frame.len() > DATAGRAM_LIMIT {
+        if frame.len() > MAX_DATAGRAM_BYTES {
             log::warn!(target: "mates", "message of {} bytes over one packet", frame.len());
         }
         self.send_frame(&frame, targets);
--- a/crates/hawthornmill-gateway/src/trip/admit.rs
+++ b/crates/hawthornmill-gateway/src/trip/admit.rs
@@ -62,7 +62,7 @@
     let path = call.head.path();
     let route = table
         .route(host, path)
-        .ok_or_else(|| unknown(gateway, Code::NoSuchCall))?;
+        .ok_or_else(|| unknown(gateway, Code::NotFound))?;
     let token = fields
         .get(names.token)
         .and_then(|v| bearer(v, names.scheme));
--- a/crates/hawthornmill-gateway/src/trip/mod.rs
+++ b/crates/hawthornmill-gateway/src/trip/mod.rs
@@ -90,7 +90,7 @@
     let reply = if trip.may_have_run() {
         Reply::new(Code::DeadlineWhileRunning)
     } else {
-        Reply::again(Code::QueueLate, admitted.request.objective)
+        Reply::again(Code::QueueTooLong, admitted.request.objective)
     };
     answer_self(way, trip, &reply, out).await
 }
--- a/crates/hawthornmill-gateway/src/trip/read.rs
+++ b/crates/hawthornmill-gateway/src/trip/read.rs
@@ -64,7 +64,7 @@
         Ok(Ok(Some(head))) => head,
         Ok(Ok(None)) => return Next::Closed,
         Ok(Err(code)) => return Next::Refuse(code),
-        Err(_elapsed) => return Next::Refuse(Code::HeadTooSlow),
+        Err(_elapsed) => return Next::Refuse(Code::RequestTooSlow),
     };
     let Ok(framing) = head.framing() else {
         return Next::Refuse(Code::BadHeader);
@@ -132,7 +132,7 @@
                 return if head.current {
                     Ok(Some(head))
                 } else {
-                    Err(Code::OldVersion)
+                    Err(Code::HttpVersionTooOld)
                 };
             }
             Ok(None) if reader.buffer.len() > most => return Err(Code::HeadersTooLarge),
@@ -163,7 +163,7 @@
             Ok(Piece::More) => match tokio::time::timeout(idle, reader.more()).await {
                 Ok(Ok(bytes)) if bytes > 0 => {}
                 Ok(_) => return Ok(None),
-                Err(_elapsed) => return Err(Code::HeadTooSlow),
+                Err(_elapsed) => return Err(Code::RequestTooSlow),
             },
             Err(_malformed) => return Err(Code::BadHeader),
         }
--- a/crates/hawthornmill-lab/src/slopes/measure.rs
+++ b/crates/hawthornmill-lab/src/slopes/measure.rs
@@ -12,7 +12,7 @@
 use hawthornmill::membership::place::{domain_relay, region_relay};
 use hawthornmill::pools::entry;
 use hawthornmill::pools::{self, tick};
-use hawthornmill::wire::frame::{HEADER, SHORT_HEADER, payload_len};
+use hawthornmill::wire::frame::{HEADER_BYTES, SHORT_HEADER_BYTES, payload_len};
 use hawthornmill::wire::message::{ConfigValues, Heartbeat, Message, PoolState, Report};
 
 use super::fixture::{BusyOwner, Size, board, call, contact, hear_all, values};
@@ -62,7 +62,7 @@
     let mut owner = BusyOwner::new(230, BACKLOGGED, POOL, ENTRIES);
     let [demand, grant] = owner
         .message_bytes()
-        .map(|b| (b + SHORT_HEADER + LENGTH) as f64);
+        .map(|b| (b + SHORT_HEADER_BYTES + LENGTH) as f64);
     vec![
         Line::through(
             "owner: µs for a release, a want and a grant",
@@ -158,7 +158,7 @@
         let messages = tick::report(&mut board, now);
         sum.micros += start.elapsed().as_secs_f64() * 1e6;
         sum.messages += messages.len() as f64;
-        let bytes = messages.iter().map(|(_, m)| payload_len(m) + HEADER);
+        let bytes = messages.iter().map(|(_, m)| payload_len(m) + HEADER_BYTES);
         sum.bytes += bytes.sum::<usize>() as f64;
     }
     let each = |value: f64| value / ROUNDS as f64;
@@ -296,7 +296,7 @@
     };
     let beat = heartbeat(None);
     let named = heartbeat(Some(Box::new(contact(Size::DESIGN, 0))));
-    let bytes = [&beat, &named].map(|m| (payload_len(m) + HEADER) as f64);
+    let bytes = [&beat, &named].map(|m| (payload_len(m) + HEADER_BYTES) as f64);
     vec![
         Line::through(
             "every instance: µs for working owners out anew",
@@ -389,7 +389,7 @@
         });
         moved.push((
             servers as f64,
-            (payload_len(&message) + SHORT_HEADER + LENGTH) as f64,
+            (payload_len(&message) + SHORT_HEADER_BYTES + LENGTH) as f64,
         ));
     }
     vec![
--- a/crates/hawthornmill-net/src/entry/keyed.rs
+++ b/crates/hawthornmill-net/src/entry/keyed.rs
@@ -9,12 +9,12 @@
 
 use bytes::Bytes;
 use futures_util::{StreamExt, stream};
-use hawthornmill::answer::Lines;
 use hawthornmill::codes::{Code, Outcome};
 use hawthornmill::ident::InstanceId;
 use hawthornmill::keys::table::{AccountKey, retention};
 use hawthornmill::keys::{ClaimResult, KeyError, KeyPrefix, KeyUse, StoredResponse};
 use hawthornmill::pools::tick;
+use hawthornmill::response::ResponseLines;
 use poem::http::StatusCode;
 use poem::{Body, Request, Response};
 use tokio::sync::watch;
@@ -76,8 +76,8 @@
         Code::KeyRequired,
         Code::BadKey,
         Code::KeyExpired,
-        Code::KeyRefused,
-        Code::KeysFull,
+        Code::KeyRejected,
+        Code::KeyTableFull,
         Code::HomeUnreachable,
     ];
     problem.attempt == Outcome::NotRun && early.contains(&problem.code)
@@ -167,7 +167,7 @@
             }
             ClaimResult::InProgress => home.running[&own].clone(),
             // The refusal of another copy is final; the caller needs a new key.
-            ClaimResult::Rejected(_) => return Err(Problem::not_run(Code::KeyRefused, &id)),
+            ClaimResult::Rejected(_) => return Err(Problem::not_run(Code::KeyRejected, &id)),
             other => return settled(other, &id),
         }
     };
@@ -226,7 +226,7 @@
 fn settled(claim: ClaimResult, id: &str) -> Result<Response, Problem> {
     match claim {
         ClaimResult::Replay(answer) => Ok(kept(&answer)),
-        ClaimResult::Discarded => Err(Problem::new(Code::AnswerGone, Outcome::Ran, id)),
+        ClaimResult::Discarded => Err(Problem::new(Code::ResponseDiscarded, Outcome::Ran, id)),
         ClaimResult::Mismatch => {
             let problem = Problem::new(Code::BadKey, Outcome::Unknown, id);
             Err(problem
@@ -235,7 +235,7 @@
         }
         // No room to mark the key, so nothing was started, nor will be: the table refuses it on.
         ClaimResult::Full => {
-            Err(Problem::not_run(Code::KeysFull, id).retry(Duration::from_secs(1)))
+            Err(Problem::not_run(Code::KeyTableFull, id).retry(Duration::from_secs(1)))
         }
         ClaimResult::Run | ClaimResult::InProgress | ClaimResult::Rejected(_) => Err(Problem::new(
             Code::DeadlineWhileRunning,
@@ -346,9 +346,9 @@
 }
 
 fn says_done(body: &[u8]) -> bool {
-    let mut lines = Lines::default();
+    let mut lines = ResponseLines::default();
     lines.push(body);
-    lines.whole()
+    lines.is_complete()
 }
 
 /// Passes the call on to the home of its key.
--- a/crates/hawthornmill-net/src/entry/retries.rs
+++ b/crates/hawthornmill-net/src/entry/retries.rs
@@ -92,7 +92,7 @@
         .then_some(Failure::Unavailable),
         Err(problem) => match problem.code {
             Code::UpstreamUnreachable => Some(Failure::Unreachable),
-            Code::UpstreamFailed | Code::CrossedAnswer => Some(Failure::Broken),
+            Code::UpstreamFailed | Code::ResponseMismatch => Some(Failure::Broken),
             _ => None,
         },
     }
--- a/crates/hawthornmill-net/src/entry/stream.rs
+++ b/crates/hawthornmill-net/src/entry/stream.rs
@@ -12,9 +12,9 @@
 use bytes::{Buf, Bytes};
 use futures_util::Stream;
 use futures_util::future::BoxFuture;
-use hawthornmill::answer::{Lines, Splice};
 use hawthornmill::codes::{Code, Outcome};
 use hawthornmill::config::Completion;
+use hawthornmill::response::{ResponseLines, ResumeFilter};
 use poem::http::{Method, StatusCode};
 use poem::{Body, Response};
 use tokio::time::{Instant, Sleep, sleep};
@@ -45,9 +45,9 @@
     slot: Option<SlotGuard>,
     source: Source,
     /// Followed where a whole answer or a resumption depends on lines.
-    lines: Option<Lines>,
+    lines: Option<ResponseLines>,
     done: bool,
-    splice: Splice,
+    splice: ResumeFilter,
     resumes: u32,
     tail: Tail,
     reported: Option<f64>,
@@ -80,8 +80,8 @@
     }
 
     fn whole(&self) -> bool {
-        let said = !self.done || self.lines.as_ref().is_some_and(Lines::whole);
-        said && self.splice.is_over()
+        let said = !self.done || self.lines.as_ref().is_some_and(ResponseLines::is_complete);
+        said && self.splice.is_done()
     }
 
     /// The answer broke: it is resumed, or the error with which the caller's stream breaks too.
@@ -112,14 +112,14 @@
         if !rule.resume || self.resumes >= RESUMES {
             return None;
         }
-        let (count, partial) = self.lines.as_ref()?.mark()?;
+        let (count, partial) = self.lines.as_ref()?.resume_point()?;
         let mut body: serde_json::Value = serde_json::from_slice(&self.call.out.body).ok()?;
         let from = body
             .as_object()?
             .get("from")
             .and_then(serde_json::Value::as_u64);
         body["from"] = (from.unwrap_or(0) + count).into();
-        self.splice = Splice::new(partial);
+        self.splice = ResumeFilter::new(partial);
         let mut call = self.call.clone();
         call.out.body = body.to_string().into();
         call.admitted.deadline = self.fleet.clock.now() + rule.idle_timeout;
@@ -136,7 +136,7 @@
 
     /// What of `chunk` the caller has not had.
     fn pass(&mut self, mut chunk: Bytes) -> Result<Bytes, &'static str> {
-        let skip = self.splice.take(&chunk);
+        let skip = self.splice.skip(&chunk);
         chunk.advance(skip.ok_or("the resumed answer is another one")?);
         self.tail.push(&chunk);
         if let Some(slot) = &mut self.slot {
@@ -278,9 +278,9 @@
     let relayed = Relayed {
         fleet: Arc::clone(delivery.flying.fleet()),
         slot: Some(slot),
-        lines: (done || resume).then(Lines::default),
+        lines: (done || resume).then(ResponseLines::default),
         done,
-        splice: Splice::default(),
+        splice: ResumeFilter::default(),
         resumes: 0,
         tail: Tail::default(),
         reported: reported(&answer),
--- a/crates/hawthornmill-net/src/peers/udp.rs
+++ b/crates/hawthornmill-net/src/peers/udp.rs
@@ -9,7 +9,7 @@
 use hawthornmill::ident::InstanceId;
 use hawthornmill::membership::beat_interval;
 use hawthornmill::pools::beat_targets;
-use hawthornmill::wire::frame::DATAGRAM_LIMIT;
+use hawthornmill::wire::frame::MAX_DATAGRAM_BYTES;
 use hawthornmill::wire::{Heartbeat, Message, Opener, Sealer};
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
@@ -50,7 +50,7 @@
         let Ok(frame) = sealer.seal_on(to.0, &message) else {
             continue;
         };
-        if frame.len() > DATAGRAM_LIMIT {
+        if frame.len() > MAX_DATAGRAM_BYTES {
             log::warn!(target: "peers", "datagram of {} bytes over one packet", frame.len());
         }
         if socket.send_to(&frame, address).await.is_ok() {
--- a/crates/hawthornmill-net/src/upstream.rs
+++ b/crates/hawthornmill-net/src/upstream.rs
@@ -123,7 +123,7 @@
         })?;
         let named = answer.headers().get(REQUEST_ID);
         if named.is_some_and(|id| id.as_bytes() != out.id.as_bytes()) {
-            return Err(SendError::Broken(Code::CrossedAnswer));
+            return Err(SendError::Broken(Code::ResponseMismatch));
         }
         Ok(answer)
     }
--- a/crates/hawthornmill-process/src/frames.rs
+++ b/crates/hawthornmill-process/src/frames.rs
@@ -1,18 +1,18 @@
 //! Frames on a stream: four bytes of length, the most significant first, then the frame.
 
 use hawthornmill::wire::FrameError;
-use hawthornmill::wire::frame::FRAME_LIMIT;
+use hawthornmill::wire::frame::MAX_FRAME_BYTES;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
 /// Reads one frame; none when the stream ends or breaks before its end.
 ///
 /// # Errors
-/// [`FrameError::TooLarge`] for a length over [`FRAME_LIMIT`].
+/// [`FrameError::TooLarge`] for a length over [`MAX_FRAME_BYTES`].
 pub async fn read(stream: &mut (impl AsyncRead + Unpin)) -> Result<Option<Vec<u8>>, FrameError> {
     let Ok(length) = stream.read_u32().await else {
         return Ok(None);
     };
-    if length as usize > FRAME_LIMIT {
+    if length as usize > MAX_FRAME_BYTES {
         return Err(FrameError::TooLarge);
     }
     // The buffer grows with what arrives, so a forged length alone takes no memory.
--- a/crates/hawthornmill/src/clock.rs
+++ b/crates/hawthornmill/src/clock.rs
@@ -27,9 +27,9 @@
         }
     }
 
-    /// A clock that moves only when its [`ManualTime`] is advanced.
-    pub fn manual() -> (Self, ManualTime) {
-        let time = ManualTime {
+    /// A clock that moves only when its [`ManualClock`] is advanced.
+    pub fn manual() -> (Self, ManualClock) {
+        let time = ManualClock {
             start: Instant::now(),
             nanos: Arc::new(AtomicU64::new(0)),
         };
@@ -48,12 +48,12 @@
 
 /// The hand that moves a manual [`Clock`].
 #[derive(Debug, Clone)]
-pub struct ManualTime {
+pub struct ManualClock {
     start: Instant,
     nanos: Arc<AtomicU64>,
 }
 
-impl ManualTime {
+impl ManualClock {
     /// Moves the clock forward by `step`.
     pub fn advance(&self, step: Duration) {
         self.nanos
--- a/crates/hawthornmill/src/codes.rs
+++ b/crates/hawthornmill/src/codes.rs
@@ -114,39 +114,39 @@
     /// A key whose prefix is no longer in use.
     KeyExpired = 3012, 409, "idempotency key's prefix expired";
     /// The key's call ran and its answer is no longer kept.
-    AnswerGone = 3013, 410, "ran, answer no longer kept";
+    ResponseDiscarded = 3013, 410, "ran, answer no longer kept";
     /// The key's home can't say what became of the call.
     HomeUnreachable = 3014, 503, "key's home instance unreachable";
     /// The table of keys is full.
-    KeysFull = 3015, 503, "key table full";
+    KeyTableFull = 3015, 503, "key table full";
     /// The backend server broke off before it answered.
     UpstreamFailed = 3016, 502, "backend server failed";
     /// The backend server can't be reached.
     UpstreamUnreachable = 3017, 503, "backend server can't be reached";
     /// The answer belonged to another request.
-    CrossedAnswer = 3018, 502, "answer belonged to another request";
+    ResponseMismatch = 3018, 502, "answer belonged to another request";
     /// The deadline passed while the request ran.
     DeadlineWhileRunning = 3019, 504, "deadline passed while the request ran";
     /// The instance holds as much as it may.
     InstanceFull = 3020, 503, "instance holds as many requests as it may";
     /// The call's path or method is not served.
-    NoSuchCall = 3021, 404, "no such call";
+    NotFound = 3021, 404, "no such call";
     /// The key's call was refused before, and a refusal is final.
-    KeyRefused = 3024, 409, "idempotency key was refused and stays so";
+    KeyRejected = 3024, 409, "idempotency key was refused and stays so";
     /// The account's queue is so long that the deadline would pass in it.
-    QueueLate = 3030, 429, "account's queue is too long for the deadline";
+    QueueTooLong = 3030, 429, "account's queue is too long for the deadline";
     /// A caller that is too slow with the head or the body of its request.
-    HeadTooSlow = 3031, 408, "request came too slowly";
+    RequestTooSlow = 3031, 408, "request came too slowly";
     /// A request in an HTTP version before 1.1.
-    OldVersion = 3032, 505, "HTTP/1.1 is needed";
+    HttpVersionTooOld = 3032, 505, "HTTP/1.1 is needed";
     /// A peer's frame that can't be decoded.
     FrameMalformed = 4001, 0, "malformed peer frame";
     /// A peer's frame with a wrong authentication code.
-    FrameForged = 4002, 0, "peer frame not authenticated";
+    FrameUnauthenticated = 4002, 0, "peer frame not authenticated";
     /// A peer's frame that was seen before.
     FrameReplayed = 4003, 0, "peer frame replayed";
     /// A peer's frame over the bound.
     FrameTooLarge = 4004, 0, "peer frame over the bound";
     /// A peer's frame of another protocol version.
-    FrameVersion = 4005, 0, "peer frame of another version";
+    FrameVersionMismatch = 4005, 0, "peer frame of another version";
 }
--- a/crates/hawthornmill/src/lib.rs
+++ b/crates/hawthornmill/src/lib.rs
@@ -19,7 +19,6 @@
 //! | [`usage`] | one record for each finished request |
 //! | [`wire`] | typed messages between instances and their authenticated frames |
 
-pub mod answer;
 pub mod board;
 pub mod clock;
 pub mod codes;
@@ -33,6 +32,7 @@
 pub mod membership;
 pub mod notes;
 pub mod pools;
+pub mod response;
 pub mod routing;
 pub mod usage;
 pub mod wire;
--- a/crates/hawthornmill/src/pools/queue.rs
+++ b/crates/hawthornmill/src/pools/queue.rs
@@ -41,7 +41,7 @@
     // Some wait in any case: a wrong estimate then takes no work from a server, and is put right by
     // how they are served.
     if ahead >= KEPT && pace(board, arrival.service, arrival.account).hopeless(ahead, left, now) {
-        return Err(Code::QueueLate);
+        return Err(Code::QueueTooLong);
     }
     make_room(board, &arrival)?;
     Ok(insert(board, arrival, now, SmallVec::new()))
--- a/crates/hawthornmill/src/answer.rs
+++ b/crates/hawthornmill/src/response.rs
@@ -2,21 +2,21 @@
 //!
 //! HTTP framing tells that a connection ended in order, not that a model engine said all that it had
 //! to say. [`Lines`] follows an answer that is made of lines and knows whether its last line came,
-//! and from which line on a broken one can be resumed; [`Splice`] joins the resumed part on.
+//! and from which line on a broken one can be resumed; [`ResumeFilter`] joins the resumed part on.
 
 /// Longest line that is followed; an answer with a longer one can't be resumed.
 const LINE_LIMIT: usize = 64 << 10;
 
 /// Lines of an answer, as far as it was passed on.
 #[derive(Debug, Clone, Default)]
-pub struct Lines {
+pub struct ResponseLines {
     count: u64,
     partial: Vec<u8>,
     done: bool,
     long: bool,
 }
 
-impl Lines {
+impl ResponseLines {
     /// Takes the next part of the answer.
     pub fn push(&mut self, mut chunk: &[u8]) {
         while let Some(end) = chunk.iter().position(|b| *b == b'\n') {
@@ -38,7 +38,7 @@
     }
 
     /// Tells whether the last line says that the answer is done; it may lack its line end.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         if self.partial.is_empty() {
             self.done
         } else {
@@ -47,7 +47,7 @@
     }
 
     /// Whole lines passed on, and the bytes of the line after them; none when a line was too long.
-    pub fn mark(&self) -> Option<(u64, &[u8])> {
+    pub fn resume_point(&self) -> Option<(u64, &[u8])> {
         (!self.long).then_some((self.count, &self.partial))
     }
 }
@@ -83,11 +83,11 @@
 
 /// Leaves out of a resumed answer what was passed on already.
 #[derive(Debug, Clone, Default)]
-pub struct Splice {
+pub struct ResumeFilter {
     expected: Vec<u8>,
 }
 
-impl Splice {
+impl ResumeFilter {
     /// The resumed answer begins with `passed`.
     pub fn new(passed: &[u8]) -> Self {
         Self {
@@ -97,7 +97,7 @@
 
     /// Number of bytes at the start of `chunk` to leave out; none when they differ from what was
     /// passed on, so that the two parts are not of one answer.
-    pub fn take(&mut self, chunk: &[u8]) -> Option<usize> {
+    pub fn skip(&mut self, chunk: &[u8]) -> Option<usize> {
         let count = self.expected.len().min(chunk.len());
         if self.expected[..count] != chunk[..count] {
             return None;
@@ -107,7 +107,7 @@
     }
 
     /// Tells whether all that was passed on before has come again.
-    pub fn is_over(&self) -> bool {
+    pub fn is_done(&self) -> bool {
         self.expected.is_empty()
     }
 }
--- a/crates/hawthornmill/src/routing/desk.rs
+++ b/crates/hawthornmill/src/routing/desk.rs
@@ -492,7 +492,7 @@
         let draw = (ahead % 8) as f64 / 8.0;
         let again = pace.come_back(ahead, draw, now);
         Refusal {
-            code: Code::QueueLate,
+            code: Code::QueueTooLong,
             cause,
             again: again.max(request.objective.mul_f64(PATIENCE)),
         }
--- a/crates/hawthornmill/src/usage/causes.rs
+++ b/crates/hawthornmill/src/usage/causes.rs
@@ -46,16 +46,16 @@
     /// The reason of a refusal that has nothing to do with waiting.
     pub fn of_code(code: Code) -> Option<Self> {
         match code {
-            Code::QueueFull | Code::QueueLate => Some(Self::QueueFull),
-            Code::InstanceFull | Code::KeysFull => Some(Self::InstanceFull),
+            Code::QueueFull | Code::QueueTooLong => Some(Self::QueueFull),
+            Code::InstanceFull | Code::KeyTableFull => Some(Self::InstanceFull),
             Code::BodyTooLarge
             | Code::BadHeader
             | Code::KeyRequired
             | Code::BadKey
             | Code::KeyExpired
-            | Code::KeyRefused
+            | Code::KeyRejected
             | Code::HomeUnreachable => Some(Self::Rejected),
-            Code::UpstreamFailed | Code::UpstreamUnreachable | Code::CrossedAnswer => {
+            Code::UpstreamFailed | Code::UpstreamUnreachable | Code::ResponseMismatch => {
                 Some(Self::Server)
             }
             _ => None,
--- a/crates/hawthornmill/src/wire/frame.rs
+++ b/crates/hawthornmill/src/wire/frame.rs
@@ -34,13 +34,13 @@
 /// First byte of a short frame.
 const SHORT: u8 = 0x80 | VERSION;
 /// Bytes before the payload of a short frame.
-pub const SHORT_HEADER: usize = 1 + MAC;
+pub const SHORT_HEADER_BYTES: usize = 1 + MAC;
 /// Bytes before the payload.
-pub const HEADER: usize = 1 + 8 + 8 + 8 + 8 + MAC;
+pub const HEADER_BYTES: usize = 1 + 8 + 8 + 8 + 8 + MAC;
 /// Most bytes of a frame on TCP; a configuration of several values fits.
-pub const FRAME_LIMIT: usize = 16 << 20;
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
 /// Most bytes of a datagram: under one MTU.
-pub const DATAGRAM_LIMIT: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 const MAC: usize = 16;
 
 /// Why a frame was dropped.
@@ -51,11 +51,11 @@
     Malformed,
     /// Wrong MAC.
     #[snafu(display("frame is not authenticated"))]
-    Forged,
+    Unauthenticated,
     /// Sequence number, incarnation or channel seen before.
     #[snafu(display("frame was seen before"))]
     Replayed,
-    /// Over [`FRAME_LIMIT`].
+    /// Over [`MAX_FRAME_BYTES`].
     #[snafu(display("frame over the bound"))]
     TooLarge,
     /// Another protocol version.
@@ -68,10 +68,10 @@
     pub const fn code(self) -> Code {
         match self {
             Self::Malformed => Code::FrameMalformed,
-            Self::Forged => Code::FrameForged,
+            Self::Unauthenticated => Code::FrameUnauthenticated,
             Self::Replayed => Code::FrameReplayed,
             Self::TooLarge => Code::FrameTooLarge,
-            Self::Version => Code::FrameVersion,
+            Self::Version => Code::FrameVersionMismatch,
         }
     }
 }
@@ -120,16 +120,16 @@
         if !std::mem::replace(&mut self.begun, true) {
             return Ok(frame);
         }
-        let mut short = Vec::with_capacity(SHORT_HEADER + frame.len() - HEADER);
+        let mut short = Vec::with_capacity(SHORT_HEADER_BYTES + frame.len() - HEADER_BYTES);
         short.push(SHORT);
-        short.extend(&frame[HEADER - MAC..]);
+        short.extend(&frame[HEADER_BYTES - MAC..]);
         Ok(short)
     }
 
     /// Encodes and authenticates `message`.
     ///
     /// # Errors
-    /// [`FrameError::TooLarge`] when the frame would be over [`FRAME_LIMIT`],
+    /// [`FrameError::TooLarge`] when the frame would be over [`MAX_FRAME_BYTES`],
     /// [`FrameError::Malformed`] when the message can't be encoded.
     pub fn seal(&mut self, message: &Message) -> Result<Vec<u8>, FrameError> {
         self.seal_on(self.channel, message)
@@ -146,11 +146,11 @@
         frame.extend([0_u8; MAC]);
         let mut frame =
             postcard::to_extend(message, frame).map_err(|_error| FrameError::Malformed)?;
-        if frame.len() > FRAME_LIMIT {
+        if frame.len() > MAX_FRAME_BYTES {
             return Err(FrameError::TooLarge);
         }
         let mac = mac(&self.key, &frame);
-        frame[HEADER - MAC..HEADER].copy_from_slice(&mac);
+        frame[HEADER_BYTES - MAC..HEADER_BYTES].copy_from_slice(&mac);
         Ok(frame)
     }
 }
@@ -177,8 +177,8 @@
 
 fn mac(key: &[u8; 32], frame: &[u8]) -> [u8; MAC] {
     let mut hasher = blake3::Hasher::new_keyed(key);
-    hasher.update(&frame[..HEADER - MAC]);
-    hasher.update(&frame[HEADER..]);
+    hasher.update(&frame[..HEADER_BYTES - MAC]);
+    hasher.update(&frame[HEADER_BYTES..]);
     let mut half = [0_u8; MAC];
     half.copy_from_slice(&hasher.finalize().as_bytes()[..MAC]);
     half
@@ -223,7 +223,7 @@
     fn lengthen(&self, short: &[u8]) -> Option<Vec<u8>> {
         let sender = self.stream?;
         let (incarnation, seq) = self.last.get(&sender)?;
-        let mut frame = Vec::with_capacity(HEADER + short.len());
+        let mut frame = Vec::with_capacity(HEADER_BYTES + short.len());
         push_header(&mut frame, sender, *incarnation, seq + 1, self.channel);
         frame.extend(&short[1..]);
         Some(frame)
@@ -234,12 +234,12 @@
     /// # Errors
     /// The reason for which the frame is dropped; nothing of it may be used.
     pub fn open(&mut self, frame: &[u8]) -> Result<Frame, FrameError> {
-        if frame.len() > FRAME_LIMIT {
+        if frame.len() > MAX_FRAME_BYTES {
             return Err(FrameError::TooLarge);
         }
         let lengthened;
         let frame = if self.is_stream && frame.first() == Some(&SHORT) {
-            if frame.len() < SHORT_HEADER {
+            if frame.len() < SHORT_HEADER_BYTES {
                 return Err(FrameError::Malformed);
             }
             lengthened = self.lengthen(frame).ok_or(FrameError::Malformed)?;
@@ -247,14 +247,17 @@
         } else {
             frame
         };
-        if frame.len() < HEADER {
+        if frame.len() < HEADER_BYTES {
             return Err(FrameError::Malformed);
         }
         if frame[0] != VERSION {
             return Err(FrameError::Version);
         }
-        if !same(&mac(&self.key, frame), &frame[HEADER - MAC..HEADER]) {
-            return Err(FrameError::Forged);
+        if !same(
+            &mac(&self.key, frame),
+            &frame[HEADER_BYTES - MAC..HEADER_BYTES],
+        ) {
+            return Err(FrameError::Unauthenticated);
         }
         let sender = InstanceId(word(frame, 1));
         let incarnation = Incarnation(word(frame, 9));
@@ -269,7 +272,7 @@
         *last = (incarnation, seq);
         self.stream = self.is_stream.then_some(sender);
         let message =
-            postcard::from_bytes(&frame[HEADER..]).map_err(|_error| FrameError::Malformed)?;
+            postcard::from_bytes(&frame[HEADER_BYTES..]).map_err(|_error| FrameError::Malformed)?;
         Ok(Frame {
             sender,
             incarnation,
--- a/tests/testsuite/frames.rs
+++ b/tests/testsuite/frames.rs
@@ -34,7 +34,7 @@
 
     assert_eq!(
         Opener::new([8; 32], 0).open(&frame),
-        Err(FrameError::Forged)
+        Err(FrameError::Unauthenticated)
     );
 }
 
@@ -73,8 +73,8 @@
         opener.open(&frames[then]).map(|f| f.message)
     };
 
-    assert_eq!(after(&[0], 2), Err(FrameError::Forged));
-    assert_eq!(after(&[0, 1], 1), Err(FrameError::Forged));
+    assert_eq!(after(&[0], 2), Err(FrameError::Unauthenticated));
+    assert_eq!(after(&[0, 1], 1), Err(FrameError::Unauthenticated));
     assert_eq!(after(&[], 1), Err(FrameError::Malformed));
     assert_eq!(after(&[0, 1], 0), Err(FrameError::Replayed));
 }
--- a/tests/testsuite/routing/desk.rs
+++ b/tests/testsuite/routing/desk.rs
@@ -97,7 +97,7 @@
     let Err(refusal) = late[0].1 else {
         panic!("{:?}", late[0].1)
     };
-    assert_eq!(refusal.code, Code::QueueLate);
+    assert_eq!(refusal.code, Code::QueueTooLong);
     assert!(refusal.again >= millis(50));
     assert_eq!(desk.waiting(), 0);
 }
--- a/tests/testsuite/routing/digest.rs
+++ b/tests/testsuite/routing/digest.rs
@@ -8,7 +8,7 @@
 use hawthornmill::routing::loads::{Loads, Work};
 use hawthornmill::routing::news::{Mate, Mates, News, Reading};
 use hawthornmill::routing::usage::Sums;
-use hawthornmill::wire::frame::DATAGRAM_LIMIT;
+use hawthornmill::wire::frame::MAX_DATAGRAM_BYTES;
 use hawthornmill::wire::{Message, Sealer};
 use hawthornmill_test_support::news::news_of;
 
@@ -264,5 +264,5 @@
         .map(|m| sealer.seal(&m).expect("it can be encoded").len());
 
     let sizes: Vec<usize> = sizes.collect();
-    assert!(sizes.iter().all(|s| *s <= DATAGRAM_LIMIT), "{sizes:?}");
+    assert!(sizes.iter().all(|s| *s <= MAX_DATAGRAM_BYTES), "{sizes:?}");
 }
--- a/tests/testsuite/whole.rs
+++ b/tests/testsuite/whole.rs
@@ -4,7 +4,7 @@
 
 use futures_util::StreamExt;
 use futures_util::future::join_all;
-use hawthornmill::answer::{Lines, Splice};
+use hawthornmill::response::{ResponseLines, ResumeFilter};
 use hawthornmill_lab::demo::site::{Site, SitePlan, Standin};
 use hawthornmill_lab::standin::engine::{EngineFault, Generate, byte, last_line, line};
 use hawthornmill_test_support::procs::{DOMAINS, send, small_fleet, start};
@@ -350,20 +350,20 @@
     fn a_resumed_answer_is_the_answer(tokens in 0u32..20, at in 0usize..2000, step in 1usize..80) {
         let text = expected(tokens);
         let at = at.min(text.len());
-        let mut lines = Lines::default();
+        let mut lines = ResponseLines::default();
         text.as_bytes()[..at].chunks(step).for_each(|c| lines.push(c));
-        prop_assert_eq!(lines.whole(), at + 1 >= text.len());
+        prop_assert_eq!(lines.is_complete(), at + 1 >= text.len());
 
-        let (count, partial) = lines.mark().expect("no line is long");
+        let (count, partial) = lines.resume_point().expect("no line is long");
         let rest: String = text.split_inclusive('\n').skip(count as usize).collect();
-        let mut splice = Splice::new(partial);
+        let mut splice = ResumeFilter::new(partial);
         let mut joined = text.as_bytes()[..at].to_vec();
         for chunk in rest.as_bytes().chunks(step) {
-            let skip = splice.take(chunk).expect("it is the same answer");
+            let skip = splice.skip(chunk).expect("it is the same answer");
             joined.extend_from_slice(&chunk[skip..]);
         }
 
         prop_assert_eq!(joined, text.as_bytes());
-        prop_assert!(splice.is_over());
+        prop_assert!(splice.is_done());
     }
 }
