--- a/crates/hawthornmill-gateway/src/datagrams.rs
+++ b/crates/hawthornmill-gateway/src/datagrams.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-use hawthornmill::wire::frame::DATAGRAM_LIMIT;
+use hawthornmill::wire::frame::MAX_DATAGRAM_BYTES;
 use hawthornmill::wire::{Message, Sealer};
 use tokio::net::UdpSocket;
 
@@ -33,7 +33,7 @@
             log::error!(target: "mates", "can't encode a message to peers");
             return;
         };
-        if frame.len() > DATAGRAM_LIMIT {
+        if frame.len() > MAX_DATAGRAM_BYTES {
             log::warn!(target: "mates", "message of {} bytes exceeds the size of a packet", frame.len());
         }
         self.send_frame(&frame, targets);
--- a/crates/hawthornmill-gateway/src/proxy/admission.rs
+++ b/crates/hawthornmill-gateway/src/proxy/admission.rs
@@ -71,7 +71,7 @@
     let path = request.head.path();
     let route = table
         .route(host, path)
-        .ok_or_else(|| not_in_catalog(gateway, Code::NoSuchCall))?;
+        .ok_or_else(|| not_in_catalog(gateway, Code::NotFound))?;
     let token = headers
         .get(names.token)
         .and_then(|v| parse_token(v, names.auth_scheme));
--- a/crates/hawthornmill-gateway/src/proxy/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -94,7 +94,7 @@
     let response = if progress.may_have_executed() {
         ErrorResponse::new(Code::DeadlineWhileRunning)
     } else {
-        ErrorResponse::with_retry_after(Code::QueueLate, admitted.request.objective)
+        ErrorResponse::with_retry_after(Code::QueueTooLong, admitted.request.objective)
     };
     send_error(context, progress, &response, out).await
 }
--- a/crates/hawthornmill-gateway/src/proxy/read.rs
+++ b/crates/hawthornmill-gateway/src/proxy/read.rs
@@ -68,7 +68,7 @@
         Ok(Ok(Some(head))) => head,
         Ok(Ok(None)) => return ReadOutcome::Closed,
         Ok(Err(code)) => return ReadOutcome::Reject(code),
-        Err(_elapsed) => return ReadOutcome::Reject(Code::HeadTooSlow),
+        Err(_elapsed) => return ReadOutcome::Reject(Code::RequestTooSlow),
     };
     let Ok(framing) = head.framing() else {
         return ReadOutcome::Reject(Code::BadHeader);
@@ -143,7 +143,7 @@
                 return if head.is_http11 {
                     Ok(Some(head))
                 } else {
-                    Err(Code::OldVersion)
+                    Err(Code::HttpVersionTooOld)
                 };
             }
             Ok(None) if reader.buffer.len() > most => return Err(Code::HeadersTooLarge),
@@ -174,7 +174,7 @@
             Ok(Decoded::Incomplete) => match tokio::time::timeout(idle, reader.read_more()).await {
                 Ok(Ok(bytes)) if bytes > 0 => {}
                 Ok(_) => return Ok(None),
-                Err(_elapsed) => return Err(Code::HeadTooSlow),
+                Err(_elapsed) => return Err(Code::RequestTooSlow),
             },
             Err(_malformed) => return Err(Code::BadHeader),
         }
