--- a/crates/hawthornmill-gateway/src/catching_up.rs
+++ b/crates/hawthornmill-gateway/src/catching_up.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use hawthornmill::limits::patience::{self, Patience};
+use hawthornmill::limits::timeout::{self, AdaptiveTimeout};
 use hawthornmill::routing::news::{Heard, Knowledge, Pull};
 use hawthornmill::routing::parts::{self, Outcome, Reassembly, Wanted};
 use hawthornmill::routing::registry::List;
@@ -83,7 +83,7 @@
     while empty < MOST_EMPTY {
         let (before, wanted) = awaited.look(|a| (a.count(), a.wanted(pull)));
         datagrams.send(&Message::Wanted(wanted), [mate]);
-        let round = parts::round(gateway.strain.get().late(gateway.now()));
+        let round = parts::round(gateway.strain.get().lag(gateway.now()));
         let _over = tokio::time::timeout(round, awaited.ended()).await;
         match awaited.look(|a| a.outcome().cloned()) {
             Some(Outcome::Whole(whole)) => return read(&whole),
@@ -107,7 +107,7 @@
 pub async fn catch_up(gateway: Rc<Gateway>, datagrams: Rc<Datagrams>) {
     let mut behind: Option<Instant> = None;
     let mut mute: Vec<(SocketAddr, Instant)> = Vec::new();
-    let mut patience = Patience::default();
+    let mut patience = AdaptiveTimeout::default();
     loop {
         tokio::time::sleep(LOOK).await;
         let now = gateway.now();
@@ -142,7 +142,7 @@
         }
         if answered {
             behind = None;
-            patience = Patience::default();
+            patience = AdaptiveTimeout::default();
         }
     }
 }
@@ -167,22 +167,25 @@
     gateway: &Gateway,
     mate: SocketAddr,
     pull: Pull,
-    patience: &mut Patience,
+    patience: &mut AdaptiveTimeout,
 ) -> bool {
     let (began, step) = (gateway.now(), Cell::new(Step::Connecting));
-    let answer = tokio::time::timeout(patience.time(), ask(gateway, mate, pull, &step)).await;
+    let answer = tokio::time::timeout(patience.current(), ask(gateway, mate, pull, &step)).await;
     let why = match answer {
         Ok(Ok(knowledge)) => {
             learn(gateway, knowledge, mate);
             None
         }
         Ok(Err(error)) => Some(error.to_string()),
-        Err(_elapsed) => Some(format!("no answer in {} ms", patience.time().as_millis())),
+        Err(_elapsed) => Some(format!(
+            "no answer in {} ms",
+            patience.current().as_millis()
+        )),
     };
     let step = format!("{:?}", step.get());
     note_answer(gateway, mate, began, &step, why.as_deref());
     if why.is_some() {
-        patience.missed(gateway.mates.borrow().is_heard_since(mate, began));
+        patience.on_timeout(gateway.mates.borrow().is_heard_since(mate, began));
     }
     why.is_none()
 }
@@ -219,7 +222,7 @@
     pull: Pull,
     step: &Cell<Step>,
 ) -> std::io::Result<Knowledge> {
-    let mut link = connect_within(mate, patience::MOST).await?;
+    let mut link = connect_within(mate, timeout::MAX_TIMEOUT).await?;
     step.set(Step::Connected);
     let channel = link.read_u64_le().await?;
     step.set(Step::Asked);
@@ -256,7 +259,7 @@
         };
         let gateway = Rc::clone(&gateway);
         tokio::task::spawn_local(async move {
-            let told = tokio::time::timeout(patience::MOST, tell_one(&gateway, link)).await;
+            let told = tokio::time::timeout(timeout::MAX_TIMEOUT, tell_one(&gateway, link)).await;
             if let Ok(Err(error)) = told {
                 let fields = json!({"mate": from.to_string(), "why": error.to_string()});
                 journal::belief("mate_not_told", fields);
--- a/crates/hawthornmill-gateway/src/door.rs
+++ b/crates/hawthornmill-gateway/src/door.rs
@@ -1,6 +1,6 @@
 //! Taking new connections of callers, or turning them away while the process is behind.
 //!
-//! What [`hawthornmill::limits::strain`] decides is done here at the least cost: a connection that is turned
+//! What [`hawthornmill::limits::load_shedding`] decides is done here at the least cost: a connection that is turned
 //! away gets no task and no place in the runtime. If its request is there already, it is told when to come
 //! back; if not, the connection is closed unread, and its caller may go to another instance at once.
 
@@ -73,7 +73,7 @@
         gateway.meters.turned_away("full");
         return;
     }
-    let part = gateway.strain.get().part(gateway.now());
+    let part = gateway.strain.get().shed_ratio(gateway.now());
     if part > 0.0 && rand::random::<f64>() < part {
         turn_away(gateway, &stream);
         return;
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -10,8 +10,8 @@
 use hawthornmill::clock::Clock;
 use hawthornmill::codes::Code;
 use hawthornmill::ident::{Incarnation, InstanceId, ServerId};
-use hawthornmill::limits::link::Link;
-use hawthornmill::limits::strain::Strain;
+use hawthornmill::limits::congestion::LinkMonitor;
+use hawthornmill::limits::load_shedding::LoadShedder;
 use hawthornmill::routing::budget::Budget;
 use hawthornmill::routing::catalog::Catalog;
 use hawthornmill::routing::desk::Desk;
@@ -92,9 +92,9 @@
     /// Callers' connections that are open.
     pub connections: Cell<usize>,
     /// How full the instance's link is.
-    pub link: RefCell<Link>,
+    pub link: RefCell<LinkMonitor>,
     /// How late the process is with its work.
-    pub strain: Cell<Strain>,
+    pub strain: Cell<LoadShedder>,
     /// Connections turned away since the log told of them.
     pub turned: RefCell<Turned>,
     /// Requests under way.
@@ -174,7 +174,7 @@
     /// Tells whether times that are measured now tell more of this instance than of servers.
     pub fn is_behind(&self) -> bool {
         let now = self.now();
-        self.strain.get().is_behind(now) || self.link.borrow().is_late(now)
+        self.strain.get().is_overloaded(now) || self.link.borrow().is_congested(now)
     }
 
     /// Catalog in force.
@@ -453,7 +453,7 @@
         let mut strain = gateway.strain.get();
         strain.tick(now, now + TICK);
         gateway.strain.set(strain);
-        tell_turned(&gateway, strain.late(now));
+        tell_turned(&gateway, strain.lag(now));
         tokio::time::sleep(TICK).await;
     }
 }
--- a/crates/hawthornmill-gateway/src/trip/send.rs
+++ b/crates/hawthornmill-gateway/src/trip/send.rs
@@ -90,7 +90,10 @@
     if !taken.as_ref().is_ok_and(|u| u.reused) {
         let after = gateway.now();
         let took = after.duration_since(now);
-        gateway.link.borrow_mut().attempt(address, took, after);
+        gateway
+            .link
+            .borrow_mut()
+            .record_connect(address, took, after);
     }
     let mut upstream = match taken {
         Ok(upstream) => upstream,
--- a/crates/hawthornmill-gateway/src/trip/settle.rs
+++ b/crates/hawthornmill-gateway/src/trip/settle.rs
@@ -28,7 +28,7 @@
         "lack": outlook.lack, "standing": format!("{:?}", outlook.share.standing), "lead": outlook.share.lead,
         "asked": outlook.sums.asked, "got": outlook.sums.got, "registrations": desk.registry.latest(),
         "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
-        "link_wait_ms": gateway.link.borrow().wait(now).as_millis() as u64,
+        "link_wait_ms": gateway.link.borrow().queueing_delay(now).as_millis() as u64,
     });
     journal::trouble("refused", &way.call.attempt, fields);
 }
--- a/crates/hawthornmill-net/src/entry/retries.rs
+++ b/crates/hawthornmill-net/src/entry/retries.rs
@@ -5,7 +5,7 @@
 
 use hawthornmill::codes::{Code, Outcome};
 use hawthornmill::ident::ServerId;
-use hawthornmill::limits::retry::{Failed, Failure};
+use hawthornmill::limits::retry::{FailedAttempt, Failure};
 use poem::http::StatusCode;
 use smallvec::SmallVec;
 
@@ -58,7 +58,7 @@
         let Some(failure) = failure(&tried) else {
             if tried.is_ok() {
                 let mut retries = fleet.retries();
-                retries.succeed(call.admitted.service, server, &avoid);
+                retries.record_success(call.admitted.service, server, &avoid);
             }
             return give(fleet, call, held.into_slot(), tried);
         };
@@ -105,7 +105,7 @@
     failure: Failure,
     number: u32,
 ) -> Option<Duration> {
-    let failed = Failed {
+    let failed = FailedAttempt {
         service: call.admitted.service,
         account: call.admitted.account,
         server: slot.dispatch.server,
@@ -116,10 +116,10 @@
     let draw = rand::random();
     let now = fleet.clock.now();
     let mut retries = fleet.retries();
-    if retries.suspect(&failed) {
+    if retries.record_failure(&failed) {
         slot.set_failed();
     }
-    retries.decide(&failed, draw, now)
+    retries.retry_delay(&failed, draw, now)
 }
 
 /// Hands the last result to the caller; a server's own answer as it is.
--- a/crates/hawthornmill/src/board.rs
+++ b/crates/hawthornmill/src/board.rs
@@ -16,7 +16,7 @@
 use crate::fairness::Ledger;
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId, ServiceId};
 use crate::limits::backlog::Backlogs;
-use crate::limits::pace::Pace;
+use crate::limits::queue_rate::QueueRate;
 use crate::membership::{Members, reports::Reports, roster::Roster, start::Start};
 use crate::notes::Note;
 use crate::pools::entry::Link;
@@ -150,7 +150,7 @@
     /// How much waits, by account.
     pub backlogs: Backlogs,
     /// How fast each queue is served.
-    pub paces: BTreeMap<(ServiceId, AccountId), Pace>,
+    pub paces: BTreeMap<(ServiceId, AccountId), QueueRate>,
     /// Order of waiting requests.
     pub queues: BTreeMap<(ServiceId, AccountId), VecDeque<RequestKey>>,
     /// Queues that changed since their demand was last told.
--- a/crates/hawthornmill/src/limits/link.rs
+++ b/crates/hawthornmill/src/limits/congestion.rs
@@ -25,20 +25,20 @@
 
 /// The last attempts to connect to servers, one for each address.
 #[derive(Debug, Clone, Default)]
-pub struct Link {
+pub struct LinkMonitor {
     recent: SmallVec<[Attempt; 16]>,
 }
 
-impl Link {
+impl LinkMonitor {
     /// An attempt to connect to `to` took `took`, whether it succeeded or not.
-    pub fn attempt(&mut self, to: SocketAddr, took: Duration, now: Instant) {
+    pub fn record_connect(&mut self, to: SocketAddr, took: Duration, now: Instant) {
         self.recent
             .retain(|a| a.to != to && now.duration_since(a.at) < RECENT);
         self.recent.push(Attempt { to, took, at: now });
     }
 
     /// How long bytes wait before the link: what all recent attempts have in common; zero when they are too few.
-    pub fn wait(&self, now: Instant) -> Duration {
+    pub fn queueing_delay(&self, now: Instant) -> Duration {
         let recent = self.recent.iter();
         let recent = recent.filter(|a| now.duration_since(a.at) < RECENT);
         let waits: SmallVec<[Duration; 16]> = recent.map(|a| a.took).collect();
@@ -47,7 +47,7 @@
     }
 
     /// Tells whether times that are measured now tell more of the link than of servers.
-    pub fn is_late(&self, now: Instant) -> bool {
-        self.wait(now) > LATE
+    pub fn is_congested(&self, now: Instant) -> bool {
+        self.queueing_delay(now) > LATE
     }
 }
--- a/crates/hawthornmill/src/limits/strain.rs
+++ b/crates/hawthornmill/src/limits/load_shedding.rs
@@ -20,12 +20,12 @@
 
 /// How late a process runs what is due.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Strain {
+pub struct LoadShedder {
     late: Duration,
     due: Option<Instant>,
 }
 
-impl Strain {
+impl LoadShedder {
     /// A timer came at `now`; the next one is due at `next`.
     pub fn tick(&mut self, now: Instant, next: Instant) {
         self.late = self.overdue(now).max(self.late.mul_f64(KEPT));
@@ -33,13 +33,13 @@
     }
 
     /// How late the process is: by its last timer, or by one that should have come already.
-    pub fn late(&self, now: Instant) -> Duration {
+    pub fn lag(&self, now: Instant) -> Duration {
         self.late.max(self.overdue(now))
     }
 
     /// Tells whether the process is so late that times it measures tell more of itself than of others.
-    pub fn is_behind(&self, now: Instant) -> bool {
-        self.late(now) > FIRST
+    pub fn is_overloaded(&self, now: Instant) -> bool {
+        self.lag(now) > FIRST
     }
 
     fn overdue(&self, now: Instant) -> Duration {
@@ -48,8 +48,8 @@
     }
 
     /// Part of the new connections to turn away.
-    pub fn part(&self, now: Instant) -> f64 {
-        let over = self.late(now).saturating_sub(FIRST).as_secs_f64();
+    pub fn shed_ratio(&self, now: Instant) -> f64 {
+        let over = self.lag(now).saturating_sub(FIRST).as_secs_f64();
         (over / RANGE.as_secs_f64()).min(MOST_PART)
     }
 }
--- a/crates/hawthornmill/src/limits/mod.rs
+++ b/crates/hawthornmill/src/limits/mod.rs
@@ -10,8 +10,8 @@
 //! | [`strain`] | how far the process is behind, and which new connections it turns away for that |
 
 pub mod backlog;
-pub mod link;
-pub mod pace;
-pub mod patience;
+pub mod congestion;
+pub mod load_shedding;
+pub mod queue_rate;
 pub mod retry;
-pub mod strain;
+pub mod timeout;
--- a/crates/hawthornmill/src/limits/pace.rs
+++ b/crates/hawthornmill/src/limits/queue_rate.rs
@@ -17,7 +17,7 @@
 /// Times the mean that a request may hold its slot: a longer one than most must be done in time too.
 const LONG: f64 = 2.0;
 /// Bounds of the time after which a caller is told to come back.
-const COME_BACK: (f64, f64) = (0.05, 30.0);
+const RETRY_AFTER: (f64, f64) = (0.05, 30.0);
 /// Part of the time to come back that is added at most at random.
 const JITTER: f64 = 0.5;
 
@@ -40,20 +40,20 @@
     }
 }
 
-/// Pace of the queue of one account and service.
+/// QueueRate of the queue of one account and service.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Pace {
+pub struct QueueRate {
     last: Option<Instant>,
     gap: Average,
     hold: Average,
 }
 
-impl Pace {
+impl QueueRate {
     /// A request left the queue for a server, and `left` others still wait.
     ///
     /// Only gaps while others wait are counted: an empty queue says nothing of how fast it would
     /// be served.
-    pub fn served(&mut self, left: usize, now: Instant) {
+    pub fn record_dispatch(&mut self, left: usize, now: Instant) {
         if let Some(last) = self.last {
             self.gap.add(now.duration_since(last).as_secs_f64());
         }
@@ -61,17 +61,17 @@
     }
 
     /// The queue ran empty without a request being served.
-    pub fn emptied(&mut self) {
+    pub fn on_empty(&mut self) {
         self.last = None;
     }
 
     /// A request held its slot for `time`.
-    pub fn held(&mut self, time: Duration) {
+    pub fn record_holding_time(&mut self, time: Duration) {
         self.hold.add(time.as_secs_f64());
     }
 
     /// Mean time that a request holds its slot; none until some have.
-    pub fn hold(&self) -> Option<Duration> {
+    pub fn mean_holding_time(&self) -> Option<Duration> {
         self.hold
             .settled()
             .then(|| Duration::from_secs_f64(self.hold.value))
@@ -92,12 +92,12 @@
     }
 
     /// Tells whether a request behind `ahead` others can't be answered within `left`.
-    pub fn hopeless(&self, ahead: usize, left: Duration, now: Instant) -> bool {
+    pub fn misses_deadline(&self, ahead: usize, left: Duration, now: Instant) -> bool {
         if !self.gap.settled() {
             return false;
         }
         let wait = ahead as f64 * self.gap(now) * MARGIN;
-        let hold = self.hold().unwrap_or_default().as_secs_f64();
+        let hold = self.mean_holding_time().unwrap_or_default().as_secs_f64();
         wait + LONG * hold > left.as_secs_f64()
     }
 
@@ -105,9 +105,9 @@
     ///
     /// By then half of the queue has been served. `draw` lies between 0 and 1 and spreads callers
     /// that were refused together.
-    pub fn come_back(&self, ahead: usize, draw: f64, now: Instant) -> Duration {
+    pub fn retry_after(&self, ahead: usize, draw: f64, now: Instant) -> Duration {
         let half = (ahead as f64 / 2.0).max(1.0) * self.gap(now);
-        let spread = half.clamp(COME_BACK.0, COME_BACK.1) * (1.0 + JITTER * draw);
+        let spread = half.clamp(RETRY_AFTER.0, RETRY_AFTER.1) * (1.0 + JITTER * draw);
         Duration::from_secs_f64(spread)
     }
 }
--- a/crates/hawthornmill/src/limits/retry.rs
+++ b/crates/hawthornmill/src/limits/retry.rs
@@ -1,7 +1,7 @@
 //! Whether a call that failed is tried again.
 //!
 //! Only calls that may repeat come here, and only before any byte of an answer was passed on. A try
-//! that reached no server puts no load on any, so it is bounded by [`ATTEMPTS`] and the deadline
+//! that reached no server puts no load on any, so it is bounded by [`MAX_ATTEMPTS`] and the deadline
 //! alone. A try that a server may have run is paid from the service's `Budget`, which successful
 //! calls fill: when everything fails, retries stop adding to the load.
 
@@ -11,7 +11,7 @@
 use crate::ident::{AccountId, ServerId, ServiceId};
 
 /// Tries that one call may make, the first included.
-pub const ATTEMPTS: u32 = 4;
+pub const MAX_ATTEMPTS: u32 = 4;
 /// Retries that one successful call pays for.
 const RATIO: f64 = 0.1;
 /// Retries that a budget holds at most.
@@ -38,7 +38,7 @@
 
 /// A try that failed.
 #[derive(Debug, Clone, Copy)]
-pub struct Failed {
+pub struct FailedAttempt {
     /// Service that was called.
     pub service: ServiceId,
     /// Account that called.
@@ -124,7 +124,7 @@
 
 impl Retries {
     /// A server has begun to answer a call that had failed at the servers `before`.
-    pub fn succeed(&mut self, service: ServiceId, server: ServerId, before: &[ServerId]) {
+    pub fn record_success(&mut self, service: ServiceId, server: ServerId, before: &[ServerId]) {
         self.budgets.entry(service).or_default().succeed();
         self.failing.remove(&server);
         for failed in before {
@@ -137,8 +137,13 @@
     /// The pause before the next try, or none when the call is given up.
     ///
     /// `draw` lies between 0 and 1 and spreads the retries of calls that failed together.
-    pub fn decide(&mut self, failed: &Failed, draw: f64, now: Instant) -> Option<Duration> {
-        if failed.attempt >= ATTEMPTS {
+    pub fn retry_delay(
+        &mut self,
+        failed: &FailedAttempt,
+        draw: f64,
+        now: Instant,
+    ) -> Option<Duration> {
+        if failed.attempt >= MAX_ATTEMPTS {
             return None;
         }
         let doubled = PAUSE * 2_u32.saturating_pow(failed.attempt - 1);
@@ -157,7 +162,7 @@
     /// itself. But one account's calls may be what makes it fail: the others must not lose the server
     /// for that. So a server that takes connections is suspect only once two accounts have met its
     /// failures without an answer between, or a call that failed there was answered elsewhere.
-    pub fn suspect(&mut self, failed: &Failed) -> bool {
+    pub fn record_failure(&mut self, failed: &FailedAttempt) -> bool {
         let failing = self.failing.entry(failed.server).or_insert(Failing {
             first: failed.account,
             proved: false,
@@ -173,7 +178,7 @@
     }
 
     /// Retries that `service` may still make.
-    pub fn left(&self, service: ServiceId) -> f64 {
+    pub fn remaining(&self, service: ServiceId) -> f64 {
         self.budgets.get(&service).map_or(FIRST, |b| b.left)
     }
 }
--- a/crates/hawthornmill/src/limits/patience.rs
+++ b/crates/hawthornmill/src/limits/timeout.rs
@@ -7,32 +7,32 @@
 use std::time::Duration;
 
 /// Time for an answer at first: several round trips between regions, and a catalog's way.
-const FIRST: Duration = Duration::from_millis(700);
+const INITIAL_TIMEOUT: Duration = Duration::from_millis(700);
 /// Most time for an answer.
-pub const MOST: Duration = Duration::from_secs(3);
+pub const MAX_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time for the next answer; it doubles with each one that a peer who lives does not give.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience(Duration);
+pub struct AdaptiveTimeout(Duration);
 
-impl Default for Patience {
+impl Default for AdaptiveTimeout {
     fn default() -> Self {
-        Self(FIRST)
+        Self(INITIAL_TIMEOUT)
     }
 }
 
-impl Patience {
+impl AdaptiveTimeout {
     /// Time for the next answer.
-    pub const fn time(self) -> Duration {
+    pub const fn current(self) -> Duration {
         self.0
     }
 
     /// An answer did not come in time; `alive` says that its peer was heard meanwhile.
     ///
     /// More time for one that is gone would only hold up the question to the next one.
-    pub fn missed(&mut self, alive: bool) {
+    pub fn on_timeout(&mut self, alive: bool) {
         if alive {
-            self.0 = (self.0 * 2).min(MOST);
+            self.0 = (self.0 * 2).min(MAX_TIMEOUT);
         }
     }
 }
--- a/crates/hawthornmill/src/pools/queue.rs
+++ b/crates/hawthornmill/src/pools/queue.rs
@@ -9,7 +9,7 @@
 use crate::codes::Code;
 use crate::ident::{AccountId, ServerId, ServiceId};
 use crate::limits::backlog::Backlog;
-use crate::limits::pace::Pace;
+use crate::limits::queue_rate::QueueRate;
 
 /// Grants of servers to be avoided that a request lets go by before it takes one.
 const DECLINES: u8 = 4;
@@ -40,7 +40,9 @@
     let left = arrival.deadline.saturating_duration_since(now);
     // Some wait in any case: a wrong estimate then takes no work from a server, and is put right by
     // how they are served.
-    if ahead >= KEPT && pace(board, arrival.service, arrival.account).hopeless(ahead, left, now) {
+    if ahead >= KEPT
+        && pace(board, arrival.service, arrival.account).misses_deadline(ahead, left, now)
+    {
         return Err(Code::QueueLate);
     }
     make_room(board, &arrival)?;
@@ -147,7 +149,7 @@
         if queue.is_empty() {
             board.queues.remove(&key);
             if let Some(pace) = board.paces.get_mut(&key) {
-                pace.emptied();
+                pace.on_empty();
             }
         }
     }
@@ -182,7 +184,7 @@
     now: Instant,
 ) -> Option<RequestKey> {
     let key = (service, account);
-    let hold = board.paces.get(&key).and_then(Pace::hold);
+    let hold = board.paces.get(&key).and_then(QueueRate::mean_holding_time);
     let enough = now + hold.unwrap_or_default();
     let queue = board.queues.get(&key)?;
     let fits = |w: &Waiting| !w.avoid.contains(&server) || w.declined >= DECLINES;
@@ -214,7 +216,7 @@
     queue.map_or(0, std::collections::VecDeque::len)
 }
 
-fn pace(board: &Board, service: ServiceId, account: AccountId) -> Pace {
+fn pace(board: &Board, service: ServiceId, account: AccountId) -> QueueRate {
     let known = board.paces.get(&(service, account));
     known.copied().unwrap_or_default()
 }
@@ -223,13 +225,13 @@
 pub fn note_served(board: &mut Board, service: ServiceId, account: AccountId, now: Instant) {
     let left = waiting(board, service, account);
     let pace = board.paces.entry((service, account)).or_default();
-    pace.served(left, now);
+    pace.record_dispatch(left, now);
 }
 
 /// Notes for how long a request held its slot.
 pub fn note_held(board: &mut Board, service: ServiceId, account: AccountId, time: Duration) {
     let pace = board.paces.entry((service, account)).or_default();
-    pace.held(time);
+    pace.record_holding_time(time);
 }
 
 /// When a caller that was refused may come back: half of its queue over the rate of its account.
@@ -243,5 +245,5 @@
     now: Instant,
 ) -> Duration {
     let ahead = waiting(board, service, account);
-    pace(board, service, account).come_back(ahead, draw, now)
+    pace(board, service, account).retry_after(ahead, draw, now)
 }
--- a/crates/hawthornmill/src/routing/desk.rs
+++ b/crates/hawthornmill/src/routing/desk.rs
@@ -27,7 +27,7 @@
 use super::usage::{FADE, Share, Standing, Sums, Usage, standings};
 use crate::codes::Code;
 use crate::ident::{AccountId, DomainId, InstanceId, RegionId, ServerId, ServiceId};
-use crate::limits::pace::Pace;
+use crate::limits::queue_rate::QueueRate;
 
 /// Part of its objective for which a request waits for room at most; the rest is for its answer.
 const PATIENCE: f64 = 0.3;
@@ -77,7 +77,7 @@
     pub token_rate: f64,
     place: Place,
     times: BTreeMap<ServiceId, ReadTimes>,
-    paces: BTreeMap<ServiceId, Pace>,
+    paces: BTreeMap<ServiceId, QueueRate>,
     line: SlotMap<Ticket, InLine>,
     fleet: BTreeMap<AccountId, Sums>,
     shares: BTreeMap<AccountId, Share>,
@@ -478,7 +478,7 @@
         let ahead = same.filter(|w| self.rank(&w.request) <= rank).count();
         let left = patience_end(request).saturating_duration_since(now);
         let pace = self.paces.get(&request.service);
-        left.is_zero() || pace.is_some_and(|p| p.hopeless(ahead, left, now))
+        left.is_zero() || pace.is_some_and(|p| p.misses_deadline(ahead, left, now))
     }
 
     fn refuse(&self, request: &Request, cause: Cause, now: Instant) -> Refusal {
@@ -490,7 +490,7 @@
             .unwrap_or_default();
         // The ticket's place in the line is as good a spread as any, and needs no randomness here.
         let draw = (ahead % 8) as f64 / 8.0;
-        let again = pace.come_back(ahead, draw, now);
+        let again = pace.retry_after(ahead, draw, now);
         Refusal {
             code: Code::QueueLate,
             cause,
@@ -502,9 +502,9 @@
         let left = self.same(service).count();
         let pace = self.paces.entry(service).or_default();
         if placed {
-            pace.served(left, now);
+            pace.record_dispatch(left, now);
         } else if left == 0 {
-            pace.emptied();
+            pace.on_empty();
         }
     }
 
--- a/tests/testsuite/gateway/door.rs
+++ b/tests/testsuite/gateway/door.rs
@@ -3,7 +3,7 @@
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 
-use hawthornmill::limits::strain::Strain;
+use hawthornmill::limits::load_shedding::LoadShedder;
 use nix::sys::signal::Signal;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -18,9 +18,9 @@
 const TICK: u64 = 100;
 
 /// A process whose timers came so many milliseconds late one after the other, and the time after that.
-fn strained(late: &[u64]) -> (Strain, Instant) {
+fn strained(late: &[u64]) -> (LoadShedder, Instant) {
     let mut now = Instant::now();
-    let mut strain = Strain::default();
+    let mut strain = LoadShedder::default();
     strain.tick(now, now + millis(TICK));
     for late in late {
         now += millis(TICK + late);
@@ -31,7 +31,7 @@
 
 fn part(late: &[u64]) -> f64 {
     let (strain, now) = strained(late);
-    strain.part(now)
+    strain.shed_ratio(now)
 }
 
 /// Failure: a process that is behind takes its own lateness for slow servers, and sends them nothing.
@@ -39,7 +39,7 @@
 fn a_process_that_is_behind_knows_that_its_times_tell_of_itself() {
     let behind = |late: &[u64]| {
         let (strain, now) = strained(late);
-        strain.is_behind(now)
+        strain.is_overloaded(now)
     };
 
     assert!(behind(&[30]));
@@ -82,8 +82,8 @@
     let (strain, now) = strained(&[0]);
 
     let (due, overdue) = (
-        strain.part(now + millis(TICK)),
-        strain.part(now + millis(1_000)),
+        strain.shed_ratio(now + millis(TICK)),
+        strain.shed_ratio(now + millis(1_000)),
     );
 
     assert!(due <= 0.0, "{due}");
--- a/tests/testsuite/retries.rs
+++ b/tests/testsuite/retries.rs
@@ -4,15 +4,15 @@
 
 use hawthornmill::board::Tuning;
 use hawthornmill::ident::{AccountId, ServerId, ServiceId};
-use hawthornmill::limits::retry::{ATTEMPTS, Failed, Failure, Retries};
+use hawthornmill::limits::retry::{FailedAttempt, Failure, MAX_ATTEMPTS, Retries};
 use hawthornmill::pools::entry;
 use hawthornmill_test_support::procs::small_fleet;
 use hawthornmill_test_support::steps::Steps;
 
 const DRAW: f64 = 0.5;
 
-fn failed(server: &str, account: &str, failure: Failure, now: Instant) -> Failed {
-    Failed {
+fn failed(server: &str, account: &str, failure: Failure, now: Instant) -> FailedAttempt {
+    FailedAttempt {
         service: ServiceId::of("drafting"),
         account: AccountId::of(account),
         server: ServerId::of(server),
@@ -22,8 +22,8 @@
     }
 }
 
-fn granted(retries: &mut Retries, failed: &Failed, count: usize, now: Instant) -> usize {
-    let decided = (0..count).map(|_| retries.decide(failed, DRAW, now));
+fn granted(retries: &mut Retries, failed: &FailedAttempt, count: usize, now: Instant) -> usize {
+    let decided = (0..count).map(|_| retries.retry_delay(failed, DRAW, now));
     decided.flatten().count()
 }
 
@@ -43,7 +43,7 @@
 
     assert!(count <= 20, "{count} retries of 1000 calls");
     for _ in 0..1000 {
-        retries.succeed(ServiceId::of("drafting"), ServerId::of("good"), &[]);
+        retries.record_success(ServiceId::of("drafting"), ServerId::of("good"), &[]);
     }
     let after = granted(
         &mut retries,
@@ -62,8 +62,8 @@
     let mut retries = Retries::default();
     let bad = failed("bad", "x", Failure::Broken, now);
     for _ in 0..200 {
-        let _given_or_not = retries.decide(&bad, DRAW, now);
-        retries.succeed(ServiceId::of("drafting"), ServerId::of("good"), &[]);
+        let _given_or_not = retries.retry_delay(&bad, DRAW, now);
+        retries.record_success(ServiceId::of("drafting"), ServerId::of("good"), &[]);
     }
 
     let other = granted(
@@ -84,16 +84,16 @@
     let mut retries = Retries::default();
     let mut gone = failed("gone", "x", Failure::Unreachable, now);
     assert_eq!(granted(&mut retries, &gone, 1000, now), 1000);
-    let before = retries.left(gone.service);
+    let before = retries.remaining(gone.service);
 
-    gone.attempt = ATTEMPTS;
-    let over = retries.decide(&gone, DRAW, now);
+    gone.attempt = MAX_ATTEMPTS;
+    let over = retries.retry_delay(&gone, DRAW, now);
     gone.attempt = 1;
     gone.deadline = now + Duration::from_millis(5);
-    let late = retries.decide(&gone, DRAW, now);
+    let late = retries.retry_delay(&gone, DRAW, now);
 
     assert_eq!((over, late), (None, None));
-    assert_eq!(retries.left(gone.service).to_bits(), before.to_bits());
+    assert_eq!(retries.remaining(gone.service).to_bits(), before.to_bits());
 }
 
 /// Calls that failed together must not come back together: the pause grows with each try, and two
@@ -105,7 +105,7 @@
     let mut at = |attempt, draw| {
         let mut one = failed("gone", "x", Failure::Unreachable, now);
         one.attempt = attempt;
-        retries.decide(&one, draw, now).expect("a try is left")
+        retries.retry_delay(&one, draw, now).expect("a try is left")
     };
 
     let (first, second, spread) = (at(1, 0.0), at(2, 0.0), at(1, 1.0));
@@ -122,8 +122,8 @@
     let mut retries = Retries::default();
     let poison = failed("s", "poisoner", Failure::Broken, now);
 
-    let own = (0..50).any(|_| retries.suspect(&poison));
-    let second = retries.suspect(&failed("s", "other", Failure::Broken, now));
+    let own = (0..50).any(|_| retries.record_failure(&poison));
+    let second = retries.record_failure(&failed("s", "other", Failure::Broken, now));
 
     assert!(!own);
     assert!(second);
@@ -137,9 +137,9 @@
     let mut retries = Retries::default();
     let bad = failed("bad", "x", Failure::Unavailable, now);
 
-    let before = retries.suspect(&bad);
-    retries.succeed(bad.service, ServerId::of("good"), &[bad.server]);
-    let after = retries.suspect(&bad);
+    let before = retries.record_failure(&bad);
+    retries.record_success(bad.service, ServerId::of("good"), &[bad.server]);
+    let after = retries.record_failure(&bad);
 
     assert_eq!((before, after), (false, true));
 }
--- a/tests/testsuite/routing/link.rs
+++ b/tests/testsuite/routing/link.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use hawthornmill::limits::link::Link;
+use hawthornmill::limits::congestion::LinkMonitor;
 
 use super::millis;
 
@@ -15,50 +15,50 @@
 #[test]
 fn a_link_is_late_when_every_server_is() {
     let now = Instant::now();
-    let mut link = Link::default();
+    let mut link = LinkMonitor::default();
 
     for number in 1..=3 {
-        link.attempt(server(number), millis(400), now);
+        link.record_connect(server(number), millis(400), now);
     }
 
-    assert!(link.is_late(now));
-    assert_eq!(link.wait(now), millis(400));
+    assert!(link.is_congested(now));
+    assert_eq!(link.queueing_delay(now), millis(400));
 }
 
 /// Failure: a few servers are gone, and nothing is learned any more of those that live.
 #[test]
 fn servers_that_are_gone_do_not_make_the_link_late() {
     let now = Instant::now();
-    let mut link = Link::default();
+    let mut link = LinkMonitor::default();
 
     for number in 1..=9 {
-        link.attempt(server(number), millis(500), now);
+        link.record_connect(server(number), millis(500), now);
     }
-    link.attempt(server(10), millis(4), now);
+    link.record_connect(server(10), millis(4), now);
 
-    assert!(!link.is_late(now));
+    assert!(!link.is_congested(now));
 }
 
 #[test]
 fn one_server_asked_many_times_tells_nothing_of_the_link() {
     let now = Instant::now();
-    let mut link = Link::default();
+    let mut link = LinkMonitor::default();
 
     for _ in 0..9 {
-        link.attempt(server(1), millis(500), now);
+        link.record_connect(server(1), millis(500), now);
     }
 
-    assert!(!link.is_late(now));
+    assert!(!link.is_congested(now));
 }
 
 #[test]
 fn what_was_late_seconds_ago_no_longer_counts() {
     let now = Instant::now();
-    let mut link = Link::default();
+    let mut link = LinkMonitor::default();
 
     for number in 1..=3 {
-        link.attempt(server(number), millis(400), now);
+        link.record_connect(server(number), millis(400), now);
     }
 
-    assert!(!link.is_late(now + millis(2_000)));
+    assert!(!link.is_congested(now + millis(2_000)));
 }
