--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -8,10 +8,10 @@
 use hawthornmill::board::{Board, Dispatch, RequestKey};
 use hawthornmill::clock::Clock;
 use hawthornmill::codes::Code;
+use hawthornmill::events::Event;
 use hawthornmill::ident::{Incarnation, InstanceId, PoolId, ServerId};
 use hawthornmill::limits::retry::Retries;
 use hawthornmill::membership::start;
-use hawthornmill::notes::Note;
 use hawthornmill::pools::{self, entry, regions, tick};
 use hawthornmill::wire::message::{GrantId, Message};
 use smallvec::SmallVec;
@@ -150,8 +150,8 @@
             hand_out(core, now);
             pools::turn(&mut core.board, now);
         }
-        for note in std::mem::take(&mut core.board.notes) {
-            log_note(&core.board, note);
+        for event in std::mem::take(&mut core.board.events) {
+            log_event(&core.board, event);
         }
         for (to, message) in core.board.outbox.drain(..) {
             self.outgoing.send(to, message);
@@ -251,22 +251,24 @@
     }
 }
 
-fn log_note(board: &Board, note: Note) {
+fn log_event(board: &Board, event: Event) {
     let name = |id: InstanceId| {
         let member = board.members.map.get(&id);
         member.map_or_else(|| "?".into(), |m| m.contact.name.clone())
     };
-    match note {
-        Note::Died(id) => log::warn!(target: "membership", "{} is not heard any more", name(id)),
-        Note::Revived(id) => log::info!(target: "membership", "{} is heard", name(id)),
-        Note::Owner(pool, id) => {
+    match event {
+        Event::InstanceDown(id) => {
+            log::warn!(target: "membership", "{} is not heard any more", name(id))
+        }
+        Event::InstanceUp(id) => log::info!(target: "membership", "{} is heard", name(id)),
+        Event::OwnerChanged(pool, id) => {
             let (service, domain) = pool_names(board, pool);
             log::info!(target: "pools", "owner of {service} in {domain} is {}", name(id));
         }
-        Note::Paused(gap) => {
+        Event::ProcessPaused(gap) => {
             log::warn!(target: "membership", "stopped for {} ms; view is old", gap.as_millis());
         }
-        Note::Confirmed => log::info!(target: "membership", "view is confirmed"),
+        Event::ViewConfirmed => log::info!(target: "membership", "view is confirmed"),
     }
 }
 
--- a/crates/hawthornmill/src/board.rs
+++ b/crates/hawthornmill/src/board.rs
@@ -13,12 +13,12 @@
 
 use crate::codes::Code;
 use crate::config::{FleetConfig, Manifest, accept::Values, intake::Intake};
+use crate::events::Event;
 use crate::fairness::Ledger;
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId, ServiceId};
 use crate::limits::backlog::Backlogs;
 use crate::limits::queue_rate::QueueRate;
 use crate::membership::{Members, reports::Reports, roster::Roster, start::Start};
-use crate::notes::Note;
 use crate::pools::entry::Link;
 use crate::pools::owner::Owned;
 use crate::pools::regions::Crossing;
@@ -176,7 +176,7 @@
     /// Requests that may go to a server.
     pub dispatches: Vec<Dispatch>,
     /// Events that operators should read in the log.
-    pub notes: Vec<Note>,
+    pub events: Vec<Event>,
     /// Requests that are given up.
     pub refusals: Vec<(RequestKey, Code)>,
     /// Bytes of calls that may still cross to other regions.
@@ -226,7 +226,7 @@
             awaited: None,
             outbox: Vec::new(),
             dispatches: Vec::new(),
-            notes: Vec::new(),
+            events: Vec::new(),
             refusals: Vec::new(),
             crossing,
             ticked: now,
--- a/crates/hawthornmill/src/notes.rs
+++ b/crates/hawthornmill/src/events.rs
@@ -8,15 +8,15 @@
 
 /// One event worth a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Note {
+pub enum Event {
     /// A member has not been heard for too long.
-    Died(InstanceId),
+    InstanceDown(InstanceId),
     /// A member is heard again, or for the first time.
-    Revived(InstanceId),
+    InstanceUp(InstanceId),
     /// A pool has another owner in this instance's view.
-    Owner(PoolId, InstanceId),
+    OwnerChanged(PoolId, InstanceId),
     /// This process was stopped for about so long.
-    Paused(Duration),
+    ProcessPaused(Duration),
     /// The view was confirmed after a pause; calls are dispatched again.
-    Confirmed,
+    ViewConfirmed,
 }
--- a/crates/hawthornmill/src/lib.rs
+++ b/crates/hawthornmill/src/lib.rs
@@ -14,7 +14,7 @@
 //! | [`limits`] | bounds on what waits, retry budgets, when to come back |
 //! | [`membership`] | who is live, leaving or dead, and who owns or relays what |
 //! | [`keys`] | at-most-once calls: key prefixes and the table of a home |
-//! | [`notes`] | events that operators should read in the log |
+//! | [`events`] | events that operators should read in the log |
 //! | [`routing`] | the gateway: routes, registered servers, placement, letting in |
 //! | [`usage`] | one record for each finished request |
 //! | [`wire`] | typed messages between instances and their authenticated frames |
@@ -24,6 +24,7 @@
 pub mod clock;
 pub mod codes;
 pub mod config;
+pub mod events;
 pub mod fairness;
 pub mod ident;
 pub mod ini;
@@ -31,7 +32,6 @@
 pub mod labels;
 pub mod limits;
 pub mod membership;
-pub mod notes;
 pub mod pools;
 pub mod routing;
 pub mod usage;
--- a/crates/hawthornmill/src/pools/ownership.rs
+++ b/crates/hawthornmill/src/pools/ownership.rs
@@ -5,10 +5,10 @@
 
 use crate::board::{Board, Policy};
 use crate::config::FleetConfig;
+use crate::events::Event;
 use crate::fairness::{CostKey, Ledger};
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId};
 use crate::membership::place;
-use crate::notes::Note;
 use crate::pools::entry;
 use crate::pools::owner::Owned;
 use crate::wire::message::{Handover, Held, HeldBy, Message};
@@ -49,7 +49,7 @@
         && link.owner != Some((id, run))
     {
         link.turn_to(id, run);
-        board.notes.push(Note::Owner(pool, id));
+        board.events.push(Event::OwnerChanged(pool, id));
         let queues = board.queues.keys().copied();
         board.dirty.extend(queues);
     }
@@ -153,10 +153,12 @@
             owned.forget(*id);
         }
     }
-    board.notes.extend(died.into_iter().map(Note::Died));
+    board
+        .events
+        .extend(died.into_iter().map(Event::InstanceDown));
     for id in std::mem::take(&mut board.members.revived) {
         board.reports.resend(id);
-        board.notes.push(Note::Revived(id));
+        board.events.push(Event::InstanceUp(id));
         entry::resync(board, id);
     }
 }
--- a/crates/hawthornmill/src/pools/tick.rs
+++ b/crates/hawthornmill/src/pools/tick.rs
@@ -4,9 +4,9 @@
 
 use super::entry;
 use crate::board::Board;
+use crate::events::Event;
 use crate::fairness::standing;
 use crate::ident::InstanceId;
-use crate::notes::Note;
 use crate::wire::message::{Message, PoolState, ProbeAck};
 
 /// Notices that the process was stopped for a while; called with every tick and arrival.
@@ -14,7 +14,7 @@
     let gap = now.duration_since(board.ticked);
     board.ticked = now;
     if gap > board.tuning.pause {
-        board.notes.push(Note::Paused(gap));
+        board.events.push(Event::ProcessPaused(gap));
         wake(board, now);
     }
 }
@@ -107,7 +107,7 @@
 
 fn confirm(board: &mut Board, now: Instant) {
     board.stale = None;
-    board.notes.push(Note::Confirmed);
+    board.events.push(Event::ViewConfirmed);
     board.awaited = None;
     board.members.sweep(now);
     let keys: Vec<_> = board.queues.keys().copied().collect();
