--- a/crates/hawthornmill-lab/src/slopes/fixture.rs
+++ b/crates/hawthornmill-lab/src/slopes/fixture.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::{Board, Tuning};
+use hawthornmill::blackboard::{Blackboard, Tuning};
 use hawthornmill::config::FleetConfig;
 use hawthornmill::config::accept::{Manifest, Values, accept, manifest};
 use hawthornmill::ident::{AccountId, DomainId, Incarnation, InstanceId, PoolId, ServiceId};
@@ -129,8 +129,8 @@
 }
 
 /// The board of instance `number`, with `size` in force and every instance heard at `now`.
-pub fn board(size: Size, number: usize, now: Instant) -> Board {
-    let mut board = Board::new(
+pub fn board(size: Size, number: usize, now: Instant) -> Blackboard {
+    let mut board = Blackboard::new(
         contact(size, number),
         Incarnation(1),
         Tuning::default(),
@@ -156,7 +156,7 @@
 }
 
 /// Every instance gives a sign of life.
-pub fn hear_all(board: &mut Board, size: Size, now: Instant) {
+pub fn hear_all(board: &mut Blackboard, size: Size, now: Instant) {
     for other in 0..size.instances {
         let sign = Sign {
             from: InstanceId::of(&format!("i{other}")),
@@ -175,7 +175,7 @@
 #[derive(Debug)]
 pub struct BusyOwner {
     /// The owner's board.
-    pub board: Board,
+    pub board: Blackboard,
     /// The pool.
     pub pool: PoolId,
     now: Instant,
--- a/crates/hawthornmill-lab/src/slopes/measure.rs
+++ b/crates/hawthornmill-lab/src/slopes/measure.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::Board;
+use hawthornmill::blackboard::Blackboard;
 use hawthornmill::config::accept::{accept, manifest};
 use hawthornmill::fairness::CostKey;
 use hawthornmill::ident::{
@@ -138,7 +138,11 @@
 }
 
 /// Rounds of the instance that `choose` names, while every other one reports with `costs` counters.
-fn rounds(instances: usize, costs: usize, choose: impl Fn(&Board) -> Option<InstanceId>) -> Rounds {
+fn rounds(
+    instances: usize,
+    costs: usize,
+    choose: impl Fn(&Blackboard) -> Option<InstanceId>,
+) -> Rounds {
     let size = Size {
         servers: 24 * POOL,
         instances,
@@ -171,7 +175,14 @@
 
 /// Takes the reports of a round as they come along the tree: from members of the own domain
 /// directly, from the others through their relays.
-fn take_all(board: &mut Board, size: Size, own: usize, costs: usize, round: u32, now: Instant) {
+fn take_all(
+    board: &mut Blackboard,
+    size: Size,
+    own: usize,
+    costs: usize,
+    round: u32,
+    now: Instant,
+) {
     let relays: Vec<Option<InstanceId>> = (0..size.domains)
         .map(|d| domain_relay(&board.members, DomainId::of(&format!("d{d}"))))
         .collect();
@@ -219,17 +230,17 @@
 pub fn reports() -> Vec<Line> {
     let sizes = [48, 96, 192, 350];
     // A relay of a domain that is not the region's relay as well.
-    let relay = |b: &Board| {
+    let relay = |b: &Blackboard| {
         let top = region_relay(&b.members, RegionId::of("r0"));
         let both = ["d0", "d1"].map(|d| domain_relay(&b.members, DomainId::of(d)));
         both.into_iter().flatten().find(|id| Some(*id) != top)
     };
-    let region = |b: &Board| region_relay(&b.members, RegionId::of("r0"));
+    let region = |b: &Blackboard| region_relay(&b.members, RegionId::of("r0"));
     let mut lines = Vec::new();
     for (name, choose) in [
         (
             "domain relay",
-            &relay as &dyn Fn(&Board) -> Option<InstanceId>,
+            &relay as &dyn Fn(&Blackboard) -> Option<InstanceId>,
         ),
         ("region relay", &region),
     ] {
--- a/crates/hawthornmill-net/src/entry/addresses.rs
+++ b/crates/hawthornmill-net/src/entry/addresses.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hawthornmill::board::Board;
+use hawthornmill::blackboard::Blackboard;
 use hawthornmill::ident::mix;
 
 use super::home::fresh_prefix;
@@ -44,7 +44,7 @@
 }
 
 /// Usable instances: this region first, in an order that `salt` decides, so that callers spread.
-fn ranked(board: &Board, salt: u64) -> Vec<Box<str>> {
+fn ranked(board: &Blackboard, salt: u64) -> Vec<Box<str>> {
     let home = board.members.own().region;
     let mut list: Vec<_> = board
         .members
--- a/crates/hawthornmill-net/src/entry/status.rs
+++ b/crates/hawthornmill-net/src/entry/status.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::Ordering;
 
-use hawthornmill::board::Board;
+use hawthornmill::blackboard::Blackboard;
 use hawthornmill::config::accept::{self, Manifest};
 use hawthornmill::fairness::CostKey;
 use poem::http::HeaderMap;
@@ -55,7 +55,7 @@
     accept::digest(&all)
 }
 
-fn members(board: &Board) -> serde_json::Value {
+fn members(board: &Blackboard) -> serde_json::Value {
     board
         .members
         .map
@@ -75,7 +75,7 @@
         .collect()
 }
 
-fn pools(fleet: &Fleet, board: &Board) -> serde_json::Value {
+fn pools(fleet: &Fleet, board: &Blackboard) -> serde_json::Value {
     let now = fleet.clock.now();
     board
         .config
@@ -97,7 +97,7 @@
         .collect()
 }
 
-fn accounts(board: &Board) -> serde_json::Value {
+fn accounts(board: &Blackboard) -> serde_json::Value {
     let mut list = Vec::new();
     for service in board.config.services.keys() {
         for (id, account) in &board.config.accounts {
--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::{Board, Dispatch, RequestKey};
+use hawthornmill::blackboard::{Blackboard, Dispatch, RequestKey};
 use hawthornmill::clock::Clock;
 use hawthornmill::codes::Code;
 use hawthornmill::events::Event;
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub struct Core {
     /// The blackboard.
-    pub board: Board,
+    pub board: Blackboard,
     waiters: BTreeMap<RequestKey, oneshot::Sender<Verdict>>,
 }
 
@@ -88,7 +88,7 @@
         telemetry: Telemetry,
     ) -> Arc<Self> {
         let now = clock.now();
-        let board = Board::new(
+        let board = Blackboard::new(
             settings.contact.clone(),
             incarnation,
             settings.tuning.clone(),
@@ -128,12 +128,12 @@
     }
 
     /// Reads the board.
-    pub fn view<T>(&self, read: impl FnOnce(&Board) -> T) -> T {
+    pub fn view<T>(&self, read: impl FnOnce(&Blackboard) -> T) -> T {
         read(&self.lock().board)
     }
 
     /// Feeds an event to the board, runs a turn and hands out what it left.
-    pub fn feed<T>(&self, event: impl FnOnce(&mut Board, Instant) -> T) -> T {
+    pub fn feed<T>(&self, event: impl FnOnce(&mut Blackboard, Instant) -> T) -> T {
         let now = self.clock.now();
         let mut core = self.lock();
         // After a pause, a message may be taken before the next tick.
@@ -187,7 +187,7 @@
 
     fn queue(
         self: &Arc<Self>,
-        put: impl FnOnce(&mut Board, Instant) -> Result<RequestKey, Code>,
+        put: impl FnOnce(&mut Blackboard, Instant) -> Result<RequestKey, Code>,
     ) -> Result<Ticket, Code> {
         let now = self.clock.now();
         let mut core = self.lock();
@@ -251,7 +251,7 @@
     }
 }
 
-fn log_event(board: &Board, event: Event) {
+fn log_event(board: &Blackboard, event: Event) {
     let name = |id: InstanceId| {
         let member = board.members.map.get(&id);
         member.map_or_else(|| "?".into(), |m| m.contact.name.clone())
@@ -272,7 +272,7 @@
     }
 }
 
-fn pool_names(board: &Board, pool: PoolId) -> (Box<str>, Box<str>) {
+fn pool_names(board: &Blackboard, pool: PoolId) -> (Box<str>, Box<str>) {
     let config = &board.config;
     let names = config.pools.get(&pool).and_then(|p| {
         let service = config.services.get(&p.service)?.name.clone();
--- a/crates/hawthornmill-net/src/peers/inbox.rs
+++ b/crates/hawthornmill-net/src/peers/inbox.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use hawthornmill::board::Board;
+use hawthornmill::blackboard::Blackboard;
 use hawthornmill::config::accept;
 use hawthornmill::ident::{Incarnation, InstanceId};
 use hawthornmill::membership::{Sign, place};
@@ -92,7 +92,7 @@
 ///
 /// Lists of two readers may differ for a moment; following one of them keeps an instance from
 /// asking each in turn.
-fn follows(board: &Board, from: InstanceId) -> bool {
+fn follows(board: &Blackboard, from: InstanceId) -> bool {
     let readers = place::readers(&board.members, board.members.own().domain);
     readers.first() == Some(&from) && !readers.contains(&board.me())
 }
--- a/crates/hawthornmill-net/src/peers/tcp.rs
+++ b/crates/hawthornmill-net/src/peers/tcp.rs
@@ -134,7 +134,7 @@
     mut writer: OwnedWriteHalf,
     nonce: u64,
 ) {
-    let me = fleet.view(hawthornmill::board::Board::me);
+    let me = fleet.view(hawthornmill::blackboard::Blackboard::me);
     let far = fleet.view(|board| {
         let there = board.members.map.get(&to).map(|m| m.region);
         there != Some(board.members.own().region)
--- a/crates/hawthornmill-net/src/peers/udp.rs
+++ b/crates/hawthornmill-net/src/peers/udp.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::Board;
+use hawthornmill::blackboard::Blackboard;
 use hawthornmill::ident::InstanceId;
 use hawthornmill::membership::beat_interval;
 use hawthornmill::pools::beat_targets;
@@ -41,7 +41,7 @@
     socket: Arc<UdpSocket>,
     mut queue: mpsc::Receiver<(InstanceId, Message)>,
 ) {
-    let me = fleet.view(hawthornmill::board::Board::me);
+    let me = fleet.view(hawthornmill::blackboard::Blackboard::me);
     let mut sealer = Sealer::new(fleet.settings.key, me, fleet.incarnation, 0);
     while let Some((to, message)) = queue.recv().await {
         let Some((address, far)) = address(&fleet, to) else {
@@ -68,7 +68,7 @@
 }
 
 async fn receive(fleet: Arc<Fleet>, socket: Arc<UdpSocket>) {
-    let me = fleet.view(hawthornmill::board::Board::me);
+    let me = fleet.view(hawthornmill::blackboard::Blackboard::me);
     let mut opener = Opener::new(fleet.settings.key, me.0);
     let mut buffer = vec![0; 65_536];
     loop {
@@ -151,7 +151,7 @@
     interval
 }
 
-fn heartbeat(board: &Board, interval: Duration, platform: bool, now: Instant) -> Heartbeat {
+fn heartbeat(board: &Blackboard, interval: Duration, platform: bool, now: Instant) -> Heartbeat {
     let sign = board.members.own_sign(board.config.revision, interval, now);
     Heartbeat {
         leaving: sign.leaving,
--- a/crates/hawthornmill-net/src/platform.rs
+++ b/crates/hawthornmill-net/src/platform.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::Board;
+use hawthornmill::blackboard::Blackboard;
 use hawthornmill::codes::Code;
 use hawthornmill::config::accept::{Manifest, VALUE_LIMIT, Values};
 use hawthornmill::membership::place;
@@ -129,7 +129,7 @@
     Follower,
 }
 
-fn role(fleet: &Fleet, knows: impl Fn(&Board) -> bool) -> Role {
+fn role(fleet: &Fleet, knows: impl Fn(&Blackboard) -> bool) -> Role {
     let silent = fleet.platform.is_mate_silent(fleet.clock.now());
     fleet.view(|board| {
         let readers = place::readers(&board.members, board.members.own().domain);
--- a/crates/hawthornmill-net/src/settings.rs
+++ b/crates/hawthornmill-net/src/settings.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use hawthornmill::board::{Policy, Tuning};
+use hawthornmill::blackboard::{Policy, Tuning};
 use hawthornmill::ini::{Fault, Reader, Section};
 use hawthornmill::wire::message::Contact;
 
--- a/crates/hawthornmill-net/src/telemetry/gauges.rs
+++ b/crates/hawthornmill-net/src/telemetry/gauges.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Weak};
 
-use hawthornmill::board::Board;
+use hawthornmill::blackboard::Blackboard;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::AsyncInstrument;
 
@@ -69,7 +69,7 @@
 }
 
 /// Queues that are not empty, by service and account; there are no more than grants allow.
-fn waiting(board: &Board, observer: Observer<'_>) {
+fn waiting(board: &Blackboard, observer: Observer<'_>) {
     for ((service, account), queue) in &board.queues {
         let names = (
             board.config.services.get(service),
--- a/crates/hawthornmill-test-support/src/steps.rs
+++ b/crates/hawthornmill-test-support/src/steps.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::{Board, Dispatch, RequestKey, Tuning};
+use hawthornmill::blackboard::{Blackboard, Dispatch, RequestKey, Tuning};
 use hawthornmill::codes::Code;
 use hawthornmill::ident::{AccountId, Incarnation, InstanceId, ServerId, ServiceId};
 use hawthornmill::pools::{self, entry, owner, tick};
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub struct Steps {
     /// The instances' boards.
-    pub boards: Vec<Board>,
+    pub boards: Vec<Blackboard>,
     /// Milliseconds since the start.
     pub now: u64,
     /// Instances that are stopped: they neither tick nor receive, and their requests go on.
@@ -122,7 +122,7 @@
         for (number, own) in contacts.iter().enumerate() {
             // Grants carry half of an incarnation, so no two instances may start with the same.
             let run = Incarnation(1 + 1000 * number as u64);
-            let mut board = Board::new(own.clone(), run, tuning.clone(), start);
+            let mut board = Blackboard::new(own.clone(), run, tuning.clone(), start);
             for other in &contacts {
                 board.members.learn(other.clone(), start);
             }
@@ -214,7 +214,7 @@
             .map(|m| m.contact.clone())
             .collect();
         let run = Incarnation(old.incarnation.0 + 1);
-        let mut board = Board::new(own, run, old.tuning.clone(), now);
+        let mut board = Blackboard::new(own, run, old.tuning.clone(), now);
         for other in contacts {
             board.members.learn(other, now);
         }
--- a/crates/hawthornmill/src/board.rs
+++ b/crates/hawthornmill/src/blackboard.rs
@@ -120,7 +120,7 @@
 
 /// The blackboard.
 #[derive(Debug)]
-pub struct Board {
+pub struct Blackboard {
     /// This process run.
     pub incarnation: Incarnation,
     /// Durations and bounds.
@@ -189,7 +189,7 @@
     pub sized: u64,
 }
 
-impl Board {
+impl Blackboard {
     /// An empty board for one process run.
     pub fn new(contact: Contact, incarnation: Incarnation, tuning: Tuning, now: Instant) -> Self {
         let me = InstanceId::of(&contact.name);
--- a/crates/hawthornmill/src/fairness/standing.rs
+++ b/crates/hawthornmill/src/fairness/standing.rs
@@ -4,7 +4,7 @@
 //! share already. It asks one live peer after another, nearest first, and stops after some tries: at
 //! the start of a whole fleet there is nobody to ask.
 
-use crate::board::Board;
+use crate::blackboard::Blackboard;
 use crate::ident::InstanceId;
 use crate::wire::message::{Message, Standing};
 
@@ -12,7 +12,7 @@
 const TRIES: u32 = 8;
 
 /// The question that is due with this report, if any.
-pub fn ask(board: &mut Board) -> Option<(InstanceId, Message)> {
+pub fn ask(board: &mut Blackboard) -> Option<(InstanceId, Message)> {
     if board.ledger.settled() {
         return None;
     }
@@ -35,7 +35,7 @@
 }
 
 /// Answers a peer that starts; an instance that has yet to learn the counters itself says nothing.
-pub fn answer(board: &mut Board, peer: InstanceId) {
+pub fn answer(board: &mut Blackboard, peer: InstanceId) {
     if board.ledger.settled() {
         let standing = board.ledger.standing(board.me(), board.incarnation);
         board.outbox.push((peer, Message::Standing(standing)));
@@ -43,7 +43,7 @@
 }
 
 /// Takes a peer's answer.
-pub fn take(board: &mut Board, standing: &Standing) {
+pub fn take(board: &mut Blackboard, standing: &Standing) {
     let (me, incarnation) = (board.me(), board.incarnation);
     board.ledger.adopt(me, incarnation, standing);
 }
--- a/crates/hawthornmill/src/membership/start.rs
+++ b/crates/hawthornmill/src/membership/start.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::place::guess;
-use crate::board::Board;
+use crate::blackboard::Blackboard;
 use crate::ident::{DomainId, InstanceId};
 
 /// Time for which a starting instance waits for the platform and for peers.
@@ -30,7 +30,7 @@
 /// one that serves, which has made sure itself, or every instance of the platform's list. When the
 /// platform or peers don't answer for a while, what is known is enough: a fleet that starts after
 /// an outage must not wait for those that are gone.
-pub fn is_ready(board: &Board, began: Instant, now: Instant) -> bool {
+pub fn is_ready(board: &Blackboard, began: Instant, now: Instant) -> bool {
     let others = board
         .members
         .map
@@ -49,7 +49,7 @@
 }
 
 /// Instances to ask in `round`: some of the own failure domain and one of each other.
-pub fn to_ask(board: &Board, round: u32) -> BTreeSet<InstanceId> {
+pub fn to_ask(board: &Blackboard, round: u32) -> BTreeSet<InstanceId> {
     let members = &board.members;
     let domains: BTreeSet<DomainId> = members.map.values().map(|m| m.domain).collect();
     let mut asked: BTreeSet<InstanceId> = domains
--- a/crates/hawthornmill/src/pools/entry.rs
+++ b/crates/hawthornmill/src/pools/entry.rs
@@ -11,7 +11,7 @@
 use super::queue;
 pub use super::queue::{Arrival, cancel, check_account, enqueue, expire, requeue, retry_after};
 use super::regions;
-use crate::board::{Board, Dispatch};
+use crate::blackboard::{Blackboard, Dispatch};
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId, ServiceId};
 use crate::wire::message::{Demand, Done, Grant, GrantId, Grants, Held, Holding, Message, Want};
 
@@ -123,7 +123,7 @@
 
 /// Takes grants: each goes to the oldest waiting request of its account, or back.
 pub fn on_grants(
-    board: &mut Board,
+    board: &mut Blackboard,
     from: InstanceId,
     incarnation: Incarnation,
     grants: &Grants,
@@ -149,7 +149,7 @@
 }
 
 fn accept(
-    board: &mut Board,
+    board: &mut Blackboard,
     from: InstanceId,
     incarnation: Incarnation,
     pool: PoolId,
@@ -181,7 +181,7 @@
 }
 
 /// Gives an idle held slot to the oldest fitting request of its account.
-pub(super) fn assign(board: &mut Board, pool: PoolId, grant: GrantId, now: Instant) -> bool {
+pub(super) fn assign(board: &mut Blackboard, pool: PoolId, grant: GrantId, now: Instant) -> bool {
     let config = Arc::clone(&board.config);
     let Some(slot) = board.links.get(&pool).and_then(|l| l.held.get(&grant)) else {
         return false;
@@ -225,14 +225,14 @@
 }
 
 /// Tells whether the configuration or the server itself says that it is leaving.
-fn takes_no_work(board: &Board, server: ServerId, now: Instant) -> bool {
+fn takes_no_work(board: &Blackboard, server: ServerId, now: Instant) -> bool {
     let listed = board.config.servers.get(&server).is_some_and(|s| s.leaving);
     let said = board.said_leaving.get(&server);
     listed || said.is_some_and(|at| now.duration_since(*at) < SAID_LEAVING)
 }
 
 /// An answer of `server` said that it is leaving.
-pub fn on_server_leaving(board: &mut Board, server: ServerId, now: Instant) {
+pub fn on_server_leaving(board: &mut Blackboard, server: ServerId, now: Instant) {
     board.said_leaving.insert(server, now);
     board
         .said_leaving
@@ -241,7 +241,7 @@
 
 /// A request has left its slot: the slot goes back, or is kept while the owner is silent.
 pub fn finish(
-    board: &mut Board,
+    board: &mut Blackboard,
     pool: PoolId,
     grant: GrantId,
     cost: f64,
@@ -280,7 +280,7 @@
     give_back(board, pool, grant, told, failed);
 }
 
-fn give_back(board: &mut Board, pool: PoolId, grant: GrantId, cost: f64, failed: bool) {
+fn give_back(board: &mut Blackboard, pool: PoolId, grant: GrantId, cost: f64, failed: bool) {
     if let Some(link) = board.links.get_mut(&pool)
         && link.held.remove(&grant).is_some()
     {
@@ -292,7 +292,7 @@
     }
 }
 
-fn give_back_to(board: &mut Board, owner: InstanceId, pool: PoolId, grant: GrantId) {
+fn give_back_to(board: &mut Blackboard, owner: InstanceId, pool: PoolId, grant: GrantId) {
     let done = Done {
         grant,
         cost: 0.0,
@@ -308,7 +308,7 @@
 
 /// The owner asks what this entry holds, and tells up to which number its grants are settled.
 pub fn on_sync(
-    board: &mut Board,
+    board: &mut Blackboard,
     from: InstanceId,
     incarnation: Incarnation,
     pool: PoolId,
@@ -325,13 +325,13 @@
 }
 
 /// The connection to `peer` was renewed: say everything again.
-pub fn on_link(board: &mut Board, peer: InstanceId) {
+pub fn on_link(board: &mut Blackboard, peer: InstanceId) {
     board.broken.remove(&peer);
     resync(board, peer);
 }
 
 /// Says everything again to `peer` as an owner, and asks it to do the same as an entry.
-pub fn resync(board: &mut Board, peer: InstanceId) {
+pub fn resync(board: &mut Blackboard, peer: InstanceId) {
     for link in board.links.values_mut() {
         if link.owner.is_some_and(|(o, _)| o == peer) {
             link.resync = true;
@@ -349,7 +349,7 @@
 }
 
 /// Tells owners what changed since they were last told.
-pub fn tell(board: &mut Board, now: Instant) {
+pub fn tell(board: &mut Blackboard, now: Instant) {
     let dirty = std::mem::take(&mut board.dirty);
     for (service, account) in dirty {
         update_wants(board, service, account);
@@ -373,7 +373,7 @@
     }
 }
 
-fn message_for(board: &mut Board, pool: PoolId, run: Incarnation, now: Instant) -> Message {
+fn message_for(board: &mut Blackboard, pool: PoolId, run: Incarnation, now: Instant) -> Message {
     let link = board.links.entry(pool).or_default();
     if !link.resync {
         return Message::Demand(Demand {
@@ -400,7 +400,7 @@
     holding(board, pool, run)
 }
 
-fn holding(board: &mut Board, pool: PoolId, run: Incarnation) -> Message {
+fn holding(board: &mut Blackboard, pool: PoolId, run: Incarnation) -> Message {
     let link = board.links.entry(pool).or_default();
     let held = link
         .held
@@ -433,7 +433,7 @@
     Message::Holding(message)
 }
 
-fn update_wants(board: &mut Board, service: ServiceId, account: AccountId) {
+fn update_wants(board: &mut Blackboard, service: ServiceId, account: AccountId) {
     let waiting = board
         .queues
         .get(&(service, account))
--- a/crates/hawthornmill/src/pools/kept.rs
+++ b/crates/hawthornmill/src/pools/kept.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use super::entry::{Slot, assign};
-use crate::board::Board;
+use crate::blackboard::Blackboard;
 use crate::fairness::CostKey;
 use crate::ident::{AccountId, PoolId, ServiceId};
 use crate::wire::message::{Done, GrantId};
@@ -18,7 +18,7 @@
 /// The owner has charged its estimate. If it is heard again in the same run, this corrects it; if it
 /// is gone, the estimate stays in its counters. An entry that charged the call itself would have it
 /// counted twice.
-pub(super) fn note_late(board: &mut Board, pool: PoolId, grant: GrantId, cost: f64) {
+pub(super) fn note_late(board: &mut Blackboard, pool: PoolId, grant: GrantId, cost: f64) {
     if let Some(link) = board.links.get_mut(&pool)
         && !link.late.iter().any(|d| d.grant == grant)
     {
@@ -31,7 +31,7 @@
 }
 
 /// Charges a call in a reused slot, for which no owner has charged anything.
-pub(super) fn charge_own(board: &mut Board, slot: Slot, cost: f64) {
+pub(super) fn charge_own(board: &mut Blackboard, slot: Slot, cost: f64) {
     let Some(server) = board.config.servers.get(&slot.server) else {
         return;
     };
@@ -47,7 +47,7 @@
 ///
 /// The owner can't grant it to anybody until a successor has heard who holds what, so a slot that
 /// was handed back would idle; reusing it adds none.
-pub(super) fn keep(board: &mut Board, pool: PoolId, grant: GrantId, now: Instant) {
+pub(super) fn keep(board: &mut Blackboard, pool: PoolId, grant: GrantId, now: Instant) {
     if let Some(slot) = held_mut(board, pool, grant) {
         slot.busy = false;
         slot.reused = true;
@@ -55,7 +55,7 @@
     reuse(board, pool, grant, now);
 }
 
-pub(super) fn reuse(board: &mut Board, pool: PoolId, grant: GrantId, now: Instant) -> bool {
+pub(super) fn reuse(board: &mut Blackboard, pool: PoolId, grant: GrantId, now: Instant) -> bool {
     let config = Arc::clone(&board.config);
     let Some(slot) = held_mut(board, pool, grant).map(|s| *s) else {
         return false;
@@ -84,7 +84,7 @@
 }
 
 /// Gives a kept slot to a request that has just arrived.
-pub(super) fn use_kept(board: &mut Board, service: ServiceId, account: AccountId) {
+pub(super) fn use_kept(board: &mut Blackboard, service: ServiceId, account: AccountId) {
     let Some(arrived) = board
         .queues
         .get(&(service, account))
@@ -109,6 +109,6 @@
     }
 }
 
-fn held_mut(board: &mut Board, pool: PoolId, grant: GrantId) -> Option<&mut Slot> {
+fn held_mut(board: &mut Blackboard, pool: PoolId, grant: GrantId) -> Option<&mut Slot> {
     board.links.get_mut(&pool)?.held.get_mut(&grant)
 }
--- a/crates/hawthornmill/src/pools/mod.rs
+++ b/crates/hawthornmill/src/pools/mod.rs
@@ -19,7 +19,7 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-use crate::board::Board;
+use crate::blackboard::Blackboard;
 use crate::fairness::standing;
 use crate::ident::{Incarnation, InstanceId};
 use crate::membership::place;
@@ -34,7 +34,7 @@
 /// another with each `round`: one that starts while the platform is down knows nobody, and a
 /// heartbeat brings it a first contact. One that leaves tells everybody: callers in any region may be
 /// given its address until the instance that they ask has heard of it.
-pub fn beat_targets(board: &Board, round: u32) -> BTreeSet<InstanceId> {
+pub fn beat_targets(board: &Blackboard, round: u32) -> BTreeSet<InstanceId> {
     let home = board.members.own().domain;
     let mates = board.members.map.iter().filter(|(_, m)| m.domain == home);
     let owners = board
@@ -59,7 +59,7 @@
 }
 
 /// Runs everything that recent events have made due, messages to itself included.
-pub fn turn(board: &mut Board, now: Instant) {
+pub fn turn(board: &mut Blackboard, now: Instant) {
     for _ in 0..SELF_ROUNDS {
         ownership::refresh(board, now);
         schedule::run(board, now);
@@ -70,7 +70,7 @@
     }
 }
 
-fn deliver_own(board: &mut Board, now: Instant) -> bool {
+fn deliver_own(board: &mut Blackboard, now: Instant) -> bool {
     let me = board.me();
     let (own, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut board.outbox)
         .into_iter()
@@ -86,7 +86,7 @@
 
 /// Takes a pool message from an instance, this one included.
 pub fn receive(
-    board: &mut Board,
+    board: &mut Blackboard,
     from: InstanceId,
     incarnation: Incarnation,
     message: Message,
--- a/crates/hawthornmill/src/pools/owner.rs
+++ b/crates/hawthornmill/src/pools/owner.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::board::{Board, Policy};
+use crate::blackboard::{Blackboard, Policy};
 use crate::fairness::CostKey;
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId, ServiceId};
 use crate::wire::message::{Demand, Done, GrantId, Held, Holding, Message, Want};
@@ -304,7 +304,7 @@
 
 /// Takes what changed at an entry.
 pub fn on_demand(
-    board: &mut Board,
+    board: &mut Blackboard,
     from: InstanceId,
     incarnation: Incarnation,
     demand: &Demand,
@@ -328,7 +328,7 @@
 }
 
 /// Lifts an account that was idle here to the level of those that are served.
-fn open_account(board: &mut Board, pool: PoolId, service: ServiceId, account: AccountId) {
+fn open_account(board: &mut Blackboard, pool: PoolId, service: ServiceId, account: AccountId) {
     let total = board.ledger.total(CostKey { service, account });
     let owned = board.owned.entry(pool).or_default();
     let level = owned.level;
@@ -340,7 +340,7 @@
 
 /// Takes a slot back and corrects the charge to what the call cost.
 fn settle(
-    board: &mut Board,
+    board: &mut Blackboard,
     pool: PoolId,
     service: ServiceId,
     from: InstanceId,
@@ -380,7 +380,7 @@
 
 /// Takes everything that an entry holds and wants.
 pub fn on_holding(
-    board: &mut Board,
+    board: &mut Blackboard,
     from: InstanceId,
     incarnation: Incarnation,
     holding: &Holding,
@@ -441,7 +441,7 @@
 /// so those that it dropped meanwhile would count as on their way for good and their slots idle.
 /// Messages keep their order: what it says after this number has arrived is the whole truth. One
 /// that turns here late must also learn that grants are made already.
-fn settle_flight(board: &mut Board, from: InstanceId, holding: &Holding, now: Instant) {
+fn settle_flight(board: &mut Blackboard, from: InstanceId, holding: &Holding, now: Instant) {
     let pool = holding.pool;
     let Some(owned) = board.owned.get(&pool).filter(|o| o.active) else {
         return;
@@ -455,7 +455,7 @@
 }
 
 /// Tells every entry that the owned pools which have just become ready grant from now on.
-pub fn announce(board: &mut Board, now: Instant) {
+pub fn announce(board: &mut Blackboard, now: Instant) {
     let due: Vec<PoolId> = board
         .owned
         .iter()
@@ -503,7 +503,7 @@
 }
 
 /// Takes a server's own word, in its load report, on whether it is leaving.
-pub fn on_leaving(board: &mut Board, pool: PoolId, server: ServerId, leaving: bool) {
+pub fn on_leaving(board: &mut Blackboard, pool: PoolId, server: ServerId, leaving: bool) {
     if let Some(owned) = board.owned.get_mut(&pool)
         && let Some(slots) = owned.servers.get_mut(&server)
         && slots.says_leaving != leaving
@@ -517,7 +517,7 @@
 ///
 /// An owner that still collects what entries hold would take their work for another owner's, and an
 /// instance that schedules alone would take the work of all others for it.
-pub fn on_load(board: &mut Board, pool: PoolId, server: ServerId, running: u16) {
+pub fn on_load(board: &mut Blackboard, pool: PoolId, server: ServerId, running: u16) {
     if board.tuning.policy == Policy::Static {
         return;
     }
--- a/crates/hawthornmill/src/pools/ownership.rs
+++ b/crates/hawthornmill/src/pools/ownership.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::board::{Board, Policy};
+use crate::blackboard::{Blackboard, Policy};
 use crate::config::FleetConfig;
 use crate::events::Event;
 use crate::fairness::{CostKey, Ledger};
@@ -17,7 +17,7 @@
 const HANDED: Duration = Duration::from_secs(1);
 
 /// Works out owners anew after the members or the configuration changed.
-pub fn refresh(board: &mut Board, now: Instant) {
+pub fn refresh(board: &mut Blackboard, now: Instant) {
     if !board.members.changed {
         return;
     }
@@ -40,7 +40,7 @@
     }
 }
 
-fn follow(board: &mut Board, pool: PoolId, owner: Option<InstanceId>, now: Instant) {
+fn follow(board: &mut Blackboard, pool: PoolId, owner: Option<InstanceId>, now: Instant) {
     let incarnation = owner.map(|o| incarnation_of(board, o));
     let level = level_of(board, pool);
     let link = board.links.entry(pool).or_default();
@@ -126,14 +126,14 @@
 }
 
 /// The level that the last owner told of `pool`; 0 when it told none.
-fn level_of(board: &Board, pool: PoolId) -> f64 {
+fn level_of(board: &Blackboard, pool: PoolId) -> f64 {
     let owner = board.links.get(&pool).and_then(|l| l.owner);
     owner
         .and_then(|(id, _)| board.reports.pool(pool, id))
         .map_or(0.0, |state| state.level)
 }
 
-fn incarnation_of(board: &Board, id: InstanceId) -> Incarnation {
+fn incarnation_of(board: &Blackboard, id: InstanceId) -> Incarnation {
     board
         .members
         .map
@@ -146,7 +146,7 @@
 /// Requests of a dead entry may still run on a server; the server's load report keeps the owner
 /// from granting those slots twice. An entry that was only silent does not know that it was
 /// dropped, so its wants would be missing for good if nobody asked: both sides say everything again.
-fn follow_lives(board: &mut Board) {
+fn follow_lives(board: &mut Blackboard) {
     let died = std::mem::take(&mut board.members.died);
     for owned in board.owned.values_mut() {
         for id in &died {
@@ -170,7 +170,7 @@
 /// the old owner, or may have turned back to it since; its slots are taken as held, and it is asked
 /// again. An owner that grants already has heard all entries, so a word that comes late, from one
 /// that was cut off or paused, changes nothing.
-pub fn on_handover(board: &mut Board, handover: &Handover, now: Instant) {
+pub fn on_handover(board: &mut Blackboard, handover: &Handover, now: Instant) {
     let Some(service) = board.config.pools.get(&handover.pool).map(|p| p.service) else {
         return;
     };
@@ -210,7 +210,7 @@
 }
 
 /// Takes servers and their slots from the configuration.
-fn resize(board: &mut Board, config: &FleetConfig) {
+fn resize(board: &mut Blackboard, config: &FleetConfig) {
     let live: Vec<InstanceId> = board.members.live().map(|(id, _)| id).collect();
     let rank = live.iter().position(|id| *id == board.me()).unwrap_or(0);
     let policy = board.tuning.policy;
--- a/crates/hawthornmill/src/pools/queue.rs
+++ b/crates/hawthornmill/src/pools/queue.rs
@@ -5,7 +5,7 @@
 use smallvec::SmallVec;
 
 use super::kept::use_kept;
-use crate::board::{Board, RequestKey, Waiting};
+use crate::blackboard::{Blackboard, RequestKey, Waiting};
 use crate::codes::Code;
 use crate::ident::{AccountId, ServerId, ServiceId};
 use crate::limits::backlog::Backlog;
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 /// [`Code::QueueFull`], [`Code::QueueLate`] or [`Code::InstanceFull`]; the request was not run.
-pub fn enqueue(board: &mut Board, arrival: Arrival, now: Instant) -> Result<RequestKey, Code> {
+pub fn enqueue(board: &mut Blackboard, arrival: Arrival, now: Instant) -> Result<RequestKey, Code> {
     check_account(board, &arrival)?;
     let ahead = waiting(board, arrival.service, arrival.account);
     let left = arrival.deadline.saturating_duration_since(now);
@@ -53,7 +53,7 @@
 ///
 /// It was let in before and its body is held anyway, so no bound is checked again.
 pub fn requeue(
-    board: &mut Board,
+    board: &mut Blackboard,
     arrival: Arrival,
     arrived: Instant,
     avoid: SmallVec<[ServerId; 2]>,
@@ -65,7 +65,7 @@
 ///
 /// # Errors
 /// [`Code::QueueFull`]; asked before a body is read, so that a flood costs no memory for bodies.
-pub fn check_account(board: &Board, arrival: &Arrival) -> Result<(), Code> {
+pub fn check_account(board: &Blackboard, arrival: &Arrival) -> Result<(), Code> {
     let held = board.backlogs.of(arrival.account);
     let fits = board
         .config
@@ -80,7 +80,7 @@
 /// First come, first served would let one account with a long queue, or one that came first, keep
 /// all others out. So the newest request of the largest backlog is refused instead, as long as the
 /// arriving account holds less than that one.
-fn make_room(board: &mut Board, arrival: &Arrival) -> Result<(), Code> {
+fn make_room(board: &mut Blackboard, arrival: &Arrival) -> Result<(), Code> {
     loop {
         let total = board.backlogs.total();
         let size: fn(Backlog) -> usize = if total.count >= board.tuning.max_waiting {
@@ -105,7 +105,7 @@
     }
 }
 
-fn newest_of(board: &Board, account: AccountId) -> Option<RequestKey> {
+fn newest_of(board: &Blackboard, account: AccountId) -> Option<RequestKey> {
     board
         .queues
         .iter()
@@ -115,7 +115,7 @@
 }
 
 fn insert(
-    board: &mut Board,
+    board: &mut Blackboard,
     arrival: Arrival,
     arrived: Instant,
     avoid: SmallVec<[ServerId; 2]>,
@@ -140,7 +140,7 @@
 }
 
 /// Takes a waiting request out; none when it waits no longer.
-pub fn cancel(board: &mut Board, request: RequestKey) -> Option<Waiting> {
+pub fn cancel(board: &mut Blackboard, request: RequestKey) -> Option<Waiting> {
     let waiting = board.waiting.remove(request)?;
     board.backlogs.remove(waiting.account, waiting.bytes);
     let key = (waiting.service, waiting.account);
@@ -158,7 +158,7 @@
 }
 
 /// Gives up waiting requests whose deadline has passed.
-pub fn expire(board: &mut Board, now: Instant) {
+pub fn expire(board: &mut Blackboard, now: Instant) {
     let late: Vec<RequestKey> = board
         .waiting
         .iter()
@@ -177,7 +177,7 @@
 /// when nothing else waits. Otherwise an overloaded queue gives every slot to a request that is
 /// about to be given up, and servers are busy for nobody.
 pub fn next(
-    board: &mut Board,
+    board: &mut Blackboard,
     service: ServiceId,
     account: AccountId,
     server: ServerId,
@@ -203,7 +203,7 @@
 ///
 /// The owner doesn't know what a request avoids and may offer the same server again and again, when
 /// it has the most free slots or is the only one; a request therefore declines a few times only.
-fn decline(board: &mut Board, key: (ServiceId, AccountId)) {
+fn decline(board: &mut Blackboard, key: (ServiceId, AccountId)) {
     let oldest = board.queues.get(&key).and_then(|q| q.front()).copied();
     if let Some(waiting) = oldest.and_then(|r| board.waiting.get_mut(r)) {
         waiting.declined = waiting.declined.saturating_add(1);
@@ -211,25 +211,25 @@
     board.dirty.insert(key);
 }
 
-fn waiting(board: &Board, service: ServiceId, account: AccountId) -> usize {
+fn waiting(board: &Blackboard, service: ServiceId, account: AccountId) -> usize {
     let queue = board.queues.get(&(service, account));
     queue.map_or(0, std::collections::VecDeque::len)
 }
 
-fn pace(board: &Board, service: ServiceId, account: AccountId) -> QueueRate {
+fn pace(board: &Blackboard, service: ServiceId, account: AccountId) -> QueueRate {
     let known = board.paces.get(&(service, account));
     known.copied().unwrap_or_default()
 }
 
 /// Notes that a request of the queue got a slot.
-pub fn note_served(board: &mut Board, service: ServiceId, account: AccountId, now: Instant) {
+pub fn note_served(board: &mut Blackboard, service: ServiceId, account: AccountId, now: Instant) {
     let left = waiting(board, service, account);
     let pace = board.paces.entry((service, account)).or_default();
     pace.record_dispatch(left, now);
 }
 
 /// Notes for how long a request held its slot.
-pub fn note_held(board: &mut Board, service: ServiceId, account: AccountId, time: Duration) {
+pub fn note_held(board: &mut Blackboard, service: ServiceId, account: AccountId, time: Duration) {
     let pace = board.paces.entry((service, account)).or_default();
     pace.record_holding_time(time);
 }
@@ -238,7 +238,7 @@
 ///
 /// `draw` lies between 0 and 1 and spreads callers that were refused together.
 pub fn retry_after(
-    board: &Board,
+    board: &Blackboard,
     service: ServiceId,
     account: AccountId,
     draw: f64,
--- a/crates/hawthornmill/src/pools/regions.rs
+++ b/crates/hawthornmill/src/pools/regions.rs
@@ -8,7 +8,7 @@
 
 use smallvec::SmallVec;
 
-use crate::board::{Board, Policy};
+use crate::blackboard::{Blackboard, Policy};
 use crate::fairness::CostKey;
 use crate::ident::{AccountId, PoolId, ServiceId};
 use crate::wire::message::PoolState;
@@ -58,13 +58,13 @@
 }
 
 /// Counts bytes of a call that runs in `pool`, if they cross to another region.
-pub fn spend(board: &mut Board, pool: PoolId, bytes: usize) {
+pub fn spend(board: &mut Blackboard, pool: PoolId, bytes: usize) {
     if is_away(board, pool) {
         board.crossing.spend(bytes);
     }
 }
 
-fn is_away(board: &Board, pool: PoolId) -> bool {
+fn is_away(board: &Blackboard, pool: PoolId) -> bool {
     let home = board.members.own().region;
     board
         .config
@@ -74,7 +74,12 @@
 }
 
 /// The pools to ask for `account`.
-pub fn choose(board: &Board, service: ServiceId, account: AccountId, pools: &[PoolId]) -> Pools {
+pub fn choose(
+    board: &Blackboard,
+    service: ServiceId,
+    account: AccountId,
+    pools: &[PoolId],
+) -> Pools {
     let open = pools
         .iter()
         .copied()
@@ -106,7 +111,7 @@
 ///
 /// Callers of one region may all be confined to a few servers there. Without this an account would
 /// get the share of its region, not of the fleet.
-fn lags(board: &Board, service: ServiceId, account: AccountId, pool: PoolId) -> bool {
+fn lags(board: &Blackboard, service: ServiceId, account: AccountId, pool: PoolId) -> bool {
     let Some(state) = state(board, pool) else {
         return false;
     };
@@ -121,7 +126,7 @@
     state.level > total + margin
 }
 
-fn state(board: &Board, pool: PoolId) -> Option<PoolState> {
+fn state(board: &Blackboard, pool: PoolId) -> Option<PoolState> {
     let (owner, _) = board.links.get(&pool)?.owner?;
     board.reports.pool(pool, owner)
 }
--- a/crates/hawthornmill/src/pools/schedule.rs
+++ b/crates/hawthornmill/src/pools/schedule.rs
@@ -6,7 +6,7 @@
 use smallvec::SmallVec;
 
 use super::owner::{self, HeldSlot, Owned, maker};
-use crate::board::Board;
+use crate::blackboard::Blackboard;
 use crate::config::FleetConfig;
 use crate::fairness::{CostKey, Ledger};
 use crate::ident::{AccountId, InstanceId, PoolId, ServerId, ServiceId};
@@ -31,7 +31,7 @@
 type Totals = SmallVec<[f64; 32]>;
 
 /// Makes every grant that is due.
-pub fn run(board: &mut Board, now: Instant) {
+pub fn run(board: &mut Blackboard, now: Instant) {
     if board.stale.is_some() {
         return;
     }
@@ -49,7 +49,7 @@
     }
 }
 
-fn run_pool(board: &mut Board, config: &FleetConfig, id: PoolId, now: Instant) {
+fn run_pool(board: &mut Blackboard, config: &FleetConfig, id: PoolId, now: Instant) {
     let service = config.pools[&id].service;
     let default = config.services[&service].estimate;
     let made = maker(board.incarnation);
--- a/crates/hawthornmill/src/pools/tick.rs
+++ b/crates/hawthornmill/src/pools/tick.rs
@@ -3,14 +3,14 @@
 use std::time::Instant;
 
 use super::entry;
-use crate::board::Board;
+use crate::blackboard::Blackboard;
 use crate::events::Event;
 use crate::fairness::standing;
 use crate::ident::InstanceId;
 use crate::wire::message::{Message, PoolState, ProbeAck};
 
 /// Notices that the process was stopped for a while; called with every tick and arrival.
-pub fn notice_pause(board: &mut Board, now: Instant) {
+pub fn notice_pause(board: &mut Blackboard, now: Instant) {
     let gap = now.duration_since(board.ticked);
     board.ticked = now;
     if gap > board.tuning.pause {
@@ -20,7 +20,7 @@
 }
 
 /// Called every few tens of milliseconds.
-pub fn tick(board: &mut Board, now: Instant) {
+pub fn tick(board: &mut Blackboard, now: Instant) {
     notice_pause(board, now);
     if board
         .stale
@@ -53,7 +53,7 @@
 
 /// Works owners out anew when an instance has been steady for long enough: it is preferred from
 /// then on, and no event says when that is.
-fn follow_time(board: &mut Board, now: Instant) {
+fn follow_time(board: &mut Blackboard, now: Instant) {
     if board.replace.is_some_and(|due| due <= now) {
         board.replace = None;
         board.members.changed = true;
@@ -64,7 +64,7 @@
 ///
 /// Others may have taken its pools and given its slots away. Until a peer has answered a question
 /// asked after the pause, or none has for a while, nothing is dispatched or granted.
-fn wake(board: &mut Board, now: Instant) {
+fn wake(board: &mut Blackboard, now: Instant) {
     board.stale = Some(now);
     board.woke = Some(now);
     board.pauses += 1;
@@ -89,7 +89,7 @@
 /// An answer to a question asked before the last pause may have lain in the socket during it and
 /// says nothing; the number tells. If the peer has a later configuration in force, servers may have
 /// been taken out of use during the pause, so the view is old until that revision is in force here.
-pub fn on_probe_ack(board: &mut Board, ack: ProbeAck, now: Instant) {
+pub fn on_probe_ack(board: &mut Blackboard, ack: ProbeAck, now: Instant) {
     board.start.highest = board.start.highest.max(ack.revision);
     board.start.serving |= ack.serving;
     if board.stale.is_some() && ack.number == board.pauses && board.pauses > 0 {
@@ -98,14 +98,14 @@
     }
 }
 
-fn follow_awaited(board: &mut Board, now: Instant) {
+fn follow_awaited(board: &mut Blackboard, now: Instant) {
     let awaited = board.awaited;
     if board.stale.is_some() && awaited.is_some_and(|r| r <= board.config.revision) {
         confirm(board, now);
     }
 }
 
-fn confirm(board: &mut Board, now: Instant) {
+fn confirm(board: &mut Blackboard, now: Instant) {
     board.stale = None;
     board.events.push(Event::ViewConfirmed);
     board.awaited = None;
@@ -121,7 +121,7 @@
 }
 
 /// Writes the own report and returns the messages of one round.
-pub fn report(board: &mut Board, now: Instant) -> Vec<(InstanceId, Message)> {
+pub fn report(board: &mut Blackboard, now: Instant) -> Vec<(InstanceId, Message)> {
     let pools = board
         .owned
         .iter()
--- a/crates/hawthornmill/src/usage/causes.rs
+++ b/crates/hawthornmill/src/usage/causes.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-use crate::board::Board;
+use crate::blackboard::Blackboard;
 use crate::codes::Code;
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, RegionId, ServiceId};
 
@@ -76,7 +76,7 @@
 
 impl Causes {
     /// Remembers what the board shows now.
-    pub fn look(&mut self, board: &Board, now: Instant) {
+    pub fn look(&mut self, board: &Blackboard, now: Instant) {
         if board.stale.is_some() {
             self.stale = Some(now);
         }
@@ -101,7 +101,7 @@
     /// Why a call of `account` that arrived at `arrived` waited until `now`.
     pub fn why(
         &self,
-        board: &Board,
+        board: &Blackboard,
         service: ServiceId,
         account: AccountId,
         arrived: Instant,
@@ -137,7 +137,7 @@
 }
 
 /// Other regions whose instances are known and none of them is heard.
-fn cut_regions(board: &Board) -> impl Iterator<Item = RegionId> {
+fn cut_regions(board: &Blackboard) -> impl Iterator<Item = RegionId> {
     let own = board.members.own().region;
     let mut heard = BTreeMap::new();
     for member in board.members.map.values().filter(|m| m.region != own) {
@@ -150,7 +150,7 @@
 }
 
 /// Tells whether slots idle in a pool that has servers closed to `account`.
-fn is_confined(board: &Board, service: ServiceId, account: AccountId) -> bool {
+fn is_confined(board: &Blackboard, service: ServiceId, account: AccountId) -> bool {
     let config = &board.config;
     let closed = |pool: &PoolId| {
         let servers = config.pools.get(pool).map(|p| &p.servers);
--- a/tests/testsuite/causes.rs
+++ b/tests/testsuite/causes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hawthornmill::board::Tuning;
+use hawthornmill::blackboard::Tuning;
 use hawthornmill::ident::{AccountId, ServiceId};
 use hawthornmill::usage::{Causes, Reason};
 use hawthornmill_test_support::procs::small_fleet;
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::{Board, Tuning};
+use hawthornmill::blackboard::{Blackboard, Tuning};
 use hawthornmill::config::accept::{Values, manifest};
 use hawthornmill::ident::{Incarnation, InstanceId};
 use hawthornmill::membership::{Sign, start};
@@ -288,7 +288,7 @@
     let heard = |peers: &[(u64, bool)], answer: Option<ProbeAck>, age: u64| {
         let now = Instant::now();
         let own = contact("i0", "a", "north");
-        let mut board = Board::new(own, Incarnation(1), Tuning::default(), now);
+        let mut board = Blackboard::new(own, Incarnation(1), Tuning::default(), now);
         let (config, manifest, values) = small_fleet().accept(3);
         board.install(config, manifest, values);
         board.start.platform = true;
--- a/tests/testsuite/conservation.rs
+++ b/tests/testsuite/conservation.rs
@@ -1,6 +1,6 @@
 //! Work conservation: no slot idles while a call waits that may use it.
 
-use hawthornmill::board::Tuning;
+use hawthornmill::blackboard::Tuning;
 use hawthornmill::ident::{DomainId, PoolId, ServiceId};
 use hawthornmill_test_support::loads::{
     Backlog, Drive, EIGHT, MEAN_COST, Stream, WIDE_SLOTS, wide_fleet, wide_fleet_with,
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::{Board, Tuning};
+use hawthornmill::blackboard::{Blackboard, Tuning};
 use hawthornmill::ident::{Incarnation, InstanceId, ServerId};
 use hawthornmill::membership::Sign;
 use hawthornmill::pools::{entry, owner};
@@ -119,10 +119,10 @@
 fn the_word_that_an_instance_leaves_holds_until_it_is_replaced() {
     let now = Instant::now();
     let own = contact("i0", "a", "north");
-    let mut board = Board::new(own, Incarnation(1), Tuning::default(), now);
+    let mut board = Blackboard::new(own, Incarnation(1), Tuning::default(), now);
     let other = contact("i1", "a", "north");
     let id = InstanceId::of("i1");
-    let list = |leaving, board: &mut Board| {
+    let list = |leaving, board: &mut Blackboard| {
         let contact = other.clone();
         board.roster.replace(vec![Listed { contact, leaving }]);
         board.members.follow_roster(&board.roster, now);
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::Tuning;
+use hawthornmill::blackboard::Tuning;
 use hawthornmill::ident::{DomainId, Incarnation, InstanceId, PoolId, ServiceId};
 use hawthornmill::membership::{Members, Sign};
 use hawthornmill::pools::tick;
--- a/tests/testsuite/one_fleet.rs
+++ b/tests/testsuite/one_fleet.rs
@@ -1,6 +1,6 @@
 //! Shares and slots over several instances, driven in a fixed order.
 
-use hawthornmill::board::Tuning;
+use hawthornmill::blackboard::Tuning;
 use hawthornmill_test_support::procs::small_fleet;
 use hawthornmill_test_support::steps::Steps;
 
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -1,6 +1,6 @@
 //! More work than the servers can run, driven in a fixed order.
 
-use hawthornmill::board::{Board, Tuning};
+use hawthornmill::blackboard::{Blackboard, Tuning};
 use hawthornmill::codes::Code;
 use hawthornmill::ident::{AccountId, ServiceId};
 use hawthornmill::pools::entry;
@@ -16,7 +16,7 @@
 /// Slots of the fleet's drafting servers.
 const SLOTS: u64 = 12;
 
-fn backlog(board: &Board) -> (usize, usize) {
+fn backlog(board: &Blackboard) -> (usize, usize) {
     let total = board.backlogs.total();
     (total.count, total.bytes)
 }
--- a/tests/testsuite/retries.rs
+++ b/tests/testsuite/retries.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::Tuning;
+use hawthornmill::blackboard::Tuning;
 use hawthornmill::ident::{AccountId, ServerId, ServiceId};
 use hawthornmill::limits::retry::{FailedAttempt, Failure, MAX_ATTEMPTS, Retries};
 use hawthornmill::pools::entry;
--- a/tests/testsuite/shares.rs
+++ b/tests/testsuite/shares.rs
@@ -1,6 +1,6 @@
 //! Fair shares over the whole fleet, in a fixed order.
 
-use hawthornmill::board::{Policy, Tuning};
+use hawthornmill::blackboard::{Policy, Tuning};
 use hawthornmill::fairness::CostKey;
 use hawthornmill::ident::{AccountId, ServiceId};
 use hawthornmill_test_support::loads::{Backlog, Drive, EIGHT, WIDE_SLOTS, gap_bound, wide_fleet};
@@ -104,7 +104,7 @@
 }
 
 /// Normalised service of every account of [`UNEVEN`], as one instance knows it.
-fn totals(board: &hawthornmill::board::Board) -> Vec<f64> {
+fn totals(board: &hawthornmill::blackboard::Blackboard) -> Vec<f64> {
     let service = ServiceId::of("drafting");
     let key = |b: &Backlog| CostKey {
         service,
--- a/tests/testsuite/starvation.rs
+++ b/tests/testsuite/starvation.rs
@@ -1,6 +1,6 @@
 //! No account starves: single callers, confined accounts, and callers of a small region.
 
-use hawthornmill::board::Tuning;
+use hawthornmill::blackboard::Tuning;
 use hawthornmill::ident::AccountId;
 use hawthornmill_test_support::loads::{
     Backlog, Drive, EIGHT, LARGEST_COST, MEAN_COST, WIDE_SLOTS, gap_bound, wide_fleet,
