--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -177,7 +177,7 @@
                 let from = report.origin;
                 board
                     .reports
-                    .take(from, report.clone(), members, ledger, now, interval)
+                    .receive(from, report.clone(), members, ledger, now, interval)
             });
         });
     }
--- a/crates/hawthornmill-lab/src/slopes/fixture.rs
+++ b/crates/hawthornmill-lab/src/slopes/fixture.rs
@@ -8,7 +8,7 @@
 use hawthornmill::config::FleetConfig;
 use hawthornmill::config::accept::{Manifest, Values, accept, manifest};
 use hawthornmill::ident::{AccountId, DomainId, Incarnation, InstanceId, PoolId, ServiceId};
-use hawthornmill::membership::Sign;
+use hawthornmill::membership::LivenessUpdate;
 use hawthornmill::pools::{self, entry::Arrival};
 use hawthornmill::wire::frame::payload_len;
 use hawthornmill::wire::message::{Contact, Demand, Done, Grant, GrantId, Grants, Message, Want};
@@ -139,7 +139,7 @@
     let (config, manifest, values) = config(size, 1);
     board.install(config, manifest, values);
     for other in 0..size.instances {
-        board.members.learn(contact(size, other), now);
+        board.members.upsert_contact(contact(size, other), now);
     }
     hear_all(&mut board, size, now);
     board
@@ -158,16 +158,16 @@
 /// Every instance gives a sign of life.
 pub fn hear_all(board: &mut Blackboard, size: Size, now: Instant) {
     for other in 0..size.instances {
-        let sign = Sign {
+        let sign = LivenessUpdate {
             from: InstanceId::of(&format!("i{other}")),
             incarnation: Incarnation(1),
             leaving: false,
             revision: 1,
             interval: Duration::from_mins(1),
-            steady: u8::MAX,
+            stable_tenths: u8::MAX,
             direct: true,
         };
-        board.members.hear(sign, now);
+        board.members.record_liveness(sign, now);
     }
 }
 
--- a/crates/hawthornmill-lab/src/slopes/measure.rs
+++ b/crates/hawthornmill-lab/src/slopes/measure.rs
@@ -9,7 +9,7 @@
 use hawthornmill::ident::{
     AccountId, DomainId, Incarnation, InstanceId, PoolId, RegionId, ServiceId,
 };
-use hawthornmill::membership::place::{domain_relay, region_relay};
+use hawthornmill::membership::placement::{domain_relay, region_relay};
 use hawthornmill::pools::entry;
 use hawthornmill::pools::{self, tick};
 use hawthornmill::wire::frame::{HEADER, SHORT_HEADER, payload_len};
@@ -199,7 +199,7 @@
         let (members, ledger) = (&mut board.members, &mut board.ledger);
         board
             .reports
-            .take(from, report, members, ledger, now, interval);
+            .receive(from, report, members, ledger, now, interval);
     }
 }
 
--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -11,7 +11,7 @@
 use hawthornmill::events::Event;
 use hawthornmill::ident::{Incarnation, InstanceId, PoolId, ServerId};
 use hawthornmill::limits::retry::Retries;
-use hawthornmill::membership::start;
+use hawthornmill::membership::startup;
 use hawthornmill::pools::{self, entry, regions, tick};
 use hawthornmill::wire::message::{GrantId, Message};
 use smallvec::SmallVec;
@@ -218,7 +218,7 @@
         }
         let now = self.clock.now();
         let (ready, revision) = self.view(|board| {
-            let ready = start::is_ready(board, self.started, now);
+            let ready = startup::is_ready(board, self.started, now);
             (ready, board.config.revision)
         });
         if ready {
@@ -229,7 +229,7 @@
         let round = now.duration_since(self.started).as_millis() / ASK_EVERY.as_millis();
         let round = round as u32 + 1;
         if self.asked.fetch_max(round, Ordering::Relaxed) < round {
-            for peer in self.view(|board| start::to_ask(board, round)) {
+            for peer in self.view(|board| startup::probe_targets(board, round)) {
                 self.outgoing.send(peer, Message::Probe(0));
             }
         }
--- a/crates/hawthornmill-net/src/peers/inbox.rs
+++ b/crates/hawthornmill-net/src/peers/inbox.rs
@@ -7,7 +7,7 @@
 use hawthornmill::blackboard::Blackboard;
 use hawthornmill::config::accept;
 use hawthornmill::ident::{Incarnation, InstanceId};
-use hawthornmill::membership::{Sign, place};
+use hawthornmill::membership::{LivenessUpdate, placement};
 use hawthornmill::pools::tick;
 use hawthornmill::wire::message::{
     ConfigPull, ConfigValues, Heartbeat, Message, ProbeAck, RosterDelta, RosterPull,
@@ -58,20 +58,20 @@
 }
 
 fn hear(fleet: &Arc<Fleet>, from: InstanceId, incarnation: Incarnation, heartbeat: Heartbeat) {
-    let sign = Sign {
+    let sign = LivenessUpdate {
         from,
         incarnation,
         leaving: heartbeat.leaving,
         revision: heartbeat.revision,
         interval: Duration::from_millis(heartbeat.interval.into()),
-        steady: heartbeat.steady,
+        stable_tenths: heartbeat.steady,
         direct: true,
     };
     let (follows, list) = fleet.feed(|board, now| {
         if let Some(contact) = heartbeat.contact {
-            board.members.learn(*contact, now);
+            board.members.upsert_contact(*contact, now);
         }
-        board.members.hear(sign, now);
+        board.members.record_liveness(sign, now);
         let follows = follows(board, from) && heartbeat.platform;
         (follows, follows || !board.roster.is_known())
     });
@@ -93,7 +93,7 @@
 /// Lists of two readers may differ for a moment; following one of them keeps an instance from
 /// asking each in turn.
 fn follows(board: &Blackboard, from: InstanceId) -> bool {
-    let readers = place::readers(&board.members, board.members.own().domain);
+    let readers = placement::readers(&board.members, board.members.own().domain);
     readers.first() == Some(&from) && !readers.contains(&board.me())
 }
 
@@ -102,7 +102,7 @@
         // One that started while the platform is down takes the list from anybody.
         let takes = follows(board, from) || !board.roster.is_known();
         if takes && board.roster.apply(delta) {
-            board.members.follow_roster(&board.roster, now);
+            board.members.apply_roster(&board.roster, now);
         }
     });
 }
@@ -117,9 +117,9 @@
         for report in reports {
             let (reports, members, ledger) =
                 (&mut board.reports, &mut board.members, &mut board.ledger);
-            reports.take(from, report, members, ledger, now, interval);
+            reports.receive(from, report, members, ledger, now, interval);
         }
-        board.reports.revision()
+        board.reports.highest_revision()
     });
     pull(fleet, from, revision);
 }
--- a/crates/hawthornmill-net/src/peers/tcp.rs
+++ b/crates/hawthornmill-net/src/peers/tcp.rs
@@ -91,7 +91,7 @@
         }
         fleet.feed(|board, now| {
             board.broken.insert(to);
-            board.members.doubt(to, now, DOUBT);
+            board.members.suspect(to, now, DOUBT);
         });
         while queue.try_recv().is_ok() {}
         if !fleet.view(|board| board.members.map.contains_key(&to)) {
--- a/crates/hawthornmill-net/src/peers/udp.rs
+++ b/crates/hawthornmill-net/src/peers/udp.rs
@@ -7,7 +7,7 @@
 
 use hawthornmill::blackboard::Blackboard;
 use hawthornmill::ident::InstanceId;
-use hawthornmill::membership::beat_interval;
+use hawthornmill::membership::heartbeat_interval;
 use hawthornmill::pools::beat_targets;
 use hawthornmill::wire::frame::DATAGRAM_LIMIT;
 use hawthornmill::wire::{Heartbeat, Message, Opener, Sealer};
@@ -128,7 +128,7 @@
         };
         partners.insert(id, fresh);
     }
-    let interval = beat_interval(fleet.settings.heartbeat, partners.len());
+    let interval = heartbeat_interval(fleet.settings.heartbeat, partners.len());
     let (beat, silent) = fleet.view(|board| {
         let silent = |id: &&InstanceId| !board.members.is_live(**id);
         let silent: BTreeSet<InstanceId> = partners.keys().filter(silent).copied().collect();
@@ -152,12 +152,14 @@
 }
 
 fn heartbeat(board: &Blackboard, interval: Duration, platform: bool, now: Instant) -> Heartbeat {
-    let sign = board.members.own_sign(board.config.revision, interval, now);
+    let sign = board
+        .members
+        .own_liveness(board.config.revision, interval, now);
     Heartbeat {
         leaving: sign.leaving,
         revision: sign.revision,
         interval: interval.as_millis() as u16,
-        steady: sign.steady,
+        steady: sign.stable_tenths,
         platform,
         roster: board.roster.digest(),
         contact: None,
--- a/crates/hawthornmill-net/src/platform.rs
+++ b/crates/hawthornmill-net/src/platform.rs
@@ -7,7 +7,7 @@
 use hawthornmill::blackboard::Blackboard;
 use hawthornmill::codes::Code;
 use hawthornmill::config::accept::{Manifest, VALUE_LIMIT, Values};
-use hawthornmill::membership::place;
+use hawthornmill::membership::placement;
 use hawthornmill::wire::message::{Contact, Listed};
 use serde::Deserialize;
 
@@ -132,7 +132,7 @@
 fn role(fleet: &Fleet, knows: impl Fn(&Blackboard) -> bool) -> Role {
     let silent = fleet.platform.is_mate_silent(fleet.clock.now());
     fleet.view(|board| {
-        let readers = place::readers(&board.members, board.members.own().domain);
+        let readers = placement::readers(&board.members, board.members.own().domain);
         if readers.contains(&board.me()) {
             Role::Reader
         } else if silent || !knows(board) {
@@ -203,7 +203,7 @@
         return (Look::Failed, false);
     };
     fleet.platform.lock().newest = manifest.revision;
-    fleet.feed(|board, _| board.start.platform = true);
+    fleet.feed(|board, _| board.startup.platform_answered = true);
     let quick = began.elapsed() < wait / 2;
     let refused = fleet.view(|board| board.intake.is_refused(&manifest));
     if manifest.revision <= have || refused {
@@ -267,7 +267,7 @@
             .roster
             .replace(list.into_iter().map(Listed::from).collect())
         {
-            board.members.follow_roster(&board.roster, now);
+            board.members.apply_roster(&board.roster, now);
         }
     });
 }
--- a/crates/hawthornmill-test-support/src/steps.rs
+++ b/crates/hawthornmill-test-support/src/steps.rs
@@ -124,7 +124,7 @@
             let run = Incarnation(1 + 1000 * number as u64);
             let mut board = Blackboard::new(own.clone(), run, tuning.clone(), start);
             for other in &contacts {
-                board.members.learn(other.clone(), start);
+                board.members.upsert_contact(other.clone(), start);
             }
             let (config, manifest, values) = fleet.accept(1);
             board.install(config, manifest, values);
@@ -216,7 +216,7 @@
         let run = Incarnation(old.incarnation.0 + 1);
         let mut board = Blackboard::new(own, run, old.tuning.clone(), now);
         for other in contacts {
-            board.members.learn(other, now);
+            board.members.upsert_contact(other, now);
         }
         let (config, manifest, values) = fleet.accept(revision);
         board.install(config, manifest, values);
@@ -296,7 +296,7 @@
                     let (table, members, ledger) =
                         (&mut board.reports, &mut board.members, &mut board.ledger);
                     let interval = board.tuning.report;
-                    table.take(sender, report, members, ledger, now, interval);
+                    table.receive(sender, report, members, ledger, now, interval);
                 }
             }
             Message::Probe(number) => {
@@ -392,11 +392,11 @@
         let now = self.instant();
         let own = &self.boards[index];
         let interval = Duration::from_millis(HEARTBEAT);
-        let sign = own.members.own_sign(own.config.revision, interval, now);
+        let sign = own.members.own_liveness(own.config.revision, interval, now);
         for other in 0..self.boards.len() {
             if other != index && self.runs_now(other) && !self.cut.contains(&(index, other)) {
                 let board = &mut self.boards[other];
-                board.members.hear(sign, now);
+                board.members.record_liveness(sign, now);
                 if board.broken.contains(&sign.from) {
                     entry::on_link(board, sign.from);
                 }
--- a/crates/hawthornmill/src/blackboard.rs
+++ b/crates/hawthornmill/src/blackboard.rs
@@ -18,7 +18,7 @@
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId, ServiceId};
 use crate::limits::backlog::Backlogs;
 use crate::limits::queue_rate::QueueRate;
-use crate::membership::{Members, reports::Reports, roster::Roster, start::Start};
+use crate::membership::{Members, reports::Reports, roster::Roster, startup::Startup};
 use crate::pools::entry::Link;
 use crate::pools::owner::Owned;
 use crate::pools::regions::Crossing;
@@ -134,7 +134,7 @@
     /// Revisions that are not held.
     pub intake: Intake,
     /// What this instance was told at its start.
-    pub start: Start,
+    pub startup: Startup,
     /// The platform's instance list.
     pub roster: Roster,
     /// Instances.
@@ -205,7 +205,7 @@
             manifest: Manifest::default(),
             values: Arc::new(Values::new()),
             intake: Intake::default(),
-            start: Start::default(),
+            startup: Startup::default(),
             roster: Roster::default(),
             members: Members::new(me, contact, incarnation, now),
             reports: Reports::default(),
--- a/crates/hawthornmill/src/membership/mod.rs
+++ b/crates/hawthornmill/src/membership/mod.rs
@@ -5,49 +5,51 @@
 //! live while either of the last two is heard; it is leaving as soon as any of the three says so.
 //! [`place`] derives owners, relays and readers from that view; nothing is elected.
 
-pub mod place;
+pub mod placement;
 pub mod reports;
 pub mod roster;
-pub mod start;
+pub mod startup;
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use crate::ident::{DomainId, Incarnation, InstanceId, RegionId};
 use crate::wire::message::Contact;
-use place::SEASONING;
+use placement::STABLE_AFTER;
 use roster::Roster;
 
 /// Intervals that may pass in silence before an instance counts as dead.
-const MISSED_BEATS: u32 = 3;
+const MAX_MISSED_HEARTBEATS: u32 = 3;
 /// Least silence after which an instance counts as dead.
-const LEAST_PATIENCE: Duration = Duration::from_millis(500);
+const MIN_TIMEOUT: Duration = Duration::from_millis(500);
 /// Silence after which an instance counts as dead whose heartbeats have ended for want of need.
-const RELAYED_PATIENCE: Duration = Duration::from_secs(3);
+const RELAYED_TIMEOUT: Duration = Duration::from_secs(3);
 /// Silence after which an instance that the platform does not list is forgotten.
-const FORGET_AFTER: Duration = Duration::from_mins(1);
+const EXPIRE_AFTER: Duration = Duration::from_mins(1);
 /// Longest steadiness that is told, in tenths of a second.
-const MOST_STEADY: u128 = 255;
+const MAX_STABLE_TENTHS: u128 = 255;
 /// Difference between the told and the known steadiness that is taken for rounding and delay.
-const STEADY_SLACK: Duration = Duration::from_millis(200);
+const STABILITY_TOLERANCE: Duration = Duration::from_millis(200);
 
 /// Time for one heartbeat to one instance, so that all of them stay within about 1.2 KB/s.
-const BEAT_EACH: Duration = Duration::from_millis(50);
+const HEARTBEAT_SPACING: Duration = Duration::from_millis(50);
 /// Longest time between heartbeats.
-const MOST_BEAT: Duration = Duration::from_secs(5);
+const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Time between heartbeats to `targets` instances: `base`, or longer when they are many.
 ///
 /// The receiver's patience follows from the interval, which each heartbeat tells.
-pub fn beat_interval(base: Duration, targets: usize) -> Duration {
-    (BEAT_EACH * targets as u32).min(MOST_BEAT).max(base)
+pub fn heartbeat_interval(base: Duration, targets: usize) -> Duration {
+    (HEARTBEAT_SPACING * targets as u32)
+        .min(MAX_HEARTBEAT_INTERVAL)
+        .max(base)
 }
 
 /// Who says that an instance leaves.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct LeavingWords {
+pub struct LeavingSources {
     /// It said so itself; never taken back within one run.
-    pub own: bool,
+    pub announced: bool,
     /// The platform's list says so.
     pub listed: bool,
 }
@@ -66,44 +68,44 @@
     /// It takes no new work, by any of `words`.
     pub leaving: bool,
     /// Who says that it leaves.
-    pub words: LeavingWords,
+    pub leaving_sources: LeavingSources,
     /// Configuration revision in force there.
     pub revision: u64,
     /// It was heard recently enough.
     pub live: bool,
     /// Since when it is steady: it started, woke, or was heard again after a silence.
-    pub since: Instant,
+    pub stable_since: Instant,
     /// When it was heard again after a silence that was not this instance's own.
     pub returned: Option<Instant>,
     /// Last sign of life.
-    pub heard: Option<Instant>,
+    pub last_heard: Option<Instant>,
     /// Silence after which it counts as dead.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// The last sign came from itself, and more are to come.
     pub direct: bool,
 }
 
 impl Member {
     /// Tells whether the last sign of life is recent enough.
-    pub fn within_patience(&self, now: Instant) -> bool {
-        self.heard
-            .is_some_and(|h| now.duration_since(h) <= self.patience)
+    pub fn within_timeout(&self, now: Instant) -> bool {
+        self.last_heard
+            .is_some_and(|h| now.duration_since(h) <= self.timeout)
     }
 
     /// Tells whether it has been steady for long enough to be preferred as an owner.
-    pub fn is_seasoned(&self, now: Instant) -> bool {
-        now.duration_since(self.since) >= SEASONING
+    pub fn is_stable(&self, now: Instant) -> bool {
+        now.duration_since(self.stable_since) >= STABLE_AFTER
     }
 
-    fn weigh_words(&mut self) -> bool {
-        let leaving = self.words.own || self.words.listed;
+    fn update_leaving(&mut self) -> bool {
+        let leaving = self.leaving_sources.announced || self.leaving_sources.listed;
         std::mem::replace(&mut self.leaving, leaving) != leaving
     }
 }
 
 /// A sign of life.
 #[derive(Debug, Clone, Copy)]
-pub struct Sign {
+pub struct LivenessUpdate {
     /// Who gave it.
     pub from: InstanceId,
     /// Process run of the giver.
@@ -116,7 +118,7 @@
     /// relays pass on must do.
     pub interval: Duration,
     /// Tenths of a second for which the giver has been steady.
-    pub steady: u8,
+    pub stable_tenths: u8,
     /// It came from the giver itself; a relayed one is older by an unknown time.
     pub direct: bool,
 }
@@ -131,11 +133,11 @@
     /// Something changed that owners or relays depend on.
     pub changed: bool,
     /// Members that fell silent since owners were last worked out.
-    pub died: Vec<InstanceId>,
+    pub newly_dead: Vec<InstanceId>,
     /// Members that were heard again, or for the first time, since then.
-    pub revived: Vec<InstanceId>,
+    pub newly_live: Vec<InstanceId>,
     /// When most of the own failure domain was last silent.
-    cut: Option<Instant>,
+    partitioned_at: Option<Instant>,
 }
 
 impl Members {
@@ -148,9 +150,9 @@
             me,
             map: BTreeMap::from([(me, own)]),
             changed: true,
-            died: Vec::new(),
-            revived: Vec::new(),
-            cut: None,
+            newly_dead: Vec::new(),
+            newly_live: Vec::new(),
+            partitioned_at: None,
         }
     }
 
@@ -163,7 +165,7 @@
     }
 
     /// Learns how to reach an instance, from the platform's list or from itself.
-    pub fn learn(&mut self, contact: Contact, now: Instant) {
+    pub fn upsert_contact(&mut self, contact: Contact, now: Instant) {
         let id = InstanceId::of(&contact.name);
         if id == self.me {
             return;
@@ -184,28 +186,28 @@
     /// Takes an instance's own word that it is leaving.
     pub fn set_leaving(&mut self, id: InstanceId) {
         if let Some(member) = self.map.get_mut(&id) {
-            member.words.own = true;
-            self.changed |= member.weigh_words();
+            member.leaving_sources.announced = true;
+            self.changed |= member.update_leaving();
         }
     }
 
     /// Takes contacts and the word on leaving from the platform's list.
-    pub fn follow_roster(&mut self, roster: &Roster, now: Instant) {
+    pub fn apply_roster(&mut self, roster: &Roster, now: Instant) {
         for (_, listed) in roster.entries() {
-            self.learn(listed.contact.clone(), now);
+            self.upsert_contact(listed.contact.clone(), now);
         }
         for (id, member) in &mut self.map {
-            member.words.listed = roster.get(*id).is_some_and(|l| l.leaving);
-            self.changed |= member.weigh_words();
+            member.leaving_sources.listed = roster.get(*id).is_some_and(|l| l.leaving);
+            self.changed |= member.update_leaving();
         }
     }
 
     /// Forgets instances that are gone for good, not listed and long silent, and returns them.
-    pub fn forget_gone(&mut self, roster: &Roster, now: Instant) -> Vec<InstanceId> {
+    pub fn remove_expired(&mut self, roster: &Roster, now: Instant) -> Vec<InstanceId> {
         let me = self.me;
         let gone = |id: &InstanceId, member: &Member| {
-            let last = member.heard.unwrap_or(member.since);
-            let silent = !member.live && now.duration_since(last) > FORGET_AFTER;
+            let last = member.last_heard.unwrap_or(member.stable_since);
+            let silent = !member.live && now.duration_since(last) > EXPIRE_AFTER;
             *id != me && silent && roster.get(*id).is_none()
         };
         let ids: Vec<InstanceId> = self
@@ -221,82 +223,86 @@
     }
 
     /// What this instance says of itself.
-    pub fn own_sign(&self, revision: u64, interval: Duration, now: Instant) -> Sign {
+    pub fn own_liveness(&self, revision: u64, interval: Duration, now: Instant) -> LivenessUpdate {
         let own = self.own();
-        Sign {
+        LivenessUpdate {
             from: self.me,
             incarnation: own.incarnation,
-            leaving: own.words.own,
+            leaving: own.leaving_sources.announced,
             revision,
             interval,
-            steady: self.steady(now),
+            stable_tenths: self.stable_tenths(now),
             direct: true,
         }
     }
 
     /// Tenths of a second for which this instance has been steady.
-    pub fn steady(&self, now: Instant) -> u8 {
-        let tenths = now.duration_since(self.own().since).as_millis() / 100;
-        tenths.min(MOST_STEADY) as u8
+    pub fn stable_tenths(&self, now: Instant) -> u8 {
+        let tenths = now.duration_since(self.own().stable_since).as_millis() / 100;
+        tenths.min(MAX_STABLE_TENTHS) as u8
     }
 
     /// Takes a sign of life; false when the giver is unknown or the sign is of an earlier run.
-    pub fn hear(&mut self, sign: Sign, now: Instant) -> bool {
-        let cut = self.was_cut(now);
-        let Some(member) = self.map.get_mut(&sign.from) else {
+    pub fn record_liveness(&mut self, update: LivenessUpdate, now: Instant) -> bool {
+        let partitioned = self.was_partitioned(now);
+        let Some(member) = self.map.get_mut(&update.from) else {
             return false;
         };
-        if sign.incarnation < member.incarnation {
+        if update.incarnation < member.incarnation {
             return false;
         }
-        let restarted = sign.incarnation > member.incarnation;
+        let restarted = update.incarnation > member.incarnation;
         let again = !restarted && !member.live;
         if restarted {
-            member.words.own = false;
+            member.leaving_sources.announced = false;
         }
         // All views take how long an instance has been steady from itself, so they agree on who is
         // preferred as an owner. One that comes and goes without noticing starts anew in each view.
         if restarted || again {
-            member.returned = (again && !cut).then_some(now);
+            member.returned = (again && !partitioned).then_some(now);
         }
-        let told = steady_since(sign.steady, now);
+        let told = stable_start(update.stable_tenths, now);
         let since = member.returned.map_or(told, |returned| told.max(returned));
-        if restarted || again || (sign.direct && differs(member.since, since, sign.steady)) {
-            member.since = since;
+        if restarted
+            || again
+            || (update.direct
+                && stability_changed(member.stable_since, since, update.stable_tenths))
+        {
+            member.stable_since = since;
             self.changed = true;
         }
         if restarted || again {
-            self.revived.push(sign.from);
+            self.newly_live.push(update.from);
         }
         // Within one run leaving is never taken back, so a late frame can't revive it.
-        member.words.own |= sign.leaving;
-        self.changed |= member.weigh_words();
-        member.incarnation = sign.incarnation;
-        member.revision = member.revision.max(sign.revision);
+        member.leaving_sources.announced |= update.leaving;
+        self.changed |= member.update_leaving();
+        member.incarnation = update.incarnation;
+        member.revision = member.revision.max(update.revision);
         // A relayed report must not cover the silence of the more frequent direct heartbeats.
-        let covered = !sign.direct && member.direct && member.live && !restarted;
-        if covered && member.within_patience(now) {
+        let covered = !update.direct && member.direct && member.live && !restarted;
+        if covered && member.within_timeout(now) {
             return true;
         }
-        let last = sign.interval.is_zero();
+        let last = update.interval.is_zero();
         member.live = true;
-        member.heard = Some(now);
-        member.direct = sign.direct && !last;
-        member.patience = if last {
-            RELAYED_PATIENCE
+        member.last_heard = Some(now);
+        member.direct = update.direct && !last;
+        member.timeout = if last {
+            RELAYED_TIMEOUT
         } else {
-            (sign.interval * MISSED_BEATS).max(LEAST_PATIENCE)
+            (update.interval * MAX_MISSED_HEARTBEATS).max(MIN_TIMEOUT)
         };
-        if again && cut {
-            self.set_unsteady(now);
+        if again && partitioned {
+            self.reset_stability(now);
         }
         true
     }
 
     /// This instance was stopped or cut off: others took over meanwhile and should keep it.
-    pub fn set_unsteady(&mut self, now: Instant) {
+    pub fn reset_stability(&mut self, now: Instant) {
         if let Some(own) = self.map.get_mut(&self.me) {
-            own.since = now;
+            own.stable_since = now;
         }
         self.changed = true;
     }
@@ -305,52 +311,52 @@
     ///
     /// Whoever is cut off from the others sees all of them go silent, and all of them come back
     /// when the cut heals. It is the one that went, and must not take their pools.
-    fn was_cut(&self, now: Instant) -> bool {
-        self.cut
-            .is_some_and(|at| now.duration_since(at) < SEASONING)
+    fn was_partitioned(&self, now: Instant) -> bool {
+        self.partitioned_at
+            .is_some_and(|at| now.duration_since(at) < STABLE_AFTER)
     }
 
-    fn notice_cut(&mut self, now: Instant) {
+    fn detect_partition(&mut self, now: Instant) {
         let home = self.own().domain;
         let mates = self
             .map
             .iter()
-            .filter(|(id, m)| **id != self.me && m.domain == home && m.heard.is_some());
+            .filter(|(id, m)| **id != self.me && m.domain == home && m.last_heard.is_some());
         let (live, silent): (Vec<_>, Vec<_>) = mates.partition(|(_, m)| m.live);
         if silent.len() > live.len() {
-            self.cut = Some(now);
+            self.partitioned_at = Some(now);
         }
     }
 
     /// Marks members that have been silent for too long.
-    pub fn sweep(&mut self, now: Instant) {
+    pub fn expire_silent(&mut self, now: Instant) {
         for (id, member) in &mut self.map {
             if *id == self.me || !member.live {
                 continue;
             }
-            if !member.within_patience(now) {
+            if !member.within_timeout(now) {
                 member.live = false;
                 self.changed = true;
-                self.died.push(*id);
+                self.newly_dead.push(*id);
             }
         }
-        self.notice_cut(now);
+        self.detect_partition(now);
     }
 
     /// Takes a broken connection as a first doubt: the member must be heard again soon.
-    pub fn doubt(&mut self, id: InstanceId, now: Instant, grace: Duration) {
+    pub fn suspect(&mut self, id: InstanceId, now: Instant, grace: Duration) {
         if let Some(member) = self.map.get_mut(&id)
-            && let Some(heard) = member.heard
+            && let Some(heard) = member.last_heard
         {
-            let left = member.patience.saturating_sub(now.duration_since(heard));
+            let left = member.timeout.saturating_sub(now.duration_since(heard));
             if left > grace {
-                member.heard = now.checked_sub(member.patience.saturating_sub(grace));
+                member.last_heard = now.checked_sub(member.timeout.saturating_sub(grace));
             }
         }
     }
 
     /// Tells whether `id` is live and takes new work.
-    pub fn usable(&self, id: InstanceId) -> bool {
+    pub fn is_available(&self, id: InstanceId) -> bool {
         self.map.get(&id).is_some_and(|m| m.live && !m.leaving)
     }
 
@@ -369,13 +375,13 @@
 }
 
 /// Tells whether a told start of steadiness is other than the known one, rounding apart.
-fn differs(known: Instant, told: Instant, tenths: u8) -> bool {
+fn stability_changed(known: Instant, told: Instant, tenths: u8) -> bool {
     // The longest time that can be told means: at least that long.
-    let longer = u128::from(tenths) == MOST_STEADY && known <= told;
-    !longer && known.max(told) - known.min(told) > STEADY_SLACK
+    let longer = u128::from(tenths) == MAX_STABLE_TENTHS && known <= told;
+    !longer && known.max(told) - known.min(told) > STABILITY_TOLERANCE
 }
 
-fn steady_since(tenths: u8, now: Instant) -> Instant {
+fn stable_start(tenths: u8, now: Instant) -> Instant {
     let steady = Duration::from_millis(u64::from(tenths) * 100);
     now.checked_sub(steady).unwrap_or(now)
 }
@@ -387,13 +393,13 @@
         contact,
         incarnation: Incarnation::default(),
         leaving: false,
-        words: LeavingWords::default(),
+        leaving_sources: LeavingSources::default(),
         revision: 0,
         live: false,
-        since: now,
+        stable_since: now,
         returned: None,
-        heard: None,
-        patience: Duration::from_secs(2),
+        last_heard: None,
+        timeout: Duration::from_secs(2),
         direct: false,
     }
 }
--- a/crates/hawthornmill/src/membership/place.rs
+++ b/crates/hawthornmill/src/membership/placement.rs
@@ -11,7 +11,7 @@
 use crate::ident::{DomainId, InstanceId, PoolId, RegionId, mix};
 
 /// Time for which an instance must have been live before it is preferred as an owner.
-pub const SEASONING: Duration = Duration::from_secs(3);
+pub const STABLE_AFTER: Duration = Duration::from_secs(3);
 /// Instances of a failure domain that watch the platform's configuration.
 pub const READERS: usize = 2;
 
@@ -35,16 +35,16 @@
         .live()
         .filter(|(_, m)| !m.leaving && tier(m))
         // A newcomer, or one that keeps coming and going, does not take pools from others.
-        .max_by_key(|(id, m)| (m.is_seasoned(now), mix(salt ^ id.0)))
+        .max_by_key(|(id, m)| (m.is_stable(now), mix(salt ^ id.0)))
         .map(|(id, _)| id)
 }
 
 /// When the next live instance will have been steady for long enough to be preferred.
-pub fn next_seasoned(members: &Members, now: Instant) -> Option<Instant> {
+pub fn next_stable_at(members: &Members, now: Instant) -> Option<Instant> {
     members
         .live()
-        .filter(|(_, m)| !m.leaving && !m.is_seasoned(now))
-        .map(|(_, m)| m.since + SEASONING)
+        .filter(|(_, m)| !m.leaving && !m.is_stable(now))
+        .map(|(_, m)| m.stable_since + STABLE_AFTER)
         .min()
 }
 
@@ -74,7 +74,7 @@
 ///
 /// At a start, and after a cut has healed, nobody there has been heard yet; somebody must speak
 /// first, and any live member passes a report on to its own relay.
-pub fn guess(members: &Members, domain: DomainId, round: u32) -> Option<InstanceId> {
+pub fn contact_candidate(members: &Members, domain: DomainId, round: u32) -> Option<InstanceId> {
     let silent: Vec<InstanceId> = members
         .map
         .iter()
@@ -86,14 +86,14 @@
 }
 
 /// One member of each failure domain in which nobody is heard, for the relay of this region.
-pub fn silent_guesses(members: &Members, round: u32) -> Vec<InstanceId> {
+pub fn silent_domain_candidates(members: &Members, round: u32) -> Vec<InstanceId> {
     if region_relay(members, members.own().region) != Some(members.me) {
         return Vec::new();
     }
     let heard: BTreeSet<DomainId> = members.live().map(|(_, m)| m.domain).collect();
     let all: BTreeSet<DomainId> = members.map.values().map(|m| m.domain).collect();
     all.difference(&heard)
-        .filter_map(|domain| guess(members, *domain, round))
+        .filter_map(|domain| contact_candidate(members, *domain, round))
         .collect()
 }
 
--- a/crates/hawthornmill/src/membership/reports.rs
+++ b/crates/hawthornmill/src/membership/reports.rs
@@ -3,32 +3,32 @@
 //! An instance sends its report to the relay of its failure domain; domain relays exchange with
 //! the relay of their region, and region relays with each other. Each hop passes on what is newer
 //! than it last sent to that neighbour. Counters are cumulative and states whole, so a lost datagram
-//! costs one interval; every [`REFRESH`]th round repeats everything.
+//! costs one interval; every [`REFRESH_ROUNDS`]th round repeats everything.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-use super::place::{domain_relay, guess, region_relay};
-use super::{Members, Sign};
+use super::placement::{contact_candidate, domain_relay, region_relay};
+use super::{LivenessUpdate, Members};
 use crate::fairness::{CostKey, Ledger};
 use crate::ident::{DomainId, Incarnation, InstanceId, PoolId, RegionId};
 use crate::wire::message::{Message, PoolState, Report};
 
 /// Rounds after which a neighbour is told everything again.
-pub const REFRESH: u32 = 16;
+pub const REFRESH_ROUNDS: u32 = 16;
 /// Counters that one report in a datagram may carry.
-const COSTS_EACH: usize = 32;
+const MAX_COSTS_PER_REPORT: usize = 32;
 /// Rounds after which an instance reports although nothing changed.
-pub const KEEPALIVE: u32 = 4;
+pub const KEEPALIVE_ROUNDS: u32 = 4;
 /// Bytes of reports in one datagram; the frame's header fits under the datagram limit besides.
-const BATCH: usize = 1200;
+const MAX_BATCH_BYTES: usize = 1200;
 
 #[derive(Debug, Clone, Default)]
 struct Origin {
     incarnation: Incarnation,
     version: u32,
     /// Version in which anything but the sign of life was last new.
-    news: u32,
+    changed_version: u32,
     leaving: bool,
     revision: u64,
     steady: u8,
@@ -43,7 +43,7 @@
     origins: BTreeMap<InstanceId, Origin>,
     sent: BTreeMap<InstanceId, BTreeMap<InstanceId, (Incarnation, u32)>>,
     round: u32,
-    written: u32,
+    last_written: u32,
 }
 
 impl Reports {
@@ -58,22 +58,22 @@
     ) {
         let own = members.own();
         let origin = self.origins.entry(members.me).or_default();
-        let same = origin.leaving == own.words.own
+        let same = origin.leaving == own.leaving_sources.announced
             && origin.revision == revision
             && origin.pools == pools
             && costs.is_empty();
-        let recent = self.round.wrapping_sub(self.written) < KEEPALIVE;
+        let recent = self.round.wrapping_sub(self.last_written) < KEEPALIVE_ROUNDS;
         if same && recent && origin.version > 0 {
             return;
         }
-        self.written = self.round;
-        origin.steady = members.steady(now);
+        self.last_written = self.round;
+        origin.steady = members.stable_tenths(now);
         origin.incarnation = own.incarnation;
         origin.version += 1;
         if !same {
-            origin.news = origin.version;
+            origin.changed_version = origin.version;
         }
-        origin.leaving = own.words.own;
+        origin.leaving = own.leaving_sources.announced;
         origin.revision = revision;
         origin.pools = pools;
         for (key, value) in costs {
@@ -82,7 +82,7 @@
     }
 
     /// Takes a report that `from` sent; false when nothing in it is new.
-    pub fn take(
+    pub fn receive(
         &mut self,
         from: InstanceId,
         report: Report,
@@ -107,12 +107,12 @@
             ledger.merge(report.origin, report.incarnation, *key, *value);
             origin.costs.insert(*key, (*value, report.version));
         }
-        let news = !report.costs.is_empty()
+        let changed = !report.costs.is_empty()
             || report.incarnation != origin.incarnation
             || (report.leaving, report.revision) != (origin.leaving, origin.revision)
             || report.pools != origin.pools;
-        if news {
-            origin.news = report.version;
+        if changed {
+            origin.changed_version = report.version;
         }
         if !newer {
             return false;
@@ -124,14 +124,14 @@
         origin.steady = report.steady;
         origin.pools = report.pools;
         origin.from = Some(from);
-        members.hear(
-            Sign {
+        members.record_liveness(
+            LivenessUpdate {
                 from: report.origin,
                 incarnation: report.incarnation,
                 leaving: report.leaving,
                 revision: report.revision,
-                interval: interval * KEEPALIVE,
-                steady: report.steady,
+                interval: interval * KEEPALIVE_ROUNDS,
+                stable_tenths: report.steady,
                 direct: false,
             },
             now,
@@ -146,7 +146,7 @@
     }
 
     /// The last state told of `pool`, by whichever live instance owns it.
-    pub fn pool(&self, pool: PoolId, owner: InstanceId) -> Option<PoolState> {
+    pub fn pool_state(&self, pool: PoolId, owner: InstanceId) -> Option<PoolState> {
         self.origins
             .get(&owner)?
             .pools
@@ -156,31 +156,31 @@
     }
 
     /// Forgets what `neighbour` was sent: it was gone and may have lost it.
-    pub fn resend(&mut self, neighbour: InstanceId) {
+    pub fn forget_sent(&mut self, neighbour: InstanceId) {
         self.sent.remove(&neighbour);
     }
 
     /// Highest revision that any report named.
-    pub fn revision(&self) -> u64 {
+    pub fn highest_revision(&self) -> u64 {
         self.origins.values().map(|o| o.revision).max().unwrap_or(0)
     }
 
     /// Messages of one round to this instance's neighbours in the tree.
-    pub fn round(&mut self, members: &Members) -> Vec<(InstanceId, Message)> {
+    pub fn next_round(&mut self, members: &Members) -> Vec<(InstanceId, Message)> {
         self.round = self.round.wrapping_add(1);
-        if self.round.is_multiple_of(REFRESH) {
+        if self.round.is_multiple_of(REFRESH_ROUNDS) {
             self.sent.clear();
         }
         let mut out = Vec::new();
         for target in neighbours(members, self.round) {
-            let reports = self.news_for(target, members);
+            let reports = self.updates_for(target, members);
             let batches = batch(reports);
             out.extend(batches.into_iter().map(|b| (target, Message::Reports(b))));
         }
         out
     }
 
-    fn news_for(&mut self, target: InstanceId, members: &Members) -> Vec<Report> {
+    fn updates_for(&mut self, target: InstanceId, members: &Members) -> Vec<Report> {
         let sent = self.sent.entry(target).or_default();
         let mut reports = Vec::new();
         for (id, origin) in &self.origins {
@@ -193,16 +193,16 @@
                 version = 0;
             }
             // Mere signs of life go on together: a datagram for each would be mostly headers.
-            let due = if self.round.is_multiple_of(KEEPALIVE) {
+            let due = if self.round.is_multiple_of(KEEPALIVE_ROUNDS) {
                 origin.version
             } else {
-                origin.news
+                origin.changed_version
             };
             if due <= version {
                 continue;
             }
             sent.insert(*id, (origin.incarnation, origin.version));
-            reports.extend(split(*id, origin, version));
+            reports.extend(split_costs(*id, origin, version));
         }
         reports
     }
@@ -213,27 +213,29 @@
     let mut batches: Vec<Vec<Report>> = Vec::new();
     let mut room = 0;
     for report in reports {
-        let size = postcard::to_allocvec(&report).map_or(BATCH, |bytes| bytes.len());
+        let size = postcard::to_allocvec(&report).map_or(MAX_BATCH_BYTES, |bytes| bytes.len());
         if let Some(last) = batches.last_mut().filter(|_| size <= room) {
             room -= size;
             last.push(report);
         } else {
-            room = BATCH.saturating_sub(size);
+            room = MAX_BATCH_BYTES.saturating_sub(size);
             batches.push(vec![report]);
         }
     }
     batches
 }
 
-fn split(id: InstanceId, origin: &Origin, after: u32) -> Vec<Report> {
+fn split_costs(id: InstanceId, origin: &Origin, after: u32) -> Vec<Report> {
     let costs: Vec<(CostKey, f64)> = origin
         .costs
         .iter()
         .filter(|(_, (_, version))| *version > after)
         .map(|(key, (value, _))| (*key, *value))
         .collect();
-    let mut chunks: Vec<Vec<(CostKey, f64)>> =
-        costs.chunks(COSTS_EACH).map(<[_]>::to_vec).collect();
+    let mut chunks: Vec<Vec<(CostKey, f64)>> = costs
+        .chunks(MAX_COSTS_PER_REPORT)
+        .map(<[_]>::to_vec)
+        .collect();
     if chunks.is_empty() {
         chunks.push(Vec::new());
     }
@@ -268,14 +270,14 @@
         set.extend(region_relay(members, own.region));
     }
     if region_relay(members, own.region) == Some(members.me) {
-        set.extend(far_neighbours(members, round));
+        set.extend(region_neighbours(members, round));
     }
     set.remove(&members.me);
     set
 }
 
 /// Domain relays of the own region and region relays of the others, for a region's relay.
-fn far_neighbours(members: &Members, round: u32) -> BTreeSet<InstanceId> {
+fn region_neighbours(members: &Members, round: u32) -> BTreeSet<InstanceId> {
     let home = members.own().region;
     let places: BTreeSet<(RegionId, DomainId)> =
         members.map.values().map(|m| (m.region, m.domain)).collect();
@@ -286,7 +288,7 @@
         } else {
             region_relay(members, region)
         };
-        set.extend(known.or_else(|| guess(members, domain, round)));
+        set.extend(known.or_else(|| contact_candidate(members, domain, round)));
     }
     set
 }
--- a/crates/hawthornmill/src/membership/roster.rs
+++ b/crates/hawthornmill/src/membership/roster.rs
@@ -16,7 +16,7 @@
 pub struct Roster {
     entries: Entries,
     digest: u32,
-    former: (u32, Entries),
+    previous: (u32, Entries),
     known: bool,
 }
 
@@ -47,7 +47,7 @@
             .into_iter()
             .map(|l| (InstanceId::of(&l.contact.name), l))
             .collect();
-        self.put(entries)
+        self.install(entries)
     }
 
     /// What leads from the list with digest `have` to this one; none when that is the same.
@@ -56,8 +56,8 @@
             return None;
         }
         let empty = Entries::new();
-        let (base, old) = if have == self.former.0 {
-            (have, &self.former.1)
+        let (base, old) = if have == self.previous.0 {
+            (have, &self.previous.1)
         } else {
             (0, &empty)
         };
@@ -93,16 +93,16 @@
         for listed in delta.changed {
             entries.insert(InstanceId::of(&listed.contact.name), listed);
         }
-        self.put(entries)
+        self.install(entries)
     }
 
-    fn put(&mut self, entries: Entries) -> bool {
+    fn install(&mut self, entries: Entries) -> bool {
         self.known = true;
         if entries == self.entries {
             return false;
         }
         let digest = digest(&entries);
-        self.former = (self.digest, std::mem::replace(&mut self.entries, entries));
+        self.previous = (self.digest, std::mem::replace(&mut self.entries, entries));
         self.digest = digest;
         true
     }
--- a/crates/hawthornmill/src/membership/start.rs
+++ b/crates/hawthornmill/src/membership/startup.rs
@@ -3,24 +3,24 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use super::place::guess;
+use super::placement::contact_candidate;
 use crate::blackboard::Blackboard;
 use crate::ident::{DomainId, InstanceId};
 
 /// Time for which a starting instance waits for the platform and for peers.
-pub const START_WAIT: Duration = Duration::from_secs(2);
+pub const STARTUP_TIMEOUT: Duration = Duration::from_secs(2);
 /// Mates in the own failure domain that are asked in one round.
-const ASKED_MATES: usize = 2;
+const PROBES_PER_ROUND: usize = 2;
 
 /// What a starting instance was told.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Start {
+pub struct Startup {
     /// The platform's configuration service has answered.
-    pub platform: bool,
+    pub platform_answered: bool,
     /// An instance that serves has told its revision.
-    pub serving: bool,
+    pub peer_serving: bool,
     /// Highest revision that an answer to a probe named.
-    pub highest: u64,
+    pub highest_revision: u64,
 }
 
 /// Tells whether `board` knows enough to serve; `began` is when the process started.
@@ -40,31 +40,32 @@
         .clone()
         .filter(|(_, m)| m.live)
         .map(|(_, m)| m.revision);
-    let highest = told.max().unwrap_or(0).max(board.start.highest);
+    let highest = told.max().unwrap_or(0).max(board.startup.highest_revision);
     let all = board.roster.is_known() && others.clone().all(|(_, m)| m.live);
-    let settled = board.start.platform && (board.start.serving || all);
-    let waited = now.duration_since(began) > START_WAIT;
+    let settled = board.startup.platform_answered && (board.startup.peer_serving || all);
+    let waited = now.duration_since(began) > STARTUP_TIMEOUT;
     let revision = board.config.revision;
     revision > 0 && revision >= highest && (settled || waited)
 }
 
 /// Instances to ask in `round`: some of the own failure domain and one of each other.
-pub fn to_ask(board: &Blackboard, round: u32) -> BTreeSet<InstanceId> {
+pub fn probe_targets(board: &Blackboard, round: u32) -> BTreeSet<InstanceId> {
     let members = &board.members;
     let domains: BTreeSet<DomainId> = members.map.values().map(|m| m.domain).collect();
     let mut asked: BTreeSet<InstanceId> = domains
         .into_iter()
-        .filter_map(|domain| guess(members, domain, round))
+        .filter_map(|domain| contact_candidate(members, domain, round))
         .collect();
     let own = members.own().domain;
-    let mates: Vec<InstanceId> = members
+    let neighbours: Vec<InstanceId> = members
         .map
         .iter()
         .filter(|(id, m)| **id != members.me && m.domain == own)
         .map(|(id, _)| *id)
         .collect();
-    let first = round as usize * ASKED_MATES;
-    let turn = (0..ASKED_MATES.min(mates.len())).map(|n| mates[(first + n) % mates.len()]);
+    let first = round as usize * PROBES_PER_ROUND;
+    let turn = (0..PROBES_PER_ROUND.min(neighbours.len()))
+        .map(|n| neighbours[(first + n) % neighbours.len()]);
     asked.extend(turn);
     asked.remove(&members.me);
     asked
--- a/crates/hawthornmill/src/pools/mod.rs
+++ b/crates/hawthornmill/src/pools/mod.rs
@@ -22,7 +22,7 @@
 use crate::blackboard::Blackboard;
 use crate::fairness::standing;
 use crate::ident::{Incarnation, InstanceId};
-use crate::membership::place;
+use crate::membership::placement;
 use crate::wire::message::Message;
 
 /// Rounds of messages to itself that one turn may take.
@@ -50,7 +50,7 @@
     let mut targets: BTreeSet<InstanceId> = mates.map(|(id, _)| *id).collect();
     targets.extend(owners.map(|(id, _)| id));
     targets.extend(entries);
-    targets.extend(place::silent_guesses(&board.members, round));
+    targets.extend(placement::silent_domain_candidates(&board.members, round));
     if board.members.own().leaving {
         targets.extend(board.members.live().map(|(id, _)| id));
     }
--- a/crates/hawthornmill/src/pools/ownership.rs
+++ b/crates/hawthornmill/src/pools/ownership.rs
@@ -8,7 +8,7 @@
 use crate::events::Event;
 use crate::fairness::{CostKey, Ledger};
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId};
-use crate::membership::place;
+use crate::membership::placement;
 use crate::pools::entry;
 use crate::pools::owner::Owned;
 use crate::wire::message::{Handover, Held, HeldBy, Message};
@@ -22,12 +22,12 @@
         return;
     }
     board.members.changed = false;
-    board.replace = place::next_seasoned(&board.members, now);
+    board.replace = placement::next_stable_at(&board.members, now);
     let config = Arc::clone(&board.config);
     for (id, pool) in &config.pools {
         let owner = match board.tuning.policy {
             Policy::Static => Some(board.me()),
-            Policy::Pooled => place::owner(&board.members, *id, pool, now),
+            Policy::Pooled => placement::owner(&board.members, *id, pool, now),
         };
         follow(board, *id, owner, now);
     }
@@ -129,7 +129,7 @@
 fn level_of(board: &Blackboard, pool: PoolId) -> f64 {
     let owner = board.links.get(&pool).and_then(|l| l.owner);
     owner
-        .and_then(|(id, _)| board.reports.pool(pool, id))
+        .and_then(|(id, _)| board.reports.pool_state(pool, id))
         .map_or(0.0, |state| state.level)
 }
 
@@ -147,7 +147,7 @@
 /// from granting those slots twice. An entry that was only silent does not know that it was
 /// dropped, so its wants would be missing for good if nobody asked: both sides say everything again.
 fn follow_lives(board: &mut Blackboard) {
-    let died = std::mem::take(&mut board.members.died);
+    let died = std::mem::take(&mut board.members.newly_dead);
     for owned in board.owned.values_mut() {
         for id in &died {
             owned.forget(*id);
@@ -156,8 +156,8 @@
     board
         .events
         .extend(died.into_iter().map(Event::InstanceDown));
-    for id in std::mem::take(&mut board.members.revived) {
-        board.reports.resend(id);
+    for id in std::mem::take(&mut board.members.newly_live) {
+        board.reports.forget_sent(id);
         board.events.push(Event::InstanceUp(id));
         entry::resync(board, id);
     }
--- a/crates/hawthornmill/src/pools/regions.rs
+++ b/crates/hawthornmill/src/pools/regions.rs
@@ -128,5 +128,5 @@
 
 fn state(board: &Blackboard, pool: PoolId) -> Option<PoolState> {
     let (owner, _) = board.links.get(&pool)?.owner?;
-    board.reports.pool(pool, owner)
+    board.reports.pool_state(pool, owner)
 }
--- a/crates/hawthornmill/src/pools/tick.rs
+++ b/crates/hawthornmill/src/pools/tick.rs
@@ -33,8 +33,8 @@
     entry::expire(board, now);
     follow_time(board, now);
     if board.stale.is_none() {
-        board.members.sweep(now);
-        for id in board.members.forget_gone(&board.roster, now) {
+        board.members.expire_silent(now);
+        for id in board.members.remove_expired(&board.roster, now) {
             board.reports.forget(id);
         }
     }
@@ -71,7 +71,7 @@
     let number = board.pauses;
     board.awaited = None;
     let me = board.me();
-    board.members.set_unsteady(now);
+    board.members.reset_stability(now);
     let peers: Vec<InstanceId> = board
         .members
         .map
@@ -90,8 +90,8 @@
 /// says nothing; the number tells. If the peer has a later configuration in force, servers may have
 /// been taken out of use during the pause, so the view is old until that revision is in force here.
 pub fn on_probe_ack(board: &mut Blackboard, ack: ProbeAck, now: Instant) {
-    board.start.highest = board.start.highest.max(ack.revision);
-    board.start.serving |= ack.serving;
+    board.startup.highest_revision = board.startup.highest_revision.max(ack.revision);
+    board.startup.peer_serving |= ack.serving;
     if board.stale.is_some() && ack.number == board.pauses && board.pauses > 0 {
         board.awaited = board.awaited.max(Some(ack.revision));
         follow_awaited(board, now);
@@ -109,7 +109,7 @@
     board.stale = None;
     board.events.push(Event::ViewConfirmed);
     board.awaited = None;
-    board.members.sweep(now);
+    board.members.expire_silent(now);
     let keys: Vec<_> = board.queues.keys().copied().collect();
     board.dirty.extend(keys);
     for owned in board.owned.values_mut() {
@@ -139,7 +139,7 @@
         .write_own(&board.members, revision, pools, costs, now);
     let keys: Vec<_> = board.queues.keys().copied().collect();
     board.dirty.extend(keys);
-    let mut messages = board.reports.round(&board.members);
+    let mut messages = board.reports.next_round(&board.members);
     messages.extend(standing::ask(board));
     messages
 }
--- a/crates/hawthornmill/src/usage/causes.rs
+++ b/crates/hawthornmill/src/usage/causes.rs
@@ -162,7 +162,7 @@
     let idle = |pool: &PoolId| {
         let owner = board.links.get(pool).and_then(|l| l.owner);
         owner
-            .and_then(|(id, _)| board.reports.pool(*pool, id))
+            .and_then(|(id, _)| board.reports.pool_state(*pool, id))
             .is_some_and(|s| s.idle > 0)
     };
     let pools = config.by_service.get(&service);
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -6,7 +6,7 @@
 use hawthornmill::blackboard::{Blackboard, Tuning};
 use hawthornmill::config::accept::{Values, manifest};
 use hawthornmill::ident::{Incarnation, InstanceId};
-use hawthornmill::membership::{Sign, start};
+use hawthornmill::membership::{LivenessUpdate, startup};
 use hawthornmill::pools::tick;
 use hawthornmill::wire::message::ProbeAck;
 use hawthornmill_lab::demo::site::Site;
@@ -291,28 +291,28 @@
         let mut board = Blackboard::new(own, Incarnation(1), Tuning::default(), now);
         let (config, manifest, values) = small_fleet().accept(3);
         board.install(config, manifest, values);
-        board.start.platform = true;
+        board.startup.platform_answered = true;
         board.roster.replace(Vec::new());
         for (number, (revision, live)) in peers.iter().enumerate() {
             let contact = contact(&format!("i{}", number + 1), "b", "north");
-            let sign = Sign {
+            let sign = LivenessUpdate {
                 from: InstanceId::of(&contact.name),
                 incarnation: Incarnation(1),
                 leaving: false,
                 revision: *revision,
                 interval: Duration::from_millis(100),
-                steady: 0,
+                stable_tenths: 0,
                 direct: true,
             };
-            board.members.learn(contact, now);
+            board.members.upsert_contact(contact, now);
             if *live {
-                board.members.hear(sign, now);
+                board.members.record_liveness(sign, now);
             }
         }
         if let Some(ack) = answer {
             tick::on_probe_ack(&mut board, ack, now);
         }
-        start::is_ready(&board, now, now + Duration::from_millis(age))
+        startup::is_ready(&board, now, now + Duration::from_millis(age))
     };
     let serves = |revision| ProbeAck {
         number: 0,
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -4,7 +4,7 @@
 
 use hawthornmill::blackboard::{Blackboard, Tuning};
 use hawthornmill::ident::{Incarnation, InstanceId, ServerId};
-use hawthornmill::membership::Sign;
+use hawthornmill::membership::LivenessUpdate;
 use hawthornmill::pools::{entry, owner};
 use hawthornmill::wire::message::Listed;
 use hawthornmill_lab::demo::site::Site;
@@ -125,32 +125,32 @@
     let list = |leaving, board: &mut Blackboard| {
         let contact = other.clone();
         board.roster.replace(vec![Listed { contact, leaving }]);
-        board.members.follow_roster(&board.roster, now);
+        board.members.apply_roster(&board.roster, now);
     };
-    let sign = |run, millis: u64| Sign {
+    let sign = |run, millis: u64| LivenessUpdate {
         from: id,
         incarnation: Incarnation(run),
         leaving: false,
         revision: 1,
         interval: Duration::from_millis(100),
-        steady: (millis / 100) as u8,
+        stable_tenths: (millis / 100) as u8,
         direct: true,
     };
     let at = |millis| now + Duration::from_millis(millis);
 
     list(false, &mut board);
-    board.members.hear(sign(1, 0), now);
-    let before = board.members.usable(id);
+    board.members.record_liveness(sign(1, 0), now);
+    let before = board.members.is_available(id);
     list(true, &mut board);
-    board.members.sweep(at(2000));
-    board.members.hear(sign(1, 2000), at(2000));
-    let returned = board.members.usable(id);
-    board.members.hear(sign(2, 0), at(3000));
-    let lagging = board.members.usable(id);
+    board.members.expire_silent(at(2000));
+    board.members.record_liveness(sign(1, 2000), at(2000));
+    let returned = board.members.is_available(id);
+    board.members.record_liveness(sign(2, 0), at(3000));
+    let lagging = board.members.is_available(id);
     list(false, &mut board);
 
     assert_eq!((before, returned, lagging), (true, false, false));
-    assert!(board.members.usable(id));
+    assert!(board.members.is_available(id));
 }
 
 /// Runs that a server was given so far.
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -4,7 +4,7 @@
 
 use hawthornmill::blackboard::Tuning;
 use hawthornmill::ident::{DomainId, Incarnation, InstanceId, PoolId, ServiceId};
-use hawthornmill::membership::{Members, Sign};
+use hawthornmill::membership::{LivenessUpdate, Members};
 use hawthornmill::pools::tick;
 use hawthornmill::wire::message::ProbeAck;
 use hawthornmill_test_support::fleet::FleetText;
@@ -295,25 +295,25 @@
     let start = Instant::now();
     let own = contact("i0", "a", "north");
     let mut members = Members::new(InstanceId::of("i0"), own, Incarnation(1), start);
-    members.learn(contact("i1", "a", "north"), start);
+    members.upsert_contact(contact("i1", "a", "north"), start);
     let mut at = Duration::ZERO;
     let mut died = 0;
 
     for interval in [100, 350, 350, 350, 800, 800, 800].map(Duration::from_millis) {
-        let sign = Sign {
+        let sign = LivenessUpdate {
             from: InstanceId::of("i1"),
             incarnation: Incarnation(1),
             leaving: false,
             revision: 1,
             interval,
-            steady: 0,
+            stable_tenths: 0,
             direct: true,
         };
-        members.hear(sign, start + at);
+        members.record_liveness(sign, start + at);
         at += interval;
-        members.sweep(start + at);
-        died += members.died.len();
-        members.died.clear();
+        members.expire_silent(start + at);
+        died += members.newly_dead.len();
+        members.newly_dead.clear();
     }
 
     assert_eq!(died, 0);
--- a/tests/testsuite/signs.rs
+++ b/tests/testsuite/signs.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use hawthornmill::ident::{Incarnation, InstanceId};
-use hawthornmill::membership::{Members, Sign};
+use hawthornmill::membership::{LivenessUpdate, Members};
 use hawthornmill_test_support::steps::contact;
 
 /// A view of one other instance, `i1`, and the start of its time.
@@ -11,7 +11,7 @@
     let now = Instant::now();
     let own = contact("i0", "a", "north");
     let mut members = Members::new(InstanceId::of("i0"), own, Incarnation(1), now);
-    members.learn(contact("i1", "b", "north"), now);
+    members.upsert_contact(contact("i1", "b", "north"), now);
     (members, now)
 }
 
@@ -20,14 +20,14 @@
 }
 
 /// A sign of the other instance that tells the time until the next one.
-fn sign(interval: u64, direct: bool) -> Sign {
-    Sign {
+fn sign(interval: u64, direct: bool) -> LivenessUpdate {
+    LivenessUpdate {
         from: other(),
         incarnation: Incarnation(1),
         leaving: false,
         revision: 1,
         interval: Duration::from_millis(interval),
-        steady: 255,
+        stable_tenths: 255,
         direct,
     }
 }
@@ -41,17 +41,17 @@
     let (mut members, now) = view();
     let at = |millis: u64| now + Duration::from_millis(millis);
 
-    members.hear(sign(100, true), at(0));
-    members.hear(sign(450, true), at(100));
-    members.sweep(at(540));
+    members.record_liveness(sign(100, true), at(0));
+    members.record_liveness(sign(450, true), at(100));
+    members.expire_silent(at(540));
     let slower = members.is_live(other());
-    members.hear(sign(0, true), at(550));
-    members.sweep(at(2500));
+    members.record_liveness(sign(0, true), at(550));
+    members.expire_silent(at(2500));
     let none = members.is_live(other());
-    members.hear(sign(1000, false), at(2600));
-    members.sweep(at(5500));
+    members.record_liveness(sign(1000, false), at(2600));
+    members.expire_silent(at(5500));
     let relayed = members.is_live(other());
-    members.sweep(at(6000));
+    members.expire_silent(at(6000));
 
     assert_eq!((slower, none, relayed), (true, true, true));
     assert!(!members.is_live(other()), "silence is noticed");
@@ -63,15 +63,15 @@
 #[test]
 fn an_instance_that_sends_more_seldom_stays_live() {
     let (mut members, mut now) = view();
-    members.hear(sign(100, true), now);
+    members.record_liveness(sign(100, true), now);
 
     for interval in (1..30).map(|n| 100 + 50 * n) {
         now += Duration::from_millis(interval);
-        members.hear(sign(interval, true), now);
-        members.sweep(now + Duration::from_millis(interval));
+        members.record_liveness(sign(interval, true), now);
+        members.expire_silent(now + Duration::from_millis(interval));
     }
 
-    assert!(members.died.is_empty());
+    assert!(members.newly_dead.is_empty());
 }
 
 /// An instance hangs, and relays still pass on its last reports for a moment. That must not hide
@@ -81,9 +81,9 @@
     let (mut members, now) = view();
     let at = |millis: u64| now + Duration::from_millis(millis);
 
-    members.hear(sign(100, true), at(0));
-    members.hear(sign(1000, false), at(400));
-    members.sweep(at(600));
+    members.record_liveness(sign(100, true), at(0));
+    members.record_liveness(sign(1000, false), at(400));
+    members.expire_silent(at(600));
 
     assert!(!members.is_live(other()));
 }
