--- a/crates/hawthornmill-net/src/entry/call.rs
+++ b/crates/hawthornmill-net/src/entry/call.rs
@@ -290,7 +290,7 @@
                 .services
                 .get(&key.service)
                 .map_or(0.0, |s| s.estimate);
-            board.ledger.estimate(key, default)
+            board.ledger.estimated_cost(key, default)
         }),
     }
 }
--- a/crates/hawthornmill-net/src/entry/record.rs
+++ b/crates/hawthornmill-net/src/entry/record.rs
@@ -178,7 +178,9 @@
     fleet.view(|board| {
         let known = board.config.services.get(&service);
         let default = known.map_or(0.0, |s| s.estimate);
-        board.ledger.estimate(CostKey { service, account }, default)
+        board
+            .ledger
+            .estimated_cost(CostKey { service, account }, default)
     })
 }
 
--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -211,7 +211,7 @@
 
     /// Finds out whether enough is known to serve; once that is so, it stays so.
     ///
-    /// Until then it asks peers for their revision; [`start::is_ready`] has the rule.
+    /// Until then it asks peers for their revision; [`startup::is_ready`] has the rule.
     pub fn find_ready(&self) {
         if self.ready.load(Ordering::Relaxed) {
             return;
--- a/crates/hawthornmill/src/blackboard.rs
+++ b/crates/hawthornmill/src/blackboard.rs
@@ -144,7 +144,7 @@
     /// Fairness counters.
     pub ledger: Ledger,
     /// Peers that were asked for their counters since the start.
-    pub asked: u32,
+    pub counter_requests: u32,
     /// Requests that wait at this entry.
     pub waiting: SlotMap<RequestKey, Waiting>,
     /// How much waits, by account.
@@ -196,7 +196,7 @@
         let crossing = Crossing::new(tuning.cross_bytes, now);
         let ledger = match tuning.policy {
             Policy::Pooled => Ledger::default(),
-            Policy::Static => Ledger::alone(),
+            Policy::Static => Ledger::local_only(),
         };
         Self {
             incarnation,
@@ -210,7 +210,7 @@
             members: Members::new(me, contact, incarnation, now),
             reports: Reports::default(),
             ledger,
-            asked: 0,
+            counter_requests: 0,
             waiting: SlotMap::with_key(),
             backlogs: Backlogs::default(),
             paces: BTreeMap::new(),
--- a/crates/hawthornmill/src/fairness/standing.rs
+++ b/crates/hawthornmill/src/fairness/counter_sync.rs
@@ -9,17 +9,17 @@
 use crate::wire::message::{Message, Standing};
 
 /// Peers that are asked, one with each report, before an instance starts from zero.
-const TRIES: u32 = 8;
+const MAX_REQUESTS: u32 = 8;
 
 /// The question that is due with this report, if any.
-pub fn ask(board: &mut Blackboard) -> Option<(InstanceId, Message)> {
-    if board.ledger.settled() {
+pub fn next_request(board: &mut Blackboard) -> Option<(InstanceId, Message)> {
+    if board.ledger.is_synced() {
         return None;
     }
-    let turn = board.asked as usize;
-    board.asked += 1;
-    if board.asked > TRIES {
-        board.ledger.settle();
+    let turn = board.counter_requests as usize;
+    board.counter_requests += 1;
+    if board.counter_requests > MAX_REQUESTS {
+        board.ledger.mark_synced();
         return None;
     }
     let own = board.members.own();
@@ -35,15 +35,15 @@
 }
 
 /// Answers a peer that starts; an instance that has yet to learn the counters itself says nothing.
-pub fn answer(board: &mut Blackboard, peer: InstanceId) {
-    if board.ledger.settled() {
-        let standing = board.ledger.standing(board.me(), board.incarnation);
+pub fn respond(board: &mut Blackboard, peer: InstanceId) {
+    if board.ledger.is_synced() {
+        let standing = board.ledger.snapshot(board.me(), board.incarnation);
         board.outbox.push((peer, Message::Standing(standing)));
     }
 }
 
 /// Takes a peer's answer.
-pub fn take(board: &mut Blackboard, standing: &Standing) {
+pub fn apply(board: &mut Blackboard, standing: &Standing) {
     let (me, incarnation) = (board.me(), board.incarnation);
-    board.ledger.adopt(me, incarnation, standing);
+    board.ledger.apply_snapshot(me, incarnation, standing);
 }
--- a/crates/hawthornmill/src/fairness/ledger.rs
+++ b/crates/hawthornmill/src/fairness/ledger.rs
@@ -8,7 +8,7 @@
 use crate::wire::message::{Counters, Standing};
 
 /// Weight of the newest call in an account's average cost.
-const AVERAGE_WEIGHT: f64 = 0.1;
+const AVERAGE_COST_WEIGHT: f64 = 0.1;
 
 /// What one counter counts: services have units of their own and are never added up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
 }
 
 #[derive(Debug, Clone, Default)]
-struct Heard {
+struct RemoteCounters {
     incarnation: Incarnation,
     counters: BTreeMap<CostKey, f64>,
 }
@@ -32,29 +32,29 @@
 /// for one interval only.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
-    alone: bool,
-    settled: bool,
-    own: BTreeMap<CostKey, f64>,
+    local_only: bool,
+    synced: bool,
+    local: BTreeMap<CostKey, f64>,
     total: BTreeMap<CostKey, f64>,
     retired: BTreeMap<CostKey, f64>,
-    heard: BTreeMap<InstanceId, Heard>,
-    average: BTreeMap<CostKey, f64>,
+    remote: BTreeMap<InstanceId, RemoteCounters>,
+    average_cost: BTreeMap<CostKey, f64>,
     changed: BTreeSet<CostKey>,
 }
 
 impl Ledger {
     /// A ledger that counts what this instance grants and nothing else.
-    pub fn alone() -> Self {
+    pub fn local_only() -> Self {
         Self {
-            alone: true,
-            settled: true,
+            local_only: true,
+            synced: true,
             ..Self::default()
         }
     }
 
     /// Charges `amount` of normalised service that this instance granted; negative to correct.
     pub fn charge(&mut self, key: CostKey, amount: f64) {
-        *self.own.entry(key).or_default() += amount;
+        *self.local.entry(key).or_default() += amount;
         *self.total.entry(key).or_default() += amount;
         self.changed.insert(key);
     }
@@ -65,56 +65,56 @@
     }
 
     /// What this instance has charged since its start.
-    pub fn own(&self, key: CostKey) -> f64 {
-        self.own.get(&key).copied().unwrap_or_default()
+    pub fn local(&self, key: CostKey) -> f64 {
+        self.local.get(&key).copied().unwrap_or_default()
     }
 
     /// Takes a counter of another owner; counters are cumulative over an incarnation.
     pub fn merge(&mut self, from: InstanceId, incarnation: Incarnation, key: CostKey, value: f64) {
-        if self.alone {
+        if self.local_only {
             return;
         }
-        let heard = self.heard.entry(from).or_default();
-        if heard.incarnation > incarnation {
+        let remote = self.remote.entry(from).or_default();
+        if remote.incarnation > incarnation {
             return;
         }
-        if heard.incarnation < incarnation {
+        if remote.incarnation < incarnation {
             // A new run counts from zero; what the earlier one granted stays granted.
-            for (key, value) in std::mem::take(&mut heard.counters) {
+            for (key, value) in std::mem::take(&mut remote.counters) {
                 *self.retired.entry(key).or_default() += value;
             }
-            heard.incarnation = incarnation;
+            remote.incarnation = incarnation;
         }
-        let before = heard.counters.insert(key, value).unwrap_or_default();
+        let before = remote.counters.insert(key, value).unwrap_or_default();
         *self.total.entry(key).or_default() += value - before;
     }
 
     /// Tells whether this ledger holds the fleet's past, or nobody was there to tell it.
-    pub fn settled(&self) -> bool {
-        self.settled
+    pub fn is_synced(&self) -> bool {
+        self.synced
     }
 
     /// Stops asking for the fleet's past.
-    pub fn settle(&mut self) {
-        self.settled = true;
+    pub fn mark_synced(&mut self) {
+        self.synced = true;
     }
 
     /// Everything that this instance knows, for one that starts.
-    pub fn standing(&self, me: InstanceId, incarnation: Incarnation) -> Standing {
+    pub fn snapshot(&self, me: InstanceId, incarnation: Incarnation) -> Standing {
         let list = |map: &BTreeMap<CostKey, f64>| map.iter().map(|(k, v)| (*k, *v)).collect();
-        let others = self.heard.iter().map(|(id, heard)| Counters {
+        let others = self.remote.iter().map(|(id, remote)| Counters {
             origin: *id,
-            incarnation: heard.incarnation,
-            values: list(&heard.counters),
+            incarnation: remote.incarnation,
+            values: list(&remote.counters),
         });
-        let own = Counters {
+        let local = Counters {
             origin: me,
             incarnation,
-            values: list(&self.own),
+            values: list(&self.local),
         };
         Standing {
             retired: list(&self.retired),
-            counters: others.chain([own]).collect(),
+            counters: others.chain([local]).collect(),
         }
     }
 
@@ -122,25 +122,30 @@
     ///
     /// Totals alone would not do: a counter that is heard for the first time afterwards would be
     /// added to a total that has it already. With each owner's counter the sum stays exact.
-    pub fn adopt(&mut self, me: InstanceId, incarnation: Incarnation, standing: &Standing) {
-        if self.settled {
+    pub fn apply_snapshot(
+        &mut self,
+        me: InstanceId,
+        incarnation: Incarnation,
+        standing: &Standing,
+    ) {
+        if self.synced {
             return;
         }
-        self.settled = true;
+        self.synced = true;
         for (key, value) in &standing.retired {
             *self.retired.entry(*key).or_default() += value;
         }
         for counters in &standing.counters {
-            self.adopt_counters(me, incarnation, counters);
+            self.apply_counters(me, incarnation, counters);
         }
-        self.sum_up();
+        self.recompute_total();
     }
 
-    fn adopt_counters(&mut self, me: InstanceId, incarnation: Incarnation, told: &Counters) {
+    fn apply_counters(&mut self, me: InstanceId, incarnation: Incarnation, told: &Counters) {
         let known = if told.origin == me {
             incarnation
         } else {
-            self.heard.entry(told.origin).or_default().incarnation
+            self.remote.entry(told.origin).or_default().incarnation
         };
         if told.incarnation < known {
             for (key, value) in &told.values {
@@ -151,21 +156,21 @@
         if told.origin == me {
             return;
         }
-        let heard = self.heard.entry(told.origin).or_default();
+        let remote = self.remote.entry(told.origin).or_default();
         if told.incarnation > known {
             // The teller has what the earlier run counted among its retired counters.
-            heard.counters.clear();
-            heard.incarnation = told.incarnation;
+            remote.counters.clear();
+            remote.incarnation = told.incarnation;
         }
         for (key, value) in &told.values {
-            heard.counters.entry(*key).or_insert(*value);
+            remote.counters.entry(*key).or_insert(*value);
         }
     }
 
-    fn sum_up(&mut self) {
+    fn recompute_total(&mut self) {
         self.total = self.retired.clone();
-        let heard = self.heard.values().flat_map(|h| &h.counters);
-        for (key, value) in heard.chain(&self.own) {
+        let remote = self.remote.values().flat_map(|h| &h.counters);
+        for (key, value) in remote.chain(&self.local) {
             *self.total.entry(*key).or_default() += value;
         }
     }
@@ -174,23 +179,23 @@
     pub fn take_changed(&mut self) -> Vec<(CostKey, f64)> {
         std::mem::take(&mut self.changed)
             .into_iter()
-            .map(|key| (key, self.own(key)))
+            .map(|key| (key, self.local(key)))
             .collect()
     }
 
     /// Own counters, all of them.
-    pub fn own_all(&self) -> Vec<(CostKey, f64)> {
-        self.own.iter().map(|(k, v)| (*k, *v)).collect()
+    pub fn local_counters(&self) -> Vec<(CostKey, f64)> {
+        self.local.iter().map(|(k, v)| (*k, *v)).collect()
     }
 
     /// The cost to assume of the account's next call, before shares.
-    pub fn estimate(&self, key: CostKey, default: f64) -> f64 {
-        self.average.get(&key).copied().unwrap_or(default)
+    pub fn estimated_cost(&self, key: CostKey, default: f64) -> f64 {
+        self.average_cost.get(&key).copied().unwrap_or(default)
     }
 
     /// Notes the cost of a finished call.
-    pub fn observe(&mut self, key: CostKey, cost: f64) {
-        let average = self.average.entry(key).or_insert(cost);
-        *average += AVERAGE_WEIGHT * (cost - *average);
+    pub fn record_cost(&mut self, key: CostKey, cost: f64) {
+        let average = self.average_cost.entry(key).or_insert(cost);
+        *average += AVERAGE_COST_WEIGHT * (cost - *average);
     }
 }
--- a/crates/hawthornmill/src/fairness/mod.rs
+++ b/crates/hawthornmill/src/fairness/mod.rs
@@ -4,9 +4,9 @@
 //! Every owner of a pool charges the calls that it grants and exchanges cumulative counters with
 //! the other owners ([`ledger`]), so the next slot goes to the account that has received the least
 //! over the whole fleet, whichever instances its callers use. An instance that starts asks a peer for
-//! the counters ([`standing`]).
+//! the counters ([`counter_sync`]).
 
+pub mod counter_sync;
 pub mod ledger;
-pub mod standing;
 
 pub use ledger::{CostKey, Ledger};
--- a/crates/hawthornmill/src/membership/mod.rs
+++ b/crates/hawthornmill/src/membership/mod.rs
@@ -3,7 +3,7 @@
 //! Three sources speak of an instance: the platform's list (lagging), heartbeats inside the failure
 //! domain and between instances that work together, and reports that relays pass on. An instance is
 //! live while either of the last two is heard; it is leaving as soon as any of the three says so.
-//! [`place`] derives owners, relays and readers from that view; nothing is elected.
+//! [`placement`] derives owners, relays and readers from that view; nothing is elected.
 
 pub mod placement;
 pub mod reports;
--- a/crates/hawthornmill/src/pools/mod.rs
+++ b/crates/hawthornmill/src/pools/mod.rs
@@ -20,7 +20,7 @@
 use std::time::Instant;
 
 use crate::blackboard::Blackboard;
-use crate::fairness::standing;
+use crate::fairness::counter_sync;
 use crate::ident::{Incarnation, InstanceId};
 use crate::membership::placement;
 use crate::wire::message::Message;
@@ -100,8 +100,8 @@
         Message::Sync { pool, last, ready } => {
             entry::on_sync(board, from, incarnation, pool, last, ready);
         }
-        Message::StandingPull => standing::answer(board, from),
-        Message::Standing(told) => standing::take(board, &told),
+        Message::StandingPull => counter_sync::respond(board, from),
+        Message::Standing(told) => counter_sync::apply(board, &told),
         _ => {}
     }
 }
--- a/crates/hawthornmill/src/pools/owner.rs
+++ b/crates/hawthornmill/src/pools/owner.rs
@@ -374,7 +374,7 @@
         board.ledger.charge(key, corrected);
     }
     if cost > 0.0 {
-        board.ledger.observe(key, cost);
+        board.ledger.record_cost(key, cost);
     }
 }
 
--- a/crates/hawthornmill/src/pools/schedule.rs
+++ b/crates/hawthornmill/src/pools/schedule.rs
@@ -73,7 +73,7 @@
             service,
             account: pick.account,
         };
-        let charge = board.ledger.estimate(key, default) / pick.share;
+        let charge = board.ledger.estimated_cost(key, default) / pick.share;
         board.ledger.charge(key, charge);
         let entry = grant(owned, pick.account, server, charge, made);
         push(&mut out, id, entry, owned.seq, pick.account, server);
--- a/crates/hawthornmill/src/pools/tick.rs
+++ b/crates/hawthornmill/src/pools/tick.rs
@@ -5,7 +5,7 @@
 use super::entry;
 use crate::blackboard::Blackboard;
 use crate::events::Event;
-use crate::fairness::standing;
+use crate::fairness::counter_sync;
 use crate::ident::InstanceId;
 use crate::wire::message::{Message, PoolState, ProbeAck};
 
@@ -140,6 +140,6 @@
     let keys: Vec<_> = board.queues.keys().copied().collect();
     board.dirty.extend(keys);
     let mut messages = board.reports.next_round(&board.members);
-    messages.extend(standing::ask(board));
+    messages.extend(counter_sync::next_request(board));
     messages
 }
