--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -54,7 +54,7 @@
         for _ in 0..ahead {
             entry::enqueue(&mut board, arrival, now).expect("there is room");
         }
-        pools::turn(&mut board, now);
+        pools::run_due(&mut board, now);
         group.bench_function(BenchmarkId::from_parameter(ahead), |b| {
             b.iter(|| {
                 let request = entry::enqueue(&mut board, arrival, now).expect("there is room");
@@ -107,12 +107,12 @@
             b.iter_batched(
                 || {
                     let mut board = board(size, 0, now);
-                    pools::turn(&mut board, now);
+                    pools::run_due(&mut board, now);
                     (board, next.clone())
                 },
                 |(mut board, (config, manifest, values))| {
                     board.install(config, manifest, values);
-                    pools::turn(&mut board, now);
+                    pools::run_due(&mut board, now);
                     board
                 },
                 BatchSize::PerIteration,
--- a/crates/hawthornmill-lab/src/slopes/fixture.rs
+++ b/crates/hawthornmill-lab/src/slopes/fixture.rs
@@ -197,9 +197,9 @@
         };
         let start = Instant::now();
         let mut board = board(size, 0, start);
-        pools::turn(&mut board, start);
+        pools::run_due(&mut board, start);
         let now = start + Duration::from_millis(600);
-        board.ticked = now;
+        board.last_tick = now;
         let pool = PoolId::of(ServiceId::of("m0"), DomainId::of("d0"));
         let entries = (0..entries)
             .map(|n| InstanceId::of(&format!("e{n}")))
@@ -292,11 +292,11 @@
             done,
         };
         let message = Message::Demand(demand);
-        pools::receive(&mut self.board, entry, Incarnation(1), message, self.now);
+        pools::handle_message(&mut self.board, entry, Incarnation(1), message, self.now);
         let begin = Instant::now();
-        pools::schedule::run(&mut self.board, self.now);
+        pools::schedule::grant_due(&mut self.board, self.now);
         let decided = begin.elapsed();
-        pools::turn(&mut self.board, self.now);
+        pools::run_due(&mut self.board, self.now);
         for (to, message) in self.board.outbox.drain(..) {
             if let Message::Grants(grants) = message {
                 for grant in grants.grants {
--- a/crates/hawthornmill-lab/src/slopes/measure.rs
+++ b/crates/hawthornmill-lab/src/slopes/measure.rs
@@ -154,12 +154,12 @@
         .and_then(|id| (0..instances).find(|n| InstanceId::of(&format!("i{n}")) == id))
         .unwrap_or(0);
     let mut board = board(size, index, now);
-    pools::turn(&mut board, now);
+    pools::run_due(&mut board, now);
     let mut sum = Rounds::default();
     for round in 1..=ROUNDS {
         let start = Instant::now();
         take_all(&mut board, size, index, costs, round as u32, now);
-        let messages = tick::report(&mut board, now);
+        let messages = tick::build_reports(&mut board, now);
         sum.micros += start.elapsed().as_secs_f64() * 1e6;
         sum.messages += messages.len() as f64;
         let bytes = messages.iter().map(|(_, m)| payload_len(m) + HEADER);
@@ -272,11 +272,11 @@
 fn refresh_time(size: Size) -> f64 {
     let now = Instant::now();
     let mut board = board(size, 0, now);
-    pools::turn(&mut board, now);
+    pools::run_due(&mut board, now);
     least(3, || {
         board.members.changed = true;
         let start = Instant::now();
-        pools::turn(&mut board, now);
+        pools::run_due(&mut board, now);
         micros(start.elapsed(), 1)
     })
 }
@@ -360,7 +360,7 @@
     };
     let mut board = board(size, 0, now);
     hear_all(&mut board, size, now);
-    pools::turn(&mut board, now);
+    pools::run_due(&mut board, now);
     let held = resident();
     drop(board);
     held
--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -173,7 +173,7 @@
         let targets: Vec<(PoolId, ServerId, Box<str>)> = fleet.view(|board| {
             let config = &board.config;
             board
-                .owned
+                .owned_pools
                 .iter()
                 .filter(|(_, o)| o.active)
                 .flat_map(|(pool, o)| o.servers.keys().map(move |s| (*pool, *s)))
@@ -185,8 +185,8 @@
             tokio::spawn(async move {
                 if let Some(load) = fleet.upstream.load(&address).await {
                     fleet.feed(|board, _| {
-                        owner::on_load(board, pool, server, load.running);
-                        owner::on_leaving(board, pool, server, load.leaving);
+                        owner::on_load_reading(board, pool, server, load.running);
+                        owner::on_leaving_reading(board, pool, server, load.leaving);
                     });
                 }
             });
--- a/crates/hawthornmill-net/src/entry/call.rs
+++ b/crates/hawthornmill-net/src/entry/call.rs
@@ -107,7 +107,7 @@
         bytes: length.and_then(|l| l.parse().ok()).unwrap_or(0),
         deadline: admitted.deadline,
     };
-    fleet.view(|board| entry::check_account(board, &arrival))
+    fleet.view(|board| entry::check_account_limits(board, &arrival))
 }
 
 fn prepare(
--- a/crates/hawthornmill-net/src/entry/keyed.rs
+++ b/crates/hawthornmill-net/src/entry/keyed.rs
@@ -182,9 +182,11 @@
 fn undatable(fleet: &Fleet) -> bool {
     fleet.feed(|board, now| {
         // The first handler after a pause may run before the next tick.
-        tick::notice_pause(board, now);
-        let woke = board.woke.is_some_and(|at| now.duration_since(at) < SETTLE);
-        woke || board.stale.is_some()
+        tick::detect_pause(board, now);
+        let woke = board
+            .resumed_at
+            .is_some_and(|at| now.duration_since(at) < SETTLE);
+        woke || board.stale_since.is_some()
     })
 }
 
--- a/crates/hawthornmill-net/src/entry/status.rs
+++ b/crates/hawthornmill-net/src/entry/status.rs
@@ -27,10 +27,10 @@
             "incarnation": fleet.incarnation.0,
             "revision": board.config.revision,
             "digest": digest(&board.manifest),
-            "stale": board.stale.is_some(),
+            "stale": board.stale_since.is_some(),
             "leaving": board.members.own().leaving,
             "waiting": board.waiting.len(),
-            "call_bytes_far": board.crossing.bytes,
+            "call_bytes_far": board.cross_region.total_bytes,
             "members": members(board),
             "pools": pools(fleet, board),
         })
@@ -82,16 +82,16 @@
         .pools
         .iter()
         .map(|(id, pool)| {
-            let owner = board.links.get(id).and_then(|l| l.owner);
-            let mine = board.owned.get(id).filter(|o| o.active);
+            let owner = board.sessions.get(id).and_then(|l| l.owner);
+            let mine = board.owned_pools.get(id).filter(|o| o.active);
             serde_json::json!({
                 "service": board.config.services[&pool.service].name,
                 "domain": board.config.domain_names.get(&pool.domain),
                 "owner": owner.and_then(|(o, _)| board.members.map.get(&o)).map(|m| m.contact.name.clone()),
                 "mine": mine.is_some(),
-                "held_here": board.links.get(id).map(|l| l.held.len()),
+                "held_here": board.sessions.get(id).map(|l| l.held.len()),
                 "granted": mine.map(|o| o.held.len()),
-                "idle": mine.map(|o| o.idle(now)),
+                "idle": mine.map(|o| o.idle_slots(now)),
             })
         })
         .collect()
--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -12,7 +12,7 @@
 use hawthornmill::ident::{Incarnation, InstanceId, PoolId, ServerId};
 use hawthornmill::limits::retry::Retries;
 use hawthornmill::membership::startup;
-use hawthornmill::pools::{self, entry, regions, tick};
+use hawthornmill::pools::{self, cross_region, entry, tick};
 use hawthornmill::wire::message::{GrantId, Message};
 use smallvec::SmallVec;
 use tokio::sync::{Notify, oneshot};
@@ -137,18 +137,18 @@
         let now = self.clock.now();
         let mut core = self.lock();
         // After a pause, a message may be taken before the next tick.
-        tick::notice_pause(&mut core.board, now);
+        tick::detect_pause(&mut core.board, now);
         let result = event(&mut core.board, now);
         self.run(&mut core, now);
         result
     }
 
     fn run(&self, core: &mut Core, now: Instant) {
-        pools::turn(&mut core.board, now);
+        pools::run_due(&mut core.board, now);
         // A dispatch whose caller is gone gives its slot back, which may lead to another.
         while !core.board.dispatches.is_empty() || !core.board.refusals.is_empty() {
             hand_out(core, now);
-            pools::turn(&mut core.board, now);
+            pools::run_due(&mut core.board, now);
         }
         for event in std::mem::take(&mut core.board.events) {
             log_event(&core.board, event);
@@ -191,7 +191,7 @@
     ) -> Result<Ticket, Code> {
         let now = self.clock.now();
         let mut core = self.lock();
-        tick::notice_pause(&mut core.board, now);
+        tick::detect_pause(&mut core.board, now);
         let key = put(&mut core.board, now)?;
         let (sender, receiver) = oneshot::channel();
         core.waiters.insert(key, sender);
@@ -206,7 +206,7 @@
 
     /// Takes a message from a peer.
     pub fn receive(&self, from: InstanceId, incarnation: Incarnation, message: Message) {
-        self.feed(|board, now| pools::receive(board, from, incarnation, message, now));
+        self.feed(|board, now| pools::handle_message(board, from, incarnation, message, now));
     }
 
     /// Finds out whether enough is known to serve; once that is so, it stays so.
@@ -397,7 +397,7 @@
         let (pool, grant) = self.place();
         let (cost, failed, bytes) = (self.cost, self.failed, self.bytes);
         self.fleet.feed(|board, now| {
-            regions::spend(board, pool, bytes);
+            cross_region::spend(board, pool, bytes);
             entry::finish(board, pool, grant, cost, failed, now);
         });
     }
--- a/crates/hawthornmill-net/src/peers/tcp.rs
+++ b/crates/hawthornmill-net/src/peers/tcp.rs
@@ -86,17 +86,17 @@
     loop {
         if let Some((reader, writer, nonce)) = connect(&fleet, to).await {
             wait = FIRST_WAIT;
-            fleet.feed(|board, _| entry::on_link(board, to));
+            fleet.feed(|board, _| entry::on_reconnected(board, to));
             write(&fleet, to, &mut queue, reader, writer, nonce).await;
         }
         fleet.feed(|board, now| {
-            board.broken.insert(to);
+            board.broken_peers.insert(to);
             board.members.suspect(to, now, DOUBT);
         });
         while queue.try_recv().is_ok() {}
         if !fleet.view(|board| board.members.map.contains_key(&to)) {
             fleet.outgoing.close(to);
-            fleet.feed(|board, _| board.broken.remove(&to));
+            fleet.feed(|board, _| board.broken_peers.remove(&to));
             return;
         }
         let jitter = wait.mul_f64(rand::random_range(0.5..1.0));
--- a/crates/hawthornmill-net/src/peers/udp.rs
+++ b/crates/hawthornmill-net/src/peers/udp.rs
@@ -8,7 +8,7 @@
 use hawthornmill::blackboard::Blackboard;
 use hawthornmill::ident::InstanceId;
 use hawthornmill::membership::heartbeat_interval;
-use hawthornmill::pools::beat_targets;
+use hawthornmill::pools::heartbeat_targets;
 use hawthornmill::wire::frame::DATAGRAM_LIMIT;
 use hawthornmill::wire::{Heartbeat, Message, Opener, Sealer};
 use tokio::net::UdpSocket;
@@ -120,7 +120,7 @@
 fn beat_all(fleet: &Fleet, partners: &mut Partners, count: u64) -> Duration {
     let now = fleet.clock.now();
     let platform = fleet.platform.is_answered(now);
-    let needed = fleet.view(|board| beat_targets(board, count as u32));
+    let needed = fleet.view(|board| heartbeat_targets(board, count as u32));
     for id in needed {
         let fresh = Partner {
             needed: now,
@@ -170,7 +170,7 @@
     let mut timer = tokio::time::interval(fleet.settings.tuning.report);
     loop {
         timer.tick().await;
-        let messages = fleet.feed(hawthornmill::pools::tick::report);
+        let messages = fleet.feed(hawthornmill::pools::tick::build_reports);
         for (to, message) in messages {
             fleet.outgoing.send(to, message);
         }
--- a/crates/hawthornmill-net/src/telemetry/gauges.rs
+++ b/crates/hawthornmill-net/src/telemetry/gauges.rs
@@ -20,7 +20,7 @@
         o.observe(f.flying.load(Ordering::Relaxed) as u64, &[]);
     });
     gauge(fleet, "stale", |f, o| {
-        o.observe(f.view(|b| u64::from(b.stale.is_some())), &[]);
+        o.observe(f.view(|b| u64::from(b.stale_since.is_some())), &[]);
     });
     gauge(fleet, "members_live", |f, o| {
         o.observe(f.view(|b| b.members.live().count() as u64), &[]);
@@ -89,7 +89,7 @@
 fn slots(fleet: &Fleet, observer: Observer<'_>, idle: bool) {
     let now = fleet.clock.now();
     fleet.view(|board| {
-        for (id, owned) in board.owned.iter().filter(|(_, o)| o.active) {
+        for (id, owned) in board.owned_pools.iter().filter(|(_, o)| o.active) {
             let Some(pool) = board.config.pools.get(id) else {
                 continue;
             };
@@ -103,7 +103,7 @@
                 ),
             ];
             let count = if idle {
-                u64::from(owned.idle(now))
+                u64::from(owned.idle_slots(now))
             } else {
                 owned.held.len() as u64
             };
--- a/crates/hawthornmill-test-support/src/steps.rs
+++ b/crates/hawthornmill-test-support/src/steps.rs
@@ -179,7 +179,7 @@
             bytes: 100,
             deadline: now + Duration::from_millis(deadline),
         };
-        tick::notice_pause(&mut self.boards[entry], now);
+        tick::detect_pause(&mut self.boards[entry], now);
         let key = entry::enqueue(&mut self.boards[entry], arrival, now)?;
         let asked = Asked {
             account,
@@ -232,7 +232,7 @@
         let gone = self.boards[index].me();
         for (other, board) in self.boards.iter_mut().enumerate() {
             if other != index {
-                board.broken.insert(gone);
+                board.broken_peers.insert(gone);
             }
         }
     }
@@ -289,7 +289,7 @@
     fn take(&mut self, from: usize, target: usize, message: Message, now: Instant) {
         let (sender, run) = (self.boards[from].me(), self.boards[from].incarnation);
         let board = &mut self.boards[target];
-        tick::notice_pause(board, now);
+        tick::detect_pause(board, now);
         match message {
             Message::Reports(reports) => {
                 for report in reports {
@@ -310,10 +310,10 @@
             }
             Message::ProbeAck(ack) => tick::on_probe_ack(board, ack, now),
             message => {
-                if board.broken.contains(&sender) {
-                    entry::on_link(board, sender);
+                if board.broken_peers.contains(&sender) {
+                    entry::on_reconnected(board, sender);
                 }
-                pools::receive(board, sender, run, message, now);
+                pools::handle_message(board, sender, run, message, now);
             }
         }
     }
@@ -328,7 +328,7 @@
             *self.received.entry(run.account).or_default() += run.cost as f64;
             let (pool, grant) = (run.dispatch.pool, run.dispatch.grant);
             let board = &mut self.boards[run.entry];
-            tick::notice_pause(board, now);
+            tick::detect_pause(board, now);
             entry::finish(board, pool, grant, run.cost as f64, false, now);
         }
     }
@@ -339,16 +339,16 @@
             self.beat(index);
         }
         let board = &mut self.boards[index];
-        tick::notice_pause(board, now);
+        tick::detect_pause(board, now);
         if self.now.is_multiple_of(TICK) {
             tick::tick(board, now);
         }
         let every = board.tuning.report.as_millis() as u64;
         if self.now % every == index as u64 % every {
-            let messages = tick::report(board, now);
+            let messages = tick::build_reports(board, now);
             board.outbox.extend(messages);
         }
-        pools::turn(board, now);
+        pools::run_due(board, now);
         self.hand_out(index);
         let out = std::mem::take(&mut self.boards[index].outbox);
         for (to, message) in out {
@@ -397,8 +397,8 @@
             if other != index && self.runs_now(other) && !self.cut.contains(&(index, other)) {
                 let board = &mut self.boards[other];
                 board.members.record_liveness(sign, now);
-                if board.broken.contains(&sign.from) {
-                    entry::on_link(board, sign.from);
+                if board.broken_peers.contains(&sign.from) {
+                    entry::on_reconnected(board, sign.from);
                 }
             }
         }
@@ -433,7 +433,7 @@
             for (id, pool) in &pools {
                 for server in &pool.servers {
                     let count = late.get(server).copied().unwrap_or(0);
-                    owner::on_load(board, *id, *server, count);
+                    owner::on_load_reading(board, *id, *server, count);
                 }
             }
         }
--- a/crates/hawthornmill/src/blackboard.rs
+++ b/crates/hawthornmill/src/blackboard.rs
@@ -1,6 +1,6 @@
 //! The blackboard that controllers read and write.
 //!
-//! Adapters feed events in through the controllers' functions, call [`crate::pools::turn()`], and drain
+//! Adapters feed events in through the controllers' functions, call [`crate::pools::run_due()`], and drain
 //! what the turn left: messages for peers, dispatches of waiting requests, refusals. Nothing on the
 //! board blocks, and nothing in it reads a clock.
 
@@ -19,9 +19,9 @@
 use crate::limits::backlog::Backlogs;
 use crate::limits::queue_rate::QueueRate;
 use crate::membership::{Members, reports::Reports, roster::Roster, startup::Startup};
-use crate::pools::entry::Link;
-use crate::pools::owner::Owned;
-use crate::pools::regions::Crossing;
+use crate::pools::cross_region::CrossRegionBudget;
+use crate::pools::entry::OwnerSession;
+use crate::pools::owner::OwnedPool;
 use crate::wire::message::{Contact, GrantId, Message};
 
 slotmap::new_key_type! {
@@ -150,27 +150,27 @@
     /// How much waits, by account.
     pub backlogs: Backlogs,
     /// How fast each queue is served.
-    pub paces: BTreeMap<(ServiceId, AccountId), QueueRate>,
+    pub queue_rates: BTreeMap<(ServiceId, AccountId), QueueRate>,
     /// Order of waiting requests.
     pub queues: BTreeMap<(ServiceId, AccountId), VecDeque<RequestKey>>,
     /// Queues that changed since their demand was last told.
-    pub dirty: BTreeSet<(ServiceId, AccountId)>,
+    pub dirty_queues: BTreeSet<(ServiceId, AccountId)>,
     /// Dealings of this entry with the owner of each pool.
-    pub links: BTreeMap<PoolId, Link>,
+    pub sessions: BTreeMap<PoolId, OwnerSession>,
     /// Pools for which other entries or this one have sent demand here.
-    pub owned: BTreeMap<PoolId, Owned>,
+    pub owned_pools: BTreeMap<PoolId, OwnedPool>,
     /// Servers whose answers said that they are leaving, and when.
-    pub said_leaving: BTreeMap<ServerId, Instant>,
+    pub leaving_servers: BTreeMap<ServerId, Instant>,
     /// Connections to these instances broke and have not been renewed.
-    pub broken: BTreeSet<InstanceId>,
+    pub broken_peers: BTreeSet<InstanceId>,
     /// A pause made this instance's view old; nothing is dispatched until it is confirmed.
-    pub stale: Option<Instant>,
+    pub stale_since: Option<Instant>,
     /// When the last pause was noticed.
-    pub woke: Option<Instant>,
+    pub resumed_at: Option<Instant>,
     /// Numbers of the pause, to tell confirmations apart.
-    pub pauses: u64,
+    pub pause_count: u64,
     /// Revision that a peer named after the pause; the view is old until it is in force.
-    pub awaited: Option<u64>,
+    pub awaited_revision: Option<u64>,
     /// Messages that wait to be sent.
     pub outbox: Vec<(InstanceId, Message)>,
     /// Requests that may go to a server.
@@ -180,20 +180,20 @@
     /// Requests that are given up.
     pub refusals: Vec<(RequestKey, Code)>,
     /// Bytes of calls that may still cross to other regions.
-    pub crossing: Crossing,
+    pub cross_region: CrossRegionBudget,
     /// Last tick.
-    pub ticked: Instant,
+    pub last_tick: Instant,
     /// When owners must be worked out anew although nothing changed.
-    pub replace: Option<Instant>,
+    pub reassign_at: Option<Instant>,
     /// Revision whose servers and slots the owned pools have.
-    pub sized: u64,
+    pub sized_revision: u64,
 }
 
 impl Blackboard {
     /// An empty board for one process run.
     pub fn new(contact: Contact, incarnation: Incarnation, tuning: Tuning, now: Instant) -> Self {
         let me = InstanceId::of(&contact.name);
-        let crossing = Crossing::new(tuning.cross_bytes, now);
+        let cross_region = CrossRegionBudget::new(tuning.cross_bytes, now);
         let ledger = match tuning.policy {
             Policy::Pooled => Ledger::default(),
             Policy::Static => Ledger::local_only(),
@@ -213,25 +213,25 @@
             counter_requests: 0,
             waiting: SlotMap::with_key(),
             backlogs: Backlogs::default(),
-            paces: BTreeMap::new(),
+            queue_rates: BTreeMap::new(),
             queues: BTreeMap::new(),
-            dirty: BTreeSet::new(),
-            links: BTreeMap::new(),
-            owned: BTreeMap::new(),
-            said_leaving: BTreeMap::new(),
-            broken: BTreeSet::new(),
-            stale: None,
-            woke: None,
-            pauses: 0,
-            awaited: None,
+            dirty_queues: BTreeSet::new(),
+            sessions: BTreeMap::new(),
+            owned_pools: BTreeMap::new(),
+            leaving_servers: BTreeMap::new(),
+            broken_peers: BTreeSet::new(),
+            stale_since: None,
+            resumed_at: None,
+            pause_count: 0,
+            awaited_revision: None,
             outbox: Vec::new(),
             dispatches: Vec::new(),
             events: Vec::new(),
             refusals: Vec::new(),
-            crossing,
-            ticked: now,
-            replace: None,
-            sized: 0,
+            cross_region,
+            last_tick: now,
+            reassign_at: None,
+            sized_revision: 0,
         }
     }
 
@@ -248,20 +248,20 @@
         let known = |(service, account): &(ServiceId, AccountId)| {
             config.services.contains_key(service) && config.accounts.contains_key(account)
         };
-        self.paces.retain(|key, _| known(key));
+        self.queue_rates.retain(|key, _| known(key));
         self.config = Arc::new(config);
         self.manifest = manifest;
         self.values = Arc::new(values);
         self.members.changed = true;
         let keys: Vec<_> = self.queues.keys().copied().collect();
-        self.dirty.extend(keys);
+        self.dirty_queues.extend(keys);
         true
     }
 
     /// Tells whether nothing may be expected of `owner` now, so that held slots are kept.
-    pub fn silent(&self, owner: InstanceId) -> bool {
+    pub fn is_unreachable(&self, owner: InstanceId) -> bool {
         owner != self.me()
-            && (self.broken.contains(&owner)
+            && (self.broken_peers.contains(&owner)
                 || !self.members.map.get(&owner).is_some_and(|m| m.live))
     }
 }
--- a/crates/hawthornmill/src/pools/regions.rs
+++ b/crates/hawthornmill/src/pools/cross_region.rs
@@ -19,52 +19,52 @@
 /// hundred milliseconds old; a smaller margin would send calls across for noise.
 const MARGIN_ROUNDS: f64 = 2.0;
 /// Part of the allowance that is left to accounts that have no server at home.
-const RESERVE: f64 = 0.5;
+const RESERVED_SHARE: f64 = 0.5;
 
 /// Pools to ask.
 type Pools = SmallVec<[PoolId; 4]>;
 
 /// Bytes of calls that this entry may still send to other regions.
 #[derive(Debug, Clone, Copy)]
-pub struct Crossing {
-    left: f64,
+pub struct CrossRegionBudget {
+    available: f64,
     filled: Instant,
     /// Bytes of calls that crossed since the start, requests and answers.
-    pub bytes: u64,
+    pub total_bytes: u64,
 }
 
-impl Crossing {
+impl CrossRegionBudget {
     /// The full allowance of one second.
     pub fn new(rate: f64, now: Instant) -> Self {
         Self {
-            left: rate,
+            available: rate,
             filled: now,
-            bytes: 0,
+            total_bytes: 0,
         }
     }
 
     /// Adds what the time since the last call allows; at most what a second allows is saved up.
     pub fn refill(&mut self, rate: f64, now: Instant) {
         let time = now.duration_since(self.filled).as_secs_f64();
-        self.left = (self.left + rate * time).min(rate);
+        self.available = (self.available + rate * time).min(rate);
         self.filled = now;
     }
 
     /// Takes bytes that cross; a debt is paid off before anything more may cross.
     fn spend(&mut self, bytes: usize) {
-        self.left -= bytes as f64;
-        self.bytes += bytes as u64;
+        self.available -= bytes as f64;
+        self.total_bytes += bytes as u64;
     }
 }
 
 /// Counts bytes of a call that runs in `pool`, if they cross to another region.
 pub fn spend(board: &mut Blackboard, pool: PoolId, bytes: usize) {
-    if is_away(board, pool) {
-        board.crossing.spend(bytes);
+    if is_remote(board, pool) {
+        board.cross_region.spend(bytes);
     }
 }
 
-fn is_away(board: &Blackboard, pool: PoolId) -> bool {
+fn is_remote(board: &Blackboard, pool: PoolId) -> bool {
     let home = board.members.own().region;
     board
         .config
@@ -74,7 +74,7 @@
 }
 
 /// The pools to ask for `account`.
-pub fn choose(
+pub fn select_pools(
     board: &Blackboard,
     service: ServiceId,
     account: AccountId,
@@ -84,26 +84,26 @@
         .iter()
         .copied()
         .filter(|p| board.config.pool_open(account, *p));
-    let (home, away): (Pools, Pools) = open.partition(|p| !is_away(board, *p));
+    let (home, away): (Pools, Pools) = open.partition(|p| !is_remote(board, *p));
     if board.tuning.policy == Policy::Static {
         return home.into_iter().chain(away).collect();
     }
     let allowance = board.tuning.cross_bytes;
     if home.is_empty() {
-        return if board.crossing.left > 0.0 {
+        return if board.cross_region.available > 0.0 {
             away
         } else {
             home
         };
     }
-    if board.crossing.left <= RESERVE * allowance {
+    if board.cross_region.available <= RESERVED_SHARE * allowance {
         return home;
     }
-    let idle = |p: &PoolId| state(board, *p).is_some_and(|s| s.idle > 0);
+    let idle = |p: &PoolId| pool_state(board, *p).is_some_and(|s| s.idle > 0);
     let idle_home = home.iter().any(idle);
     let wanted = away
         .into_iter()
-        .filter(|p| (!idle_home && idle(p)) || lags(board, service, account, *p));
+        .filter(|p| (!idle_home && idle(p)) || is_behind(board, service, account, *p));
     home.iter().copied().chain(wanted).collect()
 }
 
@@ -111,8 +111,8 @@
 ///
 /// Callers of one region may all be confined to a few servers there. Without this an account would
 /// get the share of its region, not of the fleet.
-fn lags(board: &Blackboard, service: ServiceId, account: AccountId, pool: PoolId) -> bool {
-    let Some(state) = state(board, pool) else {
+fn is_behind(board: &Blackboard, service: ServiceId, account: AccountId, pool: PoolId) -> bool {
+    let Some(state) = pool_state(board, pool) else {
         return false;
     };
     let config = &board.config;
@@ -126,7 +126,7 @@
     state.level > total + margin
 }
 
-fn state(board: &Blackboard, pool: PoolId) -> Option<PoolState> {
-    let (owner, _) = board.links.get(&pool)?.owner?;
+fn pool_state(board: &Blackboard, pool: PoolId) -> Option<PoolState> {
+    let (owner, _) = board.sessions.get(&pool)?.owner?;
     board.reports.pool_state(pool, owner)
 }
--- a/crates/hawthornmill/src/pools/entry.rs
+++ b/crates/hawthornmill/src/pools/entry.rs
@@ -6,11 +6,13 @@
 
 use smallvec::SmallVec;
 
-use super::kept::{charge_own, keep, note_late, reuse};
+use super::cross_region;
 use super::owner::maker;
 use super::queue;
-pub use super::queue::{Arrival, cancel, check_account, enqueue, expire, requeue, retry_after};
-use super::regions;
+pub use super::queue::{
+    Arrival, cancel, check_account_limits, enqueue, expire, requeue, retry_after,
+};
+use super::retained::{charge_locally, record_late_cost, retain_slot, reuse};
 use crate::blackboard::{Blackboard, Dispatch};
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId, ServiceId};
 use crate::wire::message::{Demand, Done, Grant, GrantId, Grants, Held, Holding, Message, Want};
@@ -19,9 +21,9 @@
 ///
 /// More would only cost messages: a grant raises the want again, and an owner seldom frees more
 /// slots at once.
-pub const WANT_CAP: usize = 16;
+pub const MAX_WANT: usize = 16;
 /// Time for which a server's word that it leaves holds at an entry; the owner reads its load anew.
-const SAID_LEAVING: Duration = Duration::from_secs(5);
+const LEAVING_VALIDITY: Duration = Duration::from_secs(5);
 
 /// A slot that this entry holds.
 #[derive(Debug, Clone, Copy)]
@@ -35,7 +37,7 @@
     /// It was reused without a grant, so nobody has charged it yet.
     pub reused: bool,
     /// Since when its present request has it.
-    pub since: Instant,
+    pub started: Instant,
 }
 
 /// Up to which number the grants of one owner run have arrived or never will.
@@ -54,7 +56,7 @@
 
 /// Dealings with the owner of one pool.
 #[derive(Debug, Clone, Default)]
-pub struct Link {
+pub struct OwnerSession {
     /// Owner and its process run.
     pub owner: Option<(InstanceId, Incarnation)>,
     /// Number of the last grant of each recent owner run that arrived or is known to be lost.
@@ -63,36 +65,36 @@
     /// take every grant above a forgotten number for one in flight, whose slot stays taken for good.
     pub acks: SmallVec<[Ack; RECENT_OWNERS]>,
     /// Grants received per account from this owner.
-    pub received: BTreeMap<AccountId, u32>,
+    pub grants_received: BTreeMap<AccountId, u32>,
     /// Wants as last told.
-    pub told: BTreeMap<AccountId, u32>,
+    pub reported_wants: BTreeMap<AccountId, u32>,
     /// Slots to give back.
-    pub done: SmallVec<[Done; 2]>,
+    pub released: SmallVec<[Done; 2]>,
     /// Costs of calls that ended in kept slots while the owner was silent.
-    pub late: Vec<Done>,
+    pub late_costs: Vec<Done>,
     /// Wants to tell.
-    pub wants: SmallVec<[Want; 2]>,
+    pub pending_wants: SmallVec<[Want; 2]>,
     /// Slots held.
     pub held: BTreeMap<GrantId, Slot>,
     /// The owner must be told everything.
     pub resync: bool,
     /// The owner is known to grant; until then slots that come free are kept.
-    pub settled: bool,
+    pub owner_ready: bool,
 }
 
-impl Link {
+impl OwnerSession {
     /// Turns to a new owner, or a new run of the same one.
-    pub fn turn_to(&mut self, owner: InstanceId, run: Incarnation) {
+    pub fn switch_owner(&mut self, owner: InstanceId, run: Incarnation) {
         self.owner = Some((owner, run));
-        self.received.clear();
-        self.told.clear();
-        self.wants.clear();
-        self.done.clear();
+        self.grants_received.clear();
+        self.reported_wants.clear();
+        self.pending_wants.clear();
+        self.released.clear();
         // The estimates that the earlier owner charged for these stand in its counters.
-        self.late.clear();
+        self.late_costs.clear();
         self.held.retain(|_, slot| slot.busy);
         self.resync = true;
-        self.settled = false;
+        self.owner_ready = false;
     }
 
     /// Notes that grants of `owner` up to `seq` have arrived or never will.
@@ -134,21 +136,21 @@
             maker: maker(incarnation),
             seq: grant.seq,
         };
-        if !accept(board, from, incarnation, grants.pool, grant, now) {
-            give_back_to(board, from, grants.pool, id);
+        if !accept_grant(board, from, incarnation, grants.pool, grant, now) {
+            return_unused(board, from, grants.pool, id);
             continue;
         }
         // An old view must not start anything: a process that was paused may hold grants that
         // the owner has long given to others.
-        if board.stale.is_some() || !assign(board, grants.pool, id, now) {
+        if board.stale_since.is_some() || !assign_slot(board, grants.pool, id, now) {
             // An owner that has not heard yet that the server leaves would grant it over and over.
-            let leaving = takes_no_work(board, grant.server, now);
-            give_back(board, grants.pool, id, 0.0, leaving);
+            let leaving = is_leaving(board, grant.server, now);
+            return_slot(board, grants.pool, id, 0.0, leaving);
         }
     }
 }
 
-fn accept(
+fn accept_grant(
     board: &mut Blackboard,
     from: InstanceId,
     incarnation: Incarnation,
@@ -156,15 +158,15 @@
     grant: &Grant,
     now: Instant,
 ) -> bool {
-    let Some(link) = board.links.get_mut(&pool) else {
+    let Some(link) = board.sessions.get_mut(&pool) else {
         return false;
     };
     link.acknowledge(from, incarnation, grant.seq);
     if link.owner != Some((from, incarnation)) {
         return false;
     }
-    link.settled = true;
-    *link.received.entry(grant.account).or_default() += 1;
+    link.owner_ready = true;
+    *link.grants_received.entry(grant.account).or_default() += 1;
     let id = GrantId {
         maker: maker(incarnation),
         seq: grant.seq,
@@ -174,16 +176,21 @@
         server: grant.server,
         busy: false,
         reused: false,
-        since: now,
+        started: now,
     };
     link.held.insert(id, slot);
     true
 }
 
 /// Gives an idle held slot to the oldest fitting request of its account.
-pub(super) fn assign(board: &mut Blackboard, pool: PoolId, grant: GrantId, now: Instant) -> bool {
+pub(super) fn assign_slot(
+    board: &mut Blackboard,
+    pool: PoolId,
+    grant: GrantId,
+    now: Instant,
+) -> bool {
     let config = Arc::clone(&board.config);
-    let Some(slot) = board.links.get(&pool).and_then(|l| l.held.get(&grant)) else {
+    let Some(slot) = board.sessions.get(&pool).and_then(|l| l.held.get(&grant)) else {
         return false;
     };
     let (account, server) = (slot.account, slot.server);
@@ -193,25 +200,25 @@
     let Some(share) = config.share(account, server) else {
         return false;
     };
-    if takes_no_work(board, server, now) {
+    if is_leaving(board, server, now) {
         return false;
     }
-    let Some(request) = queue::next(board, known.service, account, server, now) else {
+    let Some(request) = queue::next_request(board, known.service, account, server, now) else {
         return false;
     };
     let Some(waiting) = cancel(board, request) else {
         return false;
     };
-    let Some(link) = board.links.get_mut(&pool) else {
+    let Some(link) = board.sessions.get_mut(&pool) else {
         return false;
     };
     if let Some(slot) = link.held.get_mut(&grant) {
         slot.busy = true;
-        slot.since = now;
+        slot.started = now;
     }
     let owner = link.owner.map_or(board.members.me, |(id, _)| id);
-    regions::spend(board, pool, waiting.bytes);
-    queue::note_served(board, known.service, account, now);
+    cross_region::spend(board, pool, waiting.bytes);
+    queue::record_dispatch(board, known.service, account, now);
     board.dispatches.push(Dispatch {
         request,
         pool,
@@ -225,18 +232,18 @@
 }
 
 /// Tells whether the configuration or the server itself says that it is leaving.
-fn takes_no_work(board: &Blackboard, server: ServerId, now: Instant) -> bool {
+fn is_leaving(board: &Blackboard, server: ServerId, now: Instant) -> bool {
     let listed = board.config.servers.get(&server).is_some_and(|s| s.leaving);
-    let said = board.said_leaving.get(&server);
-    listed || said.is_some_and(|at| now.duration_since(*at) < SAID_LEAVING)
+    let said = board.leaving_servers.get(&server);
+    listed || said.is_some_and(|at| now.duration_since(*at) < LEAVING_VALIDITY)
 }
 
 /// An answer of `server` said that it is leaving.
 pub fn on_server_leaving(board: &mut Blackboard, server: ServerId, now: Instant) {
-    board.said_leaving.insert(server, now);
+    board.leaving_servers.insert(server, now);
     board
-        .said_leaving
-        .retain(|_, at| now.duration_since(*at) < SAID_LEAVING);
+        .leaving_servers
+        .retain(|_, at| now.duration_since(*at) < LEAVING_VALIDITY);
 }
 
 /// A request has left its slot: the slot goes back, or is kept while the owner is silent.
@@ -248,7 +255,7 @@
     failed: bool,
     now: Instant,
 ) {
-    let Some(link) = board.links.get(&pool) else {
+    let Some(link) = board.sessions.get(&pool) else {
         return;
     };
     let Some((owner, _)) = link.owner else {
@@ -257,34 +264,34 @@
     let Some(slot) = link.held.get(&grant).copied() else {
         return;
     };
-    let settled = link.settled;
+    let settled = link.owner_ready;
     if let Some(server) = board.config.servers.get(&slot.server)
         && cost > 0.0
         && !failed
     {
-        let time = now.duration_since(slot.since);
-        queue::note_held(board, server.service, slot.account, time);
+        let time = now.duration_since(slot.started);
+        queue::record_holding_time(board, server.service, slot.account, time);
     }
     // A new owner that still collects what entries hold grants nothing, so a slot that was handed
     // back to it would idle as with a silent one.
-    let silent = board.silent(owner) || !settled;
+    let silent = board.is_unreachable(owner) || !settled;
     if slot.reused {
-        charge_own(board, slot, cost);
+        charge_locally(board, slot, cost);
     }
     let told = if slot.reused { 0.0 } else { cost };
     if silent && !failed {
-        note_late(board, pool, grant, told);
-        keep(board, pool, grant, now);
+        record_late_cost(board, pool, grant, told);
+        retain_slot(board, pool, grant, now);
         return;
     }
-    give_back(board, pool, grant, told, failed);
+    return_slot(board, pool, grant, told, failed);
 }
 
-fn give_back(board: &mut Blackboard, pool: PoolId, grant: GrantId, cost: f64, failed: bool) {
-    if let Some(link) = board.links.get_mut(&pool)
+fn return_slot(board: &mut Blackboard, pool: PoolId, grant: GrantId, cost: f64, failed: bool) {
+    if let Some(link) = board.sessions.get_mut(&pool)
         && link.held.remove(&grant).is_some()
     {
-        link.done.push(Done {
+        link.released.push(Done {
             grant,
             cost: cost as f32,
             failed,
@@ -292,7 +299,7 @@
     }
 }
 
-fn give_back_to(board: &mut Blackboard, owner: InstanceId, pool: PoolId, grant: GrantId) {
+fn return_unused(board: &mut Blackboard, owner: InstanceId, pool: PoolId, grant: GrantId) {
     let done = Done {
         grant,
         cost: 0.0,
@@ -315,33 +322,33 @@
     last: u32,
     ready: bool,
 ) {
-    if let Some(link) = board.links.get_mut(&pool)
+    if let Some(link) = board.sessions.get_mut(&pool)
         && link.owner == Some((from, incarnation))
     {
         link.acknowledge(from, incarnation, last);
-        link.settled |= ready;
+        link.owner_ready |= ready;
         link.resync = true;
     }
 }
 
 /// The connection to `peer` was renewed: say everything again.
-pub fn on_link(board: &mut Blackboard, peer: InstanceId) {
-    board.broken.remove(&peer);
+pub fn on_reconnected(board: &mut Blackboard, peer: InstanceId) {
+    board.broken_peers.remove(&peer);
     resync(board, peer);
 }
 
 /// Says everything again to `peer` as an owner, and asks it to do the same as an entry.
 pub fn resync(board: &mut Blackboard, peer: InstanceId) {
-    for link in board.links.values_mut() {
+    for link in board.sessions.values_mut() {
         if link.owner.is_some_and(|(o, _)| o == peer) {
             link.resync = true;
         }
     }
-    let owned = board.owned.iter().filter(|(_, o)| o.active);
+    let owned = board.owned_pools.iter().filter(|(_, o)| o.active);
     let syncs: Vec<Message> = owned
         .map(|(pool, o)| Message::Sync {
             pool: *pool,
-            last: o.last.get(&peer).copied().unwrap_or(0),
+            last: o.last_grants.get(&peer).copied().unwrap_or(0),
             ready: o.announced,
         })
         .collect();
@@ -349,23 +356,23 @@
 }
 
 /// Tells owners what changed since they were last told.
-pub fn tell(board: &mut Blackboard, now: Instant) {
-    let dirty = std::mem::take(&mut board.dirty);
+pub fn notify_owners(board: &mut Blackboard, now: Instant) {
+    let dirty = std::mem::take(&mut board.dirty_queues);
     for (service, account) in dirty {
         update_wants(board, service, account);
     }
     let me = board.me();
     let pools: Vec<PoolId> = board
-        .links
+        .sessions
         .iter()
-        .filter(|(_, l)| l.resync || !l.done.is_empty() || !l.wants.is_empty())
+        .filter(|(_, l)| l.resync || !l.released.is_empty() || !l.pending_wants.is_empty())
         .map(|(id, _)| *id)
         .collect();
     for pool in pools {
-        let Some(owner) = board.links.get(&pool).and_then(|l| l.owner) else {
+        let Some(owner) = board.sessions.get(&pool).and_then(|l| l.owner) else {
             continue;
         };
-        if owner.0 != me && board.broken.contains(&owner.0) {
+        if owner.0 != me && board.broken_peers.contains(&owner.0) {
             continue;
         }
         let message = message_for(board, pool, owner.1, now);
@@ -374,12 +381,12 @@
 }
 
 fn message_for(board: &mut Blackboard, pool: PoolId, run: Incarnation, now: Instant) -> Message {
-    let link = board.links.entry(pool).or_default();
+    let link = board.sessions.entry(pool).or_default();
     if !link.resync {
         return Message::Demand(Demand {
             pool,
-            wants: std::mem::take(&mut link.wants),
-            done: std::mem::take(&mut link.done),
+            wants: std::mem::take(&mut link.pending_wants),
+            done: std::mem::take(&mut link.released),
         });
     }
     link.resync = false;
@@ -392,16 +399,16 @@
         .collect();
     for grant in kept {
         if !reuse(board, pool, grant, now)
-            && let Some(link) = board.links.get_mut(&pool)
+            && let Some(link) = board.sessions.get_mut(&pool)
         {
             link.held.remove(&grant);
         }
     }
-    holding(board, pool, run)
+    holding_message(board, pool, run)
 }
 
-fn holding(board: &mut Blackboard, pool: PoolId, run: Incarnation) -> Message {
-    let link = board.links.entry(pool).or_default();
+fn holding_message(board: &mut Blackboard, pool: PoolId, run: Incarnation) -> Message {
+    let link = board.sessions.entry(pool).or_default();
     let held = link
         .held
         .iter()
@@ -424,12 +431,16 @@
         owner: run,
         ack: link.ack(),
         held,
-        received: list(&link.received),
-        wants: list(&link.told),
-        done: link.late.drain(..).chain(link.done.drain(..)).collect(),
-        settled: link.settled,
+        received: list(&link.grants_received),
+        wants: list(&link.reported_wants),
+        done: link
+            .late_costs
+            .drain(..)
+            .chain(link.released.drain(..))
+            .collect(),
+        settled: link.owner_ready,
     };
-    link.wants.clear();
+    link.pending_wants.clear();
     Message::Holding(message)
 }
 
@@ -438,25 +449,29 @@
         .queues
         .get(&(service, account))
         .map_or(0, std::collections::VecDeque::len)
-        .min(WANT_CAP) as u32;
+        .min(MAX_WANT) as u32;
     let config = Arc::clone(&board.config);
     let Some(pools) = config.by_service.get(&service) else {
         return;
     };
-    let chosen = regions::choose(board, service, account, pools);
+    let chosen = cross_region::select_pools(board, service, account, pools);
     for pool in pools {
-        let Some(link) = board.links.get_mut(pool) else {
+        let Some(link) = board.sessions.get_mut(pool) else {
             continue;
         };
-        let base = link.received.get(&account).copied().unwrap_or_default();
+        let base = link
+            .grants_received
+            .get(&account)
+            .copied()
+            .unwrap_or_default();
         let open = if chosen.contains(pool) { waiting } else { 0 };
         let wanted = base.wrapping_add(open);
-        let told = link.told.get(&account).copied();
+        let told = link.reported_wants.get(&account).copied();
         if told == Some(wanted) || (told.is_none() && wanted == 0) {
             continue;
         }
-        link.told.insert(account, wanted);
-        link.wants.retain(|w| w.account != account);
-        link.wants.push(Want { account, wanted });
+        link.reported_wants.insert(account, wanted);
+        link.pending_wants.retain(|w| w.account != account);
+        link.pending_wants.push(Want { account, wanted });
     }
 }
--- a/crates/hawthornmill/src/pools/mod.rs
+++ b/crates/hawthornmill/src/pools/mod.rs
@@ -3,16 +3,16 @@
 //! Requests wait at the entry that received them ([`queue`], [`entry`]). The owner of a pool ([`owner`])
 //! learns only how many wait for each account, and grants slots one by one to the account that has
 //! received the least normalised service; the entry then sends its oldest request of that account
-//! straight to the server. [`regions`] says which pools an entry asks, and [`kept`] what becomes of
-//! its slots while an owner is silent. [`ownership`] follows the members and the configuration; [`turn()`] runs
+//! straight to the server. [`cross_region`] says which pools an entry asks, and [`retained`] what becomes of
+//! its slots while an owner is silent. [`ownership`] follows the members and the configuration; [`run_due()`] runs
 //! whatever is due after an event.
 
+pub mod cross_region;
 pub mod entry;
-pub mod kept;
 pub mod owner;
 pub mod ownership;
 pub mod queue;
-pub mod regions;
+pub mod retained;
 pub mod schedule;
 pub mod tick;
 
@@ -26,7 +26,7 @@
 use crate::wire::message::Message;
 
 /// Rounds of messages to itself that one turn may take.
-const SELF_ROUNDS: usize = 64;
+const MAX_SELF_ROUNDS: usize = 64;
 
 /// Instances that need this one's heartbeats: its failure domain, and those it works with.
 ///
@@ -34,15 +34,15 @@
 /// another with each `round`: one that starts while the platform is down knows nobody, and a
 /// heartbeat brings it a first contact. One that leaves tells everybody: callers in any region may be
 /// given its address until the instance that they ask has heard of it.
-pub fn beat_targets(board: &Blackboard, round: u32) -> BTreeSet<InstanceId> {
+pub fn heartbeat_targets(board: &Blackboard, round: u32) -> BTreeSet<InstanceId> {
     let home = board.members.own().domain;
     let mates = board.members.map.iter().filter(|(_, m)| m.domain == home);
     let owners = board
-        .links
+        .sessions
         .values()
-        .filter(|link| !link.told.is_empty() || !link.held.is_empty())
+        .filter(|link| !link.reported_wants.is_empty() || !link.held.is_empty())
         .filter_map(|link| link.owner);
-    let owned = board.owned.values().filter(|owned| owned.active);
+    let owned = board.owned_pools.values().filter(|owned| owned.active);
     let entries = owned.flat_map(|owned| {
         let wants = owned.accounts.values().flat_map(|q| q.entries.keys());
         wants.chain(owned.held.keys().map(|(entry, _)| entry))
@@ -59,18 +59,18 @@
 }
 
 /// Runs everything that recent events have made due, messages to itself included.
-pub fn turn(board: &mut Blackboard, now: Instant) {
-    for _ in 0..SELF_ROUNDS {
-        ownership::refresh(board, now);
-        schedule::run(board, now);
-        entry::tell(board, now);
-        if !deliver_own(board, now) {
+pub fn run_due(board: &mut Blackboard, now: Instant) {
+    for _ in 0..MAX_SELF_ROUNDS {
+        ownership::update_owners(board, now);
+        schedule::grant_due(board, now);
+        entry::notify_owners(board, now);
+        if !deliver_to_self(board, now) {
             return;
         }
     }
 }
 
-fn deliver_own(board: &mut Blackboard, now: Instant) -> bool {
+fn deliver_to_self(board: &mut Blackboard, now: Instant) -> bool {
     let me = board.me();
     let (own, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut board.outbox)
         .into_iter()
@@ -79,13 +79,13 @@
     let any = !own.is_empty();
     let incarnation = board.incarnation;
     for (_, message) in own {
-        receive(board, me, incarnation, message, now);
+        handle_message(board, me, incarnation, message, now);
     }
     any
 }
 
 /// Takes a pool message from an instance, this one included.
-pub fn receive(
+pub fn handle_message(
     board: &mut Blackboard,
     from: InstanceId,
     incarnation: Incarnation,
--- a/crates/hawthornmill/src/pools/owner.rs
+++ b/crates/hawthornmill/src/pools/owner.rs
@@ -9,12 +9,12 @@
 use crate::wire::message::{Demand, Done, GrantId, Held, Holding, Message, Want};
 
 /// Part of a new load reading in the owner's trust: readings over this are foreign work.
-const FOREIGN_READINGS: u8 = 2;
+const MIN_FOREIGN_READINGS: u8 = 2;
 /// Readings without work of others after which all slots are granted again.
-const RETURN_STEPS: u16 = 8;
+const LIMIT_STEPS: u16 = 8;
 
 /// Time after a penalty in which a server gets one request at a time, until one succeeds.
-const PROBING: Duration = Duration::from_secs(2);
+const PROBE_PERIOD: Duration = Duration::from_secs(2);
 
 /// Slots of one server.
 #[derive(Debug, Clone, Default)]
@@ -30,15 +30,15 @@
     /// The configuration says that it gets no new work.
     pub leaving: bool,
     /// Its own load report says so.
-    pub says_leaving: bool,
+    pub reports_leaving: bool,
     /// It failed; no grants until then, and one at a time for `PROBING` after.
-    pub avoid: Option<Instant>,
+    pub avoid_until: Option<Instant>,
     /// Number of the last grant of a slot here.
-    pub last: u32,
+    pub last_grant: u32,
     /// Most slots granted at once since the last load reading, and before it.
     pub peak: [u16; 2],
     /// Load readings in a row that showed work of others.
-    pub foreign: u8,
+    pub foreign_readings: u8,
 }
 
 impl ServerSlots {
@@ -55,19 +55,19 @@
     }
 
     /// Slots that may be granted now.
-    pub fn free(&self, now: Instant) -> u16 {
+    pub fn available(&self, now: Instant) -> u16 {
         let free = self.limit.saturating_sub(self.used);
-        match self.avoid {
-            _ if self.leaving || self.says_leaving => 0,
+        match self.avoid_until {
+            _ if self.leaving || self.reports_leaving => 0,
             Some(until) if now < until => 0,
             // A server that still fails would otherwise cost as many calls as it has slots.
-            Some(until) if now < until + PROBING => free.min(u16::from(self.used == 0)),
+            Some(until) if now < until + PROBE_PERIOD => free.min(u16::from(self.used == 0)),
             _ => free,
         }
     }
 
     /// Takes a slot.
-    pub fn take(&mut self) {
+    pub fn acquire(&mut self) {
         self.used += 1;
         self.peak[0] = self.peak[0].max(self.used);
     }
@@ -79,20 +79,20 @@
     /// server is overfull the slots are shared in proportion; otherwise the other's are left to it.
     /// Two owners that took all slots back as soon as the server was no longer overfull would overfill
     /// it again with every other reading, so the limit then moves by small steps.
-    pub fn read_load(&mut self, running: u16) {
+    pub fn apply_load_reading(&mut self, running: u16) {
         let shared = self.limit < self.total;
         let peak = self.peak[0].max(self.peak[1]).max(self.used);
         let mine = if shared { self.used } else { peak };
         self.peak = [self.used, self.peak[0]];
-        let step = (self.total / RETURN_STEPS).max(1);
+        let step = (self.total / LIMIT_STEPS).max(1);
         let most = self.total.min(self.limit + step);
         if running <= mine {
-            self.foreign = 0;
+            self.foreign_readings = 0;
             self.limit = most;
             return;
         }
-        self.foreign = self.foreign.saturating_add(1);
-        if self.foreign < FOREIGN_READINGS {
+        self.foreign_readings = self.foreign_readings.saturating_add(1);
+        if self.foreign_readings < MIN_FOREIGN_READINGS {
             return;
         }
         let target = if running > self.total {
@@ -111,7 +111,7 @@
     /// Trusts the configured slots again.
     fn reset_limit(&mut self) {
         self.limit = self.total;
-        self.foreign = 0;
+        self.foreign_readings = 0;
     }
 }
 
@@ -123,12 +123,12 @@
     /// Grants made for it.
     pub granted: u32,
     /// Number of the last of them.
-    pub last: u32,
+    pub last_grant: u32,
 }
 
 impl EntryWant {
     /// Requests that wait for a grant.
-    pub fn open(&self) -> u32 {
+    pub fn pending(&self) -> u32 {
         // Counters wrap after four billion grants; the difference stays right.
         let open = self.wanted.wrapping_sub(self.granted);
         if open > u32::MAX / 2 { 0 } else { open }
@@ -137,11 +137,11 @@
 
 /// One account in one pool.
 #[derive(Debug, Clone, Default)]
-pub struct Queue {
+pub struct AccountQueue {
     /// What is added to the account's fleet-wide service here, so that idling earns no credit.
-    pub lift: f64,
+    pub offset: f64,
     /// Requests that wait over all entries.
-    pub open: u32,
+    pub pending: u32,
     /// Slots held.
     pub held: u32,
     /// Wants by entry.
@@ -161,25 +161,25 @@
 
 /// A pool as its owner keeps it.
 #[derive(Debug, Clone, Default)]
-pub struct Owned {
+pub struct OwnedPool {
     /// This instance takes itself for the owner.
     pub active: bool,
     /// From when on it grants.
-    pub ready: Option<Instant>,
+    pub ready_at: Option<Instant>,
     /// When the old owner handed the pool over, before this instance took itself for the owner.
-    pub handed: Option<Instant>,
+    pub handed_over_at: Option<Instant>,
     /// Servers.
     pub servers: BTreeMap<ServerId, ServerSlots>,
     /// Slots held, by entry and grant.
     pub held: BTreeMap<(InstanceId, GrantId), HeldSlot>,
     /// Accounts with wants or slots.
-    pub accounts: BTreeMap<AccountId, Queue>,
+    pub accounts: BTreeMap<AccountId, AccountQueue>,
     /// Process run of each entry that spoke.
     pub entries: BTreeMap<InstanceId, Incarnation>,
     /// Number of the last grant.
     pub seq: u32,
     /// Number of the last grant to each entry.
-    pub last: BTreeMap<InstanceId, u32>,
+    pub last_grants: BTreeMap<InstanceId, u32>,
     /// Normalised service of the account served last; it never falls.
     pub level: f64,
     /// Something changed that a grant may follow from.
@@ -188,11 +188,11 @@
     pub announced: bool,
 }
 
-impl Owned {
+impl OwnedPool {
     /// Starts to own the pool; grants are made from `ready` on.
     pub fn activate(&mut self, ready: Instant) {
         self.active = true;
-        self.ready = Some(ready);
+        self.ready_at = Some(ready);
         self.dirty = true;
         self.announced = false;
         self.servers.values_mut().for_each(ServerSlots::reset_limit);
@@ -200,14 +200,14 @@
 
     /// Tells whether grants are made.
     pub fn is_ready(&self, now: Instant) -> bool {
-        self.ready.is_some_and(|ready| ready <= now)
+        self.ready_at.is_some_and(|ready| ready <= now)
     }
 
     /// Notes the process run of an entry that speaks; false when that run is over.
-    pub fn meet(&mut self, entry: InstanceId, incarnation: Incarnation) -> bool {
+    pub fn register_entry(&mut self, entry: InstanceId, incarnation: Incarnation) -> bool {
         match self.entries.get(&entry) {
             Some(known) if *known > incarnation => return false,
-            Some(known) if *known < incarnation => self.forget(entry),
+            Some(known) if *known < incarnation => self.remove_entry(entry),
             _ => {}
         }
         self.entries.insert(entry, incarnation);
@@ -226,20 +226,20 @@
     }
 
     /// Drops everything that `entry` wants and holds.
-    pub fn forget(&mut self, entry: InstanceId) {
+    pub fn remove_entry(&mut self, entry: InstanceId) {
         if self.entries.remove(&entry).is_none() {
             return;
         }
         let held: Vec<GrantId> = self.held_by(entry).collect();
         for grant in held {
-            self.free(entry, grant);
+            self.release(entry, grant);
         }
         for queue in self.accounts.values_mut() {
             if let Some(want) = queue.entries.remove(&entry) {
-                queue.open -= want.open();
+                queue.pending -= want.pending();
             }
         }
-        self.last.remove(&entry);
+        self.last_grants.remove(&entry);
         self.dirty = true;
     }
 
@@ -252,7 +252,7 @@
     }
 
     /// Frees a slot and returns what was known of it.
-    pub fn free(&mut self, entry: InstanceId, grant: GrantId) -> Option<HeldSlot> {
+    pub fn release(&mut self, entry: InstanceId, grant: GrantId) -> Option<HeldSlot> {
         let slot = self.held.remove(&(entry, grant))?;
         if let Some(server) = self.servers.get_mut(&slot.server) {
             server.used = server.used.saturating_sub(1);
@@ -267,9 +267,9 @@
     fn set_want(&mut self, entry: InstanceId, account: AccountId, change: impl Fn(&mut EntryWant)) {
         let queue = self.accounts.entry(account).or_default();
         let want = queue.entries.entry(entry).or_default();
-        queue.open -= want.open();
+        queue.pending -= want.pending();
         change(want);
-        queue.open += want.open();
+        queue.pending += want.pending();
         self.dirty = true;
     }
 
@@ -284,16 +284,16 @@
             charged,
         };
         self.held.insert((entry, held.grant), slot);
-        self.servers.entry(held.server).or_default().take();
+        self.servers.entry(held.server).or_default().acquire();
         self.accounts.entry(held.account).or_default().held += 1;
     }
 
     /// Slots that may be granted and that nothing waits for.
-    pub fn idle(&self, now: Instant) -> u16 {
-        if self.accounts.values().any(|q| q.open > 0) {
+    pub fn idle_slots(&self, now: Instant) -> u16 {
+        if self.accounts.values().any(|q| q.pending > 0) {
             return 0;
         }
-        self.servers.values().map(|s| s.free(now)).sum()
+        self.servers.values().map(|s| s.available(now)).sum()
     }
 }
 
@@ -313,33 +313,38 @@
     let Some(service) = board.config.pools.get(&demand.pool).map(|p| p.service) else {
         return;
     };
-    let owned = board.owned.entry(demand.pool).or_default();
-    if !owned.meet(from, incarnation) {
+    let owned = board.owned_pools.entry(demand.pool).or_default();
+    if !owned.register_entry(from, incarnation) {
         return;
     }
     for want in &demand.wants {
-        open_account(board, demand.pool, service, want.account);
-        let owned = board.owned.entry(demand.pool).or_default();
+        raise_idle_account(board, demand.pool, service, want.account);
+        let owned = board.owned_pools.entry(demand.pool).or_default();
         owned.set_want(from, want.account, |w| w.wanted = want.wanted);
     }
     for done in &demand.done {
-        settle(board, demand.pool, service, from, done, now);
+        release_slot(board, demand.pool, service, from, done, now);
     }
 }
 
 /// Lifts an account that was idle here to the level of those that are served.
-fn open_account(board: &mut Blackboard, pool: PoolId, service: ServiceId, account: AccountId) {
+fn raise_idle_account(
+    board: &mut Blackboard,
+    pool: PoolId,
+    service: ServiceId,
+    account: AccountId,
+) {
     let total = board.ledger.total(CostKey { service, account });
-    let owned = board.owned.entry(pool).or_default();
+    let owned = board.owned_pools.entry(pool).or_default();
     let level = owned.level;
     let queue = owned.accounts.entry(account).or_default();
-    if queue.open == 0 {
-        queue.lift = queue.lift.max(level - total);
+    if queue.pending == 0 {
+        queue.offset = queue.offset.max(level - total);
     }
 }
 
 /// Takes a slot back and corrects the charge to what the call cost.
-fn settle(
+fn release_slot(
     board: &mut Blackboard,
     pool: PoolId,
     service: ServiceId,
@@ -348,17 +353,17 @@
     now: Instant,
 ) {
     let penalty = now + board.tuning.penalty;
-    let Some(owned) = board.owned.get_mut(&pool) else {
+    let Some(owned) = board.owned_pools.get_mut(&pool) else {
         return;
     };
-    let Some(slot) = owned.free(from, done.grant) else {
+    let Some(slot) = owned.release(from, done.grant) else {
         return;
     };
     if let Some(server) = owned.servers.get_mut(&slot.server) {
         if done.failed {
-            server.avoid = Some(penalty);
+            server.avoid_until = Some(penalty);
         } else if done.cost > 0.0 {
-            server.avoid = server.avoid.filter(|until| now < *until);
+            server.avoid_until = server.avoid_until.filter(|until| now < *until);
         }
     }
     let key = CostKey {
@@ -393,15 +398,15 @@
         return;
     };
     let made = maker(board.incarnation);
-    let owned = board.owned.entry(holding.pool).or_default();
-    if !owned.meet(from, incarnation) {
+    let owned = board.owned_pools.entry(holding.pool).or_default();
+    if !owned.register_entry(from, incarnation) {
         return;
     }
     // Costs come first: what is not held and not listed here was never run, and is refunded.
     for done in &holding.done {
-        settle(board, holding.pool, service, from, done, now);
+        release_slot(board, holding.pool, service, from, done, now);
     }
-    let owned = board.owned.entry(holding.pool).or_default();
+    let owned = board.owned_pools.entry(holding.pool).or_default();
     let gone: Vec<GrantId> = owned
         .held_by(from)
         .filter(|g| g.maker != made || g.seq <= holding.ack)
@@ -409,30 +414,30 @@
         .collect();
     let mut refunds = Vec::new();
     for grant in gone {
-        refunds.extend(owned.free(from, grant));
+        refunds.extend(owned.release(from, grant));
     }
     for held in &holding.held {
         owned.add_held(from, held, None);
     }
     // Every grant up to `ack` has arrived or is lost, so what is granted counts from there.
-    let flying: Vec<AccountId> = owned
+    let in_flight: Vec<AccountId> = owned
         .held
         .iter()
         .filter(|((e, g), _)| *e == from && g.maker == made && g.seq > holding.ack)
         .map(|(_, slot)| slot.account)
         .collect();
-    reset_wants(owned, from, &holding.received, &flying);
+    reset_wants(owned, from, &holding.received, &in_flight);
     for slot in refunds {
         let account = slot.account;
         let charged = slot.charged.unwrap_or(0.0);
         board.ledger.charge(CostKey { service, account }, -charged);
     }
     for want in &holding.wants {
-        open_account(board, holding.pool, service, want.account);
-        let owned = board.owned.entry(holding.pool).or_default();
+        raise_idle_account(board, holding.pool, service, want.account);
+        let owned = board.owned_pools.entry(holding.pool).or_default();
         owned.set_want(from, want.account, |w| w.wanted = want.wanted);
     }
-    settle_flight(board, from, holding, now);
+    sync_returning_entry(board, from, holding, now);
 }
 
 /// Asks an entry that comes back to this owner once more, after the grants that are on their way.
@@ -441,12 +446,12 @@
 /// so those that it dropped meanwhile would count as on their way for good and their slots idle.
 /// Messages keep their order: what it says after this number has arrived is the whole truth. One
 /// that turns here late must also learn that grants are made already.
-fn settle_flight(board: &mut Blackboard, from: InstanceId, holding: &Holding, now: Instant) {
+fn sync_returning_entry(board: &mut Blackboard, from: InstanceId, holding: &Holding, now: Instant) {
     let pool = holding.pool;
-    let Some(owned) = board.owned.get(&pool).filter(|o| o.active) else {
+    let Some(owned) = board.owned_pools.get(&pool).filter(|o| o.active) else {
         return;
     };
-    let last = owned.last.get(&from).copied().unwrap_or(0);
+    let last = owned.last_grants.get(&from).copied().unwrap_or(0);
     let ready = owned.is_ready(now);
     if (holding.ack == 0 && last > 0) || (ready && !holding.settled) {
         let sync = Message::Sync { pool, last, ready };
@@ -455,21 +460,21 @@
 }
 
 /// Tells every entry that the owned pools which have just become ready grant from now on.
-pub fn announce(board: &mut Blackboard, now: Instant) {
+pub fn announce_ready(board: &mut Blackboard, now: Instant) {
     let due: Vec<PoolId> = board
-        .owned
+        .owned_pools
         .iter()
         .filter(|(_, o)| o.active && !o.announced && o.is_ready(now))
         .map(|(id, _)| *id)
         .collect();
     let live: Vec<InstanceId> = board.members.live().map(|(id, _)| id).collect();
     for pool in due {
-        let Some(owned) = board.owned.get_mut(&pool) else {
+        let Some(owned) = board.owned_pools.get_mut(&pool) else {
             continue;
         };
         owned.announced = true;
         for entry in &live {
-            let last = owned.last.get(entry).copied().unwrap_or(0);
+            let last = owned.last_grants.get(entry).copied().unwrap_or(0);
             let ready = true;
             board
                 .outbox
@@ -478,7 +483,12 @@
     }
 }
 
-fn reset_wants(owned: &mut Owned, from: InstanceId, received: &[Want], flying: &[AccountId]) {
+fn reset_wants(
+    owned: &mut OwnedPool,
+    from: InstanceId,
+    received: &[Want],
+    in_flight: &[AccountId],
+) {
     let known: Vec<AccountId> = owned
         .accounts
         .iter()
@@ -494,21 +504,21 @@
             .iter()
             .find(|w| w.account == account)
             .map_or(0, |w| w.wanted);
-        let flying = flying.iter().filter(|a| **a == account).count() as u32;
+        let in_flight = in_flight.iter().filter(|a| **a == account).count() as u32;
         owned.set_want(from, account, |w| {
-            w.granted = base.wrapping_add(flying);
+            w.granted = base.wrapping_add(in_flight);
             w.wanted = w.granted;
         });
     }
 }
 
 /// Takes a server's own word, in its load report, on whether it is leaving.
-pub fn on_leaving(board: &mut Blackboard, pool: PoolId, server: ServerId, leaving: bool) {
-    if let Some(owned) = board.owned.get_mut(&pool)
+pub fn on_leaving_reading(board: &mut Blackboard, pool: PoolId, server: ServerId, leaving: bool) {
+    if let Some(owned) = board.owned_pools.get_mut(&pool)
         && let Some(slots) = owned.servers.get_mut(&server)
-        && slots.says_leaving != leaving
+        && slots.reports_leaving != leaving
     {
-        slots.says_leaving = leaving;
+        slots.reports_leaving = leaving;
         owned.dirty = true;
     }
 }
@@ -517,14 +527,14 @@
 ///
 /// An owner that still collects what entries hold would take their work for another owner's, and an
 /// instance that schedules alone would take the work of all others for it.
-pub fn on_load(board: &mut Blackboard, pool: PoolId, server: ServerId, running: u16) {
+pub fn on_load_reading(board: &mut Blackboard, pool: PoolId, server: ServerId, running: u16) {
     if board.tuning.policy == Policy::Static {
         return;
     }
-    if let Some(owned) = board.owned.get_mut(&pool).filter(|o| o.announced)
+    if let Some(owned) = board.owned_pools.get_mut(&pool).filter(|o| o.announced)
         && let Some(slots) = owned.servers.get_mut(&server)
     {
-        slots.read_load(running);
+        slots.apply_load_reading(running);
         owned.dirty = true;
     }
 }
--- a/crates/hawthornmill/src/pools/ownership.rs
+++ b/crates/hawthornmill/src/pools/ownership.rs
@@ -10,48 +10,50 @@
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId};
 use crate::membership::placement;
 use crate::pools::entry;
-use crate::pools::owner::Owned;
+use crate::pools::owner::OwnedPool;
 use crate::wire::message::{Handover, Held, HeldBy, Message};
 
 /// Time for which a handover is good that came before this instance took itself for the owner.
-const HANDED: Duration = Duration::from_secs(1);
+const HANDOVER_VALIDITY: Duration = Duration::from_secs(1);
 
 /// Works out owners anew after the members or the configuration changed.
-pub fn refresh(board: &mut Blackboard, now: Instant) {
+pub fn update_owners(board: &mut Blackboard, now: Instant) {
     if !board.members.changed {
         return;
     }
     board.members.changed = false;
-    board.replace = placement::next_stable_at(&board.members, now);
+    board.reassign_at = placement::next_stable_at(&board.members, now);
     let config = Arc::clone(&board.config);
     for (id, pool) in &config.pools {
         let owner = match board.tuning.policy {
             Policy::Static => Some(board.me()),
             Policy::Pooled => placement::owner(&board.members, *id, pool, now),
         };
-        follow(board, *id, owner, now);
+        update_owner(board, *id, owner, now);
     }
-    board.owned.retain(|id, _| config.pools.contains_key(id));
-    follow_lives(board);
+    board
+        .owned_pools
+        .retain(|id, _| config.pools.contains_key(id));
+    apply_liveness_changes(board);
     // Static parts also depend on how many instances are live.
-    if board.sized != config.revision || board.tuning.policy == Policy::Static {
-        board.sized = config.revision;
-        resize(board, &config);
+    if board.sized_revision != config.revision || board.tuning.policy == Policy::Static {
+        board.sized_revision = config.revision;
+        update_servers(board, &config);
     }
 }
 
-fn follow(board: &mut Blackboard, pool: PoolId, owner: Option<InstanceId>, now: Instant) {
+fn update_owner(board: &mut Blackboard, pool: PoolId, owner: Option<InstanceId>, now: Instant) {
     let incarnation = owner.map(|o| incarnation_of(board, o));
-    let level = level_of(board, pool);
-    let link = board.links.entry(pool).or_default();
+    let level = reported_level(board, pool);
+    let link = board.sessions.entry(pool).or_default();
     let found = owner.zip(incarnation);
     if let Some((id, run)) = found
         && link.owner != Some((id, run))
     {
-        link.turn_to(id, run);
+        link.switch_owner(id, run);
         board.events.push(Event::OwnerChanged(pool, id));
         let queues = board.queues.keys().copied();
-        board.dirty.extend(queues);
+        board.dirty_queues.extend(queues);
     }
     let mine = owner == Some(board.me());
     let ready = match board.tuning.policy {
@@ -59,21 +61,21 @@
         Policy::Pooled => now + board.tuning.rebuild,
     };
     let me = board.me();
-    let book = board.owned.entry(pool).or_default();
-    if mine && !book.active {
-        if book
-            .handed
-            .is_some_and(|at| now.duration_since(at) > HANDED)
+    let owned = board.owned_pools.entry(pool).or_default();
+    if mine && !owned.active {
+        if owned
+            .handed_over_at
+            .is_some_and(|at| now.duration_since(at) > HANDOVER_VALIDITY)
         {
-            book.deactivate();
+            owned.deactivate();
         }
-        let handed = book.handed.take().is_some();
-        book.activate(if handed { now } else { ready });
+        let handed_over = owned.handed_over_at.take().is_some();
+        owned.activate(if handed_over { now } else { ready });
         // Without the level that the pool had reached, every account that had idled would come
         // back with credit for that time.
-        book.level = book.level.max(level);
+        owned.level = owned.level.max(level);
         // The book of a pool that was not owned here has no slots yet.
-        board.sized = 0;
+        board.sized_revision = 0;
         let peers: Vec<InstanceId> = board.members.live().map(|(id, _)| id).collect();
         for peer in peers.into_iter().filter(|p| *p != me) {
             let sync = Message::Sync {
@@ -84,18 +86,18 @@
             board.outbox.push((peer, sync));
         }
     }
-    if !mine && book.active {
-        let handover = handover(pool, book, &board.ledger, &board.config);
-        book.deactivate();
-        if let Some(to) = owner.filter(|_| board.stale.is_none()) {
+    if !mine && owned.active {
+        let handover = handover(pool, owned, &board.ledger, &board.config);
+        owned.deactivate();
+        if let Some(to) = owner.filter(|_| board.stale_since.is_none()) {
             board.outbox.push((to, Message::Handover(handover)));
         }
     }
 }
 
 /// What the next owner of a pool must know to grant at once.
-fn handover(pool: PoolId, book: &Owned, ledger: &Ledger, config: &FleetConfig) -> Handover {
-    let held = book.held.iter().filter_map(|((entry, grant), slot)| {
+fn handover(pool: PoolId, owned: &OwnedPool, ledger: &Ledger, config: &FleetConfig) -> Handover {
+    let held = owned.held.iter().filter_map(|((entry, grant), slot)| {
         let held = Held {
             grant: *grant,
             account: slot.account,
@@ -103,20 +105,20 @@
         };
         Some(HeldBy {
             entry: *entry,
-            incarnation: *book.entries.get(entry)?,
+            incarnation: *owned.entries.get(entry)?,
             held,
             charged: slot.charged,
         })
     });
     let service = config.pools.get(&pool).map(|p| p.service);
-    let lags = book.accounts.iter().filter_map(|(account, queue)| {
+    let lags = owned.accounts.iter().filter_map(|(account, queue)| {
         let account = *account;
         let total = ledger.total(CostKey {
             service: service?,
             account,
         });
-        let active = queue.open > 0 || queue.held > 0;
-        active.then_some((account, book.level - total - queue.lift))
+        let active = queue.pending > 0 || queue.held > 0;
+        active.then_some((account, owned.level - total - queue.offset))
     });
     Handover {
         pool,
@@ -126,8 +128,8 @@
 }
 
 /// The level that the last owner told of `pool`; 0 when it told none.
-fn level_of(board: &Blackboard, pool: PoolId) -> f64 {
-    let owner = board.links.get(&pool).and_then(|l| l.owner);
+fn reported_level(board: &Blackboard, pool: PoolId) -> f64 {
+    let owner = board.sessions.get(&pool).and_then(|l| l.owner);
     owner
         .and_then(|(id, _)| board.reports.pool_state(pool, id))
         .map_or(0.0, |state| state.level)
@@ -146,11 +148,11 @@
 /// Requests of a dead entry may still run on a server; the server's load report keeps the owner
 /// from granting those slots twice. An entry that was only silent does not know that it was
 /// dropped, so its wants would be missing for good if nobody asked: both sides say everything again.
-fn follow_lives(board: &mut Blackboard) {
+fn apply_liveness_changes(board: &mut Blackboard) {
     let died = std::mem::take(&mut board.members.newly_dead);
-    for owned in board.owned.values_mut() {
+    for owned in board.owned_pools.values_mut() {
         for id in &died {
-            owned.forget(*id);
+            owned.remove_entry(*id);
         }
     }
     board
@@ -174,12 +176,12 @@
     let Some(service) = board.config.pools.get(&handover.pool).map(|p| p.service) else {
         return;
     };
-    let book = board.owned.entry(handover.pool).or_default();
-    if book.active && book.ready.is_some_and(|ready| ready <= now) {
+    let owned = board.owned_pools.entry(handover.pool).or_default();
+    if owned.active && owned.ready_at.is_some_and(|ready| ready <= now) {
         return;
     }
-    for entry in book.entries.keys() {
-        let last = book.last.get(entry).copied().unwrap_or(0);
+    for entry in owned.entries.keys() {
+        let last = owned.last_grants.get(entry).copied().unwrap_or(0);
         let sync = Message::Sync {
             pool: handover.pool,
             last,
@@ -189,33 +191,33 @@
     }
     let members = &board.members;
     for by in handover.held.iter().filter(|h| members.is_live(h.entry)) {
-        if book.meet(by.entry, by.incarnation) {
-            book.add_held(by.entry, &by.held, by.charged);
+        if owned.register_entry(by.entry, by.incarnation) {
+            owned.add_held(by.entry, &by.held, by.charged);
         }
     }
     let ledger = &board.ledger;
     let total = |account: AccountId| ledger.total(CostKey { service, account });
     for (account, lag) in &handover.lags {
-        book.level = book.level.max(total(*account) + lag);
+        owned.level = owned.level.max(total(*account) + lag);
     }
     for (account, lag) in &handover.lags {
-        let lift = book.level - lag - total(*account);
-        book.accounts.entry(*account).or_default().lift = lift;
+        let lift = owned.level - lag - total(*account);
+        owned.accounts.entry(*account).or_default().offset = lift;
     }
-    if book.active {
-        book.activate(now);
+    if owned.active {
+        owned.activate(now);
     } else {
-        book.handed = Some(now);
+        owned.handed_over_at = Some(now);
     }
 }
 
 /// Takes servers and their slots from the configuration.
-fn resize(board: &mut Blackboard, config: &FleetConfig) {
+fn update_servers(board: &mut Blackboard, config: &FleetConfig) {
     let live: Vec<InstanceId> = board.members.live().map(|(id, _)| id).collect();
     let rank = live.iter().position(|id| *id == board.me()).unwrap_or(0);
     let policy = board.tuning.policy;
     // Only pools owned here: the time and memory for all others would grow with the whole fleet.
-    for (id, owned) in board.owned.iter_mut().filter(|(_, o)| o.active) {
+    for (id, owned) in board.owned_pools.iter_mut().filter(|(_, o)| o.active) {
         let Some(pool) = config.pools.get(id) else {
             continue;
         };
@@ -224,7 +226,7 @@
             let known = &config.servers[server];
             let slots = match policy {
                 Policy::Pooled => known.slots,
-                Policy::Static => part(known.slots, rank, live.len(), server.0),
+                Policy::Static => static_share(known.slots, rank, live.len(), server.0),
             };
             let entry = owned.servers.entry(*server).or_default();
             owned.dirty |= entry.resize(slots, known.class, known.leaving);
@@ -233,7 +235,7 @@
 }
 
 /// The part of `slots` that the instance of `rank` among `count` schedules alone.
-fn part(slots: u16, rank: usize, count: usize, salt: u64) -> u16 {
+fn static_share(slots: u16, rank: usize, count: usize, salt: u64) -> u16 {
     let slots = usize::from(slots);
     // Remainders are turned by server, so that they do not all fall to the first instances.
     let rank = (rank + (salt % count.max(1) as u64) as usize) % count.max(1);
--- a/crates/hawthornmill/src/pools/queue.rs
+++ b/crates/hawthornmill/src/pools/queue.rs
@@ -4,7 +4,7 @@
 
 use smallvec::SmallVec;
 
-use super::kept::use_kept;
+use super::retained::use_retained;
 use crate::blackboard::{Blackboard, RequestKey, Waiting};
 use crate::codes::Code;
 use crate::ident::{AccountId, ServerId, ServiceId};
@@ -12,10 +12,10 @@
 use crate::limits::queue_rate::QueueRate;
 
 /// Grants of servers to be avoided that a request lets go by before it takes one.
-const DECLINES: u8 = 4;
+const MAX_DECLINES: u8 = 4;
 
 /// Requests of a queue behind which one may be refused for its deadline.
-const KEPT: usize = 4;
+const MIN_QUEUE_LENGTH: usize = 4;
 
 /// A new request.
 #[derive(Debug, Clone, Copy)]
@@ -35,13 +35,13 @@
 /// # Errors
 /// [`Code::QueueFull`], [`Code::QueueLate`] or [`Code::InstanceFull`]; the request was not run.
 pub fn enqueue(board: &mut Blackboard, arrival: Arrival, now: Instant) -> Result<RequestKey, Code> {
-    check_account(board, &arrival)?;
-    let ahead = waiting(board, arrival.service, arrival.account);
+    check_account_limits(board, &arrival)?;
+    let ahead = queue_length(board, arrival.service, arrival.account);
     let left = arrival.deadline.saturating_duration_since(now);
     // Some wait in any case: a wrong estimate then takes no work from a server, and is put right by
     // how they are served.
-    if ahead >= KEPT
-        && pace(board, arrival.service, arrival.account).misses_deadline(ahead, left, now)
+    if ahead >= MIN_QUEUE_LENGTH
+        && queue_rate(board, arrival.service, arrival.account).misses_deadline(ahead, left, now)
     {
         return Err(Code::QueueLate);
     }
@@ -65,7 +65,7 @@
 ///
 /// # Errors
 /// [`Code::QueueFull`]; asked before a body is read, so that a flood costs no memory for bodies.
-pub fn check_account(board: &Blackboard, arrival: &Arrival) -> Result<(), Code> {
+pub fn check_account_limits(board: &Blackboard, arrival: &Arrival) -> Result<(), Code> {
     let held = board.backlogs.of(arrival.account);
     let fits = board
         .config
@@ -134,8 +134,8 @@
     let place = queue.partition_point(|r| board.waiting[*r].arrived <= arrived);
     queue.insert(place, request);
     board.backlogs.add(arrival.account, arrival.bytes);
-    board.dirty.insert(key);
-    use_kept(board, arrival.service, arrival.account);
+    board.dirty_queues.insert(key);
+    use_retained(board, arrival.service, arrival.account);
     request
 }
 
@@ -148,12 +148,12 @@
         queue.retain(|r| *r != request);
         if queue.is_empty() {
             board.queues.remove(&key);
-            if let Some(pace) = board.paces.get_mut(&key) {
+            if let Some(pace) = board.queue_rates.get_mut(&key) {
                 pace.on_empty();
             }
         }
     }
-    board.dirty.insert(key);
+    board.dirty_queues.insert(key);
     Some(waiting)
 }
 
@@ -176,7 +176,7 @@
 /// The oldest that can still be answered in time goes first; one that probably can't is taken only
 /// when nothing else waits. Otherwise an overloaded queue gives every slot to a request that is
 /// about to be given up, and servers are busy for nobody.
-pub fn next(
+pub fn next_request(
     board: &mut Blackboard,
     service: ServiceId,
     account: AccountId,
@@ -184,10 +184,13 @@
     now: Instant,
 ) -> Option<RequestKey> {
     let key = (service, account);
-    let hold = board.paces.get(&key).and_then(QueueRate::mean_holding_time);
+    let hold = board
+        .queue_rates
+        .get(&key)
+        .and_then(QueueRate::mean_holding_time);
     let enough = now + hold.unwrap_or_default();
     let queue = board.queues.get(&key)?;
-    let fits = |w: &Waiting| !w.avoid.contains(&server) || w.declined >= DECLINES;
+    let fits = |w: &Waiting| !w.avoid.contains(&server) || w.declined >= MAX_DECLINES;
     let find = |left: &dyn Fn(&Waiting) -> bool| {
         let mut all = queue.iter().copied();
         all.find(|r| board.waiting.get(*r).is_some_and(|w| left(w) && fits(w)))
@@ -208,29 +211,39 @@
     if let Some(waiting) = oldest.and_then(|r| board.waiting.get_mut(r)) {
         waiting.declined = waiting.declined.saturating_add(1);
     }
-    board.dirty.insert(key);
+    board.dirty_queues.insert(key);
 }
 
-fn waiting(board: &Blackboard, service: ServiceId, account: AccountId) -> usize {
+fn queue_length(board: &Blackboard, service: ServiceId, account: AccountId) -> usize {
     let queue = board.queues.get(&(service, account));
     queue.map_or(0, std::collections::VecDeque::len)
 }
 
-fn pace(board: &Blackboard, service: ServiceId, account: AccountId) -> QueueRate {
-    let known = board.paces.get(&(service, account));
+fn queue_rate(board: &Blackboard, service: ServiceId, account: AccountId) -> QueueRate {
+    let known = board.queue_rates.get(&(service, account));
     known.copied().unwrap_or_default()
 }
 
 /// Notes that a request of the queue got a slot.
-pub fn note_served(board: &mut Blackboard, service: ServiceId, account: AccountId, now: Instant) {
-    let left = waiting(board, service, account);
-    let pace = board.paces.entry((service, account)).or_default();
+pub fn record_dispatch(
+    board: &mut Blackboard,
+    service: ServiceId,
+    account: AccountId,
+    now: Instant,
+) {
+    let left = queue_length(board, service, account);
+    let pace = board.queue_rates.entry((service, account)).or_default();
     pace.record_dispatch(left, now);
 }
 
 /// Notes for how long a request held its slot.
-pub fn note_held(board: &mut Blackboard, service: ServiceId, account: AccountId, time: Duration) {
-    let pace = board.paces.entry((service, account)).or_default();
+pub fn record_holding_time(
+    board: &mut Blackboard,
+    service: ServiceId,
+    account: AccountId,
+    time: Duration,
+) {
+    let pace = board.queue_rates.entry((service, account)).or_default();
     pace.record_holding_time(time);
 }
 
@@ -244,6 +257,6 @@
     draw: f64,
     now: Instant,
 ) -> Duration {
-    let ahead = waiting(board, service, account);
-    pace(board, service, account).retry_after(ahead, draw, now)
+    let ahead = queue_length(board, service, account);
+    queue_rate(board, service, account).retry_after(ahead, draw, now)
 }
--- a/crates/hawthornmill/src/pools/kept.rs
+++ b/crates/hawthornmill/src/pools/retained.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::entry::{Slot, assign};
+use super::entry::{Slot, assign_slot};
 use crate::blackboard::Blackboard;
 use crate::fairness::CostKey;
 use crate::ident::{AccountId, PoolId, ServiceId};
@@ -18,11 +18,11 @@
 /// The owner has charged its estimate. If it is heard again in the same run, this corrects it; if it
 /// is gone, the estimate stays in its counters. An entry that charged the call itself would have it
 /// counted twice.
-pub(super) fn note_late(board: &mut Blackboard, pool: PoolId, grant: GrantId, cost: f64) {
-    if let Some(link) = board.links.get_mut(&pool)
-        && !link.late.iter().any(|d| d.grant == grant)
+pub(super) fn record_late_cost(board: &mut Blackboard, pool: PoolId, grant: GrantId, cost: f64) {
+    if let Some(link) = board.sessions.get_mut(&pool)
+        && !link.late_costs.iter().any(|d| d.grant == grant)
     {
-        link.late.push(Done {
+        link.late_costs.push(Done {
             grant,
             cost: cost as f32,
             failed: false,
@@ -31,7 +31,7 @@
 }
 
 /// Charges a call in a reused slot, for which no owner has charged anything.
-pub(super) fn charge_own(board: &mut Blackboard, slot: Slot, cost: f64) {
+pub(super) fn charge_locally(board: &mut Blackboard, slot: Slot, cost: f64) {
     let Some(server) = board.config.servers.get(&slot.server) else {
         return;
     };
@@ -47,7 +47,7 @@
 ///
 /// The owner can't grant it to anybody until a successor has heard who holds what, so a slot that
 /// was handed back would idle; reusing it adds none.
-pub(super) fn keep(board: &mut Blackboard, pool: PoolId, grant: GrantId, now: Instant) {
+pub(super) fn retain_slot(board: &mut Blackboard, pool: PoolId, grant: GrantId, now: Instant) {
     if let Some(slot) = held_mut(board, pool, grant) {
         slot.busy = false;
         slot.reused = true;
@@ -80,11 +80,11 @@
     if let Some(slot) = held_mut(board, pool, grant) {
         slot.account = account;
     }
-    board.stale.is_none() && assign(board, pool, grant, now)
+    board.stale_since.is_none() && assign_slot(board, pool, grant, now)
 }
 
 /// Gives a kept slot to a request that has just arrived.
-pub(super) fn use_kept(board: &mut Blackboard, service: ServiceId, account: AccountId) {
+pub(super) fn use_retained(board: &mut Blackboard, service: ServiceId, account: AccountId) {
     let Some(arrived) = board
         .queues
         .get(&(service, account))
@@ -95,9 +95,11 @@
         return;
     };
     let kept: Option<(PoolId, GrantId)> = board
-        .links
+        .sessions
         .iter()
-        .filter(|(_, link)| !link.settled || link.owner.is_some_and(|(o, _)| board.silent(o)))
+        .filter(|(_, link)| {
+            !link.owner_ready || link.owner.is_some_and(|(o, _)| board.is_unreachable(o))
+        })
         .find_map(|(pool, link)| {
             link.held
                 .iter()
@@ -110,5 +112,5 @@
 }
 
 fn held_mut(board: &mut Blackboard, pool: PoolId, grant: GrantId) -> Option<&mut Slot> {
-    board.links.get_mut(&pool)?.held.get_mut(&grant)
+    board.sessions.get_mut(&pool)?.held.get_mut(&grant)
 }
--- a/crates/hawthornmill/src/pools/schedule.rs
+++ b/crates/hawthornmill/src/pools/schedule.rs
@@ -5,7 +5,7 @@
 
 use smallvec::SmallVec;
 
-use super::owner::{self, HeldSlot, Owned, maker};
+use super::owner::{self, HeldSlot, OwnedPool, maker};
 use crate::blackboard::Blackboard;
 use crate::config::FleetConfig;
 use crate::fairness::{CostKey, Ledger};
@@ -31,33 +31,33 @@
 type Totals = SmallVec<[f64; 32]>;
 
 /// Makes every grant that is due.
-pub fn run(board: &mut Blackboard, now: Instant) {
-    if board.stale.is_some() {
+pub fn grant_due(board: &mut Blackboard, now: Instant) {
+    if board.stale_since.is_some() {
         return;
     }
-    owner::announce(board, now);
+    owner::announce_ready(board, now);
     let config = Arc::clone(&board.config);
     let mut due = Vec::new();
-    for (id, owned) in &board.owned {
+    for (id, owned) in &board.owned_pools {
         let ready = owned.is_ready(now);
         if owned.active && owned.dirty && ready && config.pools.contains_key(id) {
             due.push(*id);
         }
     }
     for id in due {
-        run_pool(board, &config, id, now);
+        grant_pool(board, &config, id, now);
     }
 }
 
-fn run_pool(board: &mut Blackboard, config: &FleetConfig, id: PoolId, now: Instant) {
+fn grant_pool(board: &mut Blackboard, config: &FleetConfig, id: PoolId, now: Instant) {
     let service = config.pools[&id].service;
     let default = config.services[&service].estimate;
     let made = maker(board.incarnation);
-    let Some(owned) = board.owned.get_mut(&id) else {
+    let Some(owned) = board.owned_pools.get_mut(&id) else {
         return;
     };
     owned.dirty = false;
-    let cap = board.tuning.lag_cap * default * f64::from(slots(owned));
+    let cap = board.tuning.lag_cap * default * f64::from(total_slots(owned));
     let mut out: Vec<(InstanceId, Grants)> = Vec::new();
     // Looked for once: with a scan for each grant the cost grew with the servers.
     let mut free = free_servers(owned, now);
@@ -75,40 +75,40 @@
         };
         let charge = board.ledger.estimated_cost(key, default) / pick.share;
         board.ledger.charge(key, charge);
-        let entry = grant(owned, pick.account, server, charge, made);
-        push(&mut out, id, entry, owned.seq, pick.account, server);
-        update(&mut free, owned, server, now);
+        let entry = record_grant(owned, pick.account, server, charge, made);
+        push_grant(&mut out, id, entry, owned.seq, pick.account, server);
+        refresh_server(&mut free, owned, server, now);
     }
     board
         .outbox
         .extend(out.into_iter().map(|(to, g)| (to, Message::Grants(g))));
 }
 
-fn slots(owned: &Owned) -> u32 {
+fn total_slots(owned: &OwnedPool) -> u32 {
     owned.servers.values().map(|s| u32::from(s.total)).sum()
 }
 
-fn free_servers(owned: &Owned, now: Instant) -> FreeServers {
+fn free_servers(owned: &OwnedPool, now: Instant) -> FreeServers {
     let servers = owned.servers.iter();
     servers
         .map(|(id, s)| FreeServer {
             id: *id,
             class: s.class,
-            free: s.free(now),
-            last: s.last,
+            free: s.available(now),
+            last: s.last_grant,
         })
         .filter(|s| s.free > 0)
         .collect()
 }
 
 /// Takes over what a grant changed at `server`.
-fn update(free: &mut FreeServers, owned: &Owned, server: ServerId, now: Instant) {
+fn refresh_server(free: &mut FreeServers, owned: &OwnedPool, server: ServerId, now: Instant) {
     let Some(slots) = owned.servers.get(&server) else {
         return;
     };
     for known in free.iter_mut().filter(|s| s.id == server) {
-        known.free = slots.free(now);
-        known.last = slots.last;
+        known.free = slots.available(now);
+        known.last = slots.last_grant;
     }
     free.retain(|s| s.free > 0);
 }
@@ -140,7 +140,7 @@
 
 /// The waiting account with the least normalised service that a free server is open to.
 fn pick_account(
-    owned: &mut Owned,
+    owned: &mut OwnedPool,
     config: &FleetConfig,
     ledger: &Ledger,
     service: ServiceId,
@@ -151,7 +151,7 @@
     let totals: Totals = owned
         .accounts
         .iter()
-        .filter(|(_, q)| q.open > 0)
+        .filter(|(_, q)| q.pending > 0)
         .map(|(account, _)| {
             let account = *account;
             ledger.total(CostKey { service, account })
@@ -159,19 +159,19 @@
         .collect();
     let mut least = f64::INFINITY;
     let mut most = f64::NEG_INFINITY;
-    let waiting = owned.accounts.values().filter(|q| q.open > 0);
+    let waiting = owned.accounts.values().filter(|q| q.pending > 0);
     for (queue, total) in waiting.zip(&totals) {
-        let service = total + queue.lift;
+        let service = total + queue.offset;
         least = least.min(service);
         most = most.max(service);
     }
     let mut best: Option<(f64, Pick)> = None;
-    let waiting = owned.accounts.iter_mut().filter(|(_, q)| q.open > 0);
+    let waiting = owned.accounts.iter_mut().filter(|(_, q)| q.pending > 0);
     for ((account, queue), total) in waiting.zip(&totals) {
         // A lag beyond the cap is forgotten: an account that was confined to a few servers could
         // otherwise keep the others waiting for as long as it lagged.
-        queue.lift = queue.lift.max(most - cap - total);
-        let service = total + queue.lift;
+        queue.offset = queue.offset.max(most - cap - total);
+        let service = total + queue.offset;
         if best.as_ref().is_some_and(|(s, _)| *s <= service) {
             continue;
         }
@@ -208,8 +208,8 @@
 }
 
 /// Books the grant and returns the entry that gets it: of those that wait, the one served longest ago.
-fn grant(
-    owned: &mut Owned,
+fn record_grant(
+    owned: &mut OwnedPool,
     account: AccountId,
     server: ServerId,
     charged: f64,
@@ -221,13 +221,13 @@
     let (entry, want) = queue
         .entries
         .iter_mut()
-        .filter(|(_, w)| w.open() > 0)
-        .min_by_key(|(_, w)| w.last)
+        .filter(|(_, w)| w.pending() > 0)
+        .min_by_key(|(_, w)| w.last_grant)
         .expect("an account with open wants has an entry that waits");
     want.granted = want.granted.wrapping_add(1);
-    want.last = seq;
+    want.last_grant = seq;
     let entry = *entry;
-    queue.open -= 1;
+    queue.pending -= 1;
     queue.held += 1;
     let slot = HeldSlot {
         account,
@@ -237,15 +237,15 @@
     owned
         .held
         .insert((entry, GrantId { maker: made, seq }), slot);
-    owned.last.insert(entry, seq);
+    owned.last_grants.insert(entry, seq);
     if let Some(slots) = owned.servers.get_mut(&server) {
-        slots.take();
-        slots.last = seq;
+        slots.acquire();
+        slots.last_grant = seq;
     }
     entry
 }
 
-fn push(
+fn push_grant(
     out: &mut Vec<(InstanceId, Grants)>,
     pool: PoolId,
     entry: InstanceId,
--- a/crates/hawthornmill/src/pools/tick.rs
+++ b/crates/hawthornmill/src/pools/tick.rs
@@ -10,42 +10,42 @@
 use crate::wire::message::{Message, PoolState, ProbeAck};
 
 /// Notices that the process was stopped for a while; called with every tick and arrival.
-pub fn notice_pause(board: &mut Blackboard, now: Instant) {
-    let gap = now.duration_since(board.ticked);
-    board.ticked = now;
+pub fn detect_pause(board: &mut Blackboard, now: Instant) {
+    let gap = now.duration_since(board.last_tick);
+    board.last_tick = now;
     if gap > board.tuning.pause {
         board.events.push(Event::ProcessPaused(gap));
-        wake(board, now);
+        on_resume(board, now);
     }
 }
 
 /// Called every few tens of milliseconds.
 pub fn tick(board: &mut Blackboard, now: Instant) {
-    notice_pause(board, now);
+    detect_pause(board, now);
     if board
-        .stale
+        .stale_since
         .is_some_and(|since| now.duration_since(since) > board.tuning.confirm)
     {
-        confirm(board, now);
+        confirm_view(board, now);
     }
-    board.crossing.refill(board.tuning.cross_bytes, now);
-    follow_awaited(board, now);
+    board.cross_region.refill(board.tuning.cross_bytes, now);
+    check_awaited_revision(board, now);
     entry::expire(board, now);
-    follow_time(board, now);
-    if board.stale.is_none() {
+    check_reassignment(board, now);
+    if board.stale_since.is_none() {
         board.members.expire_silent(now);
         for id in board.members.remove_expired(&board.roster, now) {
             board.reports.forget(id);
         }
     }
     let due: Vec<_> = board
-        .owned
+        .owned_pools
         .iter()
-        .filter(|(_, o)| o.active && o.ready.is_some_and(|r| r <= now))
+        .filter(|(_, o)| o.active && o.ready_at.is_some_and(|r| r <= now))
         .map(|(id, _)| *id)
         .collect();
     for pool in due {
-        if let Some(owned) = board.owned.get_mut(&pool) {
+        if let Some(owned) = board.owned_pools.get_mut(&pool) {
             owned.dirty = true;
         }
     }
@@ -53,9 +53,9 @@
 
 /// Works owners out anew when an instance has been steady for long enough: it is preferred from
 /// then on, and no event says when that is.
-fn follow_time(board: &mut Blackboard, now: Instant) {
-    if board.replace.is_some_and(|due| due <= now) {
-        board.replace = None;
+fn check_reassignment(board: &mut Blackboard, now: Instant) {
+    if board.reassign_at.is_some_and(|due| due <= now) {
+        board.reassign_at = None;
         board.members.changed = true;
     }
 }
@@ -64,12 +64,12 @@
 ///
 /// Others may have taken its pools and given its slots away. Until a peer has answered a question
 /// asked after the pause, or none has for a while, nothing is dispatched or granted.
-fn wake(board: &mut Blackboard, now: Instant) {
-    board.stale = Some(now);
-    board.woke = Some(now);
-    board.pauses += 1;
-    let number = board.pauses;
-    board.awaited = None;
+fn on_resume(board: &mut Blackboard, now: Instant) {
+    board.stale_since = Some(now);
+    board.resumed_at = Some(now);
+    board.pause_count += 1;
+    let number = board.pause_count;
+    board.awaited_revision = None;
     let me = board.me();
     board.members.reset_stability(now);
     let peers: Vec<InstanceId> = board
@@ -92,27 +92,27 @@
 pub fn on_probe_ack(board: &mut Blackboard, ack: ProbeAck, now: Instant) {
     board.startup.highest_revision = board.startup.highest_revision.max(ack.revision);
     board.startup.peer_serving |= ack.serving;
-    if board.stale.is_some() && ack.number == board.pauses && board.pauses > 0 {
-        board.awaited = board.awaited.max(Some(ack.revision));
-        follow_awaited(board, now);
+    if board.stale_since.is_some() && ack.number == board.pause_count && board.pause_count > 0 {
+        board.awaited_revision = board.awaited_revision.max(Some(ack.revision));
+        check_awaited_revision(board, now);
     }
 }
 
-fn follow_awaited(board: &mut Blackboard, now: Instant) {
-    let awaited = board.awaited;
-    if board.stale.is_some() && awaited.is_some_and(|r| r <= board.config.revision) {
-        confirm(board, now);
+fn check_awaited_revision(board: &mut Blackboard, now: Instant) {
+    let awaited = board.awaited_revision;
+    if board.stale_since.is_some() && awaited.is_some_and(|r| r <= board.config.revision) {
+        confirm_view(board, now);
     }
 }
 
-fn confirm(board: &mut Blackboard, now: Instant) {
-    board.stale = None;
+fn confirm_view(board: &mut Blackboard, now: Instant) {
+    board.stale_since = None;
     board.events.push(Event::ViewConfirmed);
-    board.awaited = None;
+    board.awaited_revision = None;
     board.members.expire_silent(now);
     let keys: Vec<_> = board.queues.keys().copied().collect();
-    board.dirty.extend(keys);
-    for owned in board.owned.values_mut() {
+    board.dirty_queues.extend(keys);
+    for owned in board.owned_pools.values_mut() {
         // Successors may have granted these slots; ask every entry anew before the next grant.
         if owned.active {
             owned.activate(now + board.tuning.rebuild);
@@ -121,14 +121,14 @@
 }
 
 /// Writes the own report and returns the messages of one round.
-pub fn report(board: &mut Blackboard, now: Instant) -> Vec<(InstanceId, Message)> {
+pub fn build_reports(board: &mut Blackboard, now: Instant) -> Vec<(InstanceId, Message)> {
     let pools = board
-        .owned
+        .owned_pools
         .iter()
         .filter(|(_, o)| o.active)
         .map(|(id, o)| PoolState {
             pool: *id,
-            idle: o.idle(now),
+            idle: o.idle_slots(now),
             level: o.level,
         })
         .collect();
@@ -138,7 +138,7 @@
         .reports
         .write_own(&board.members, revision, pools, costs, now);
     let keys: Vec<_> = board.queues.keys().copied().collect();
-    board.dirty.extend(keys);
+    board.dirty_queues.extend(keys);
     let mut messages = board.reports.next_round(&board.members);
     messages.extend(counter_sync::next_request(board));
     messages
--- a/crates/hawthornmill/src/usage/causes.rs
+++ b/crates/hawthornmill/src/usage/causes.rs
@@ -77,15 +77,15 @@
 impl Causes {
     /// Remembers what the board shows now.
     pub fn look(&mut self, board: &Blackboard, now: Instant) {
-        if board.stale.is_some() {
+        if board.stale_since.is_some() {
             self.stale = Some(now);
         }
         for region in cut_regions(board) {
             self.cut.insert(region, now);
         }
-        for (pool, link) in &board.links {
+        for (pool, link) in &board.sessions {
             let known = self.owners.get(pool).copied();
-            let silent = link.owner.is_none_or(|(id, _)| board.silent(id));
+            let silent = link.owner.is_none_or(|(id, _)| board.is_unreachable(id));
             // The first owner that a process hears of is no change.
             let changed = known.is_some() && known != link.owner;
             if silent || changed {
@@ -160,7 +160,7 @@
             .any(|s| config.share(account, *s).is_none())
     };
     let idle = |pool: &PoolId| {
-        let owner = board.links.get(pool).and_then(|l| l.owner);
+        let owner = board.sessions.get(pool).and_then(|l| l.owner);
         owner
             .and_then(|(id, _)| board.reports.pool_state(*pool, id))
             .is_some_and(|s| s.idle > 0)
--- a/tests/testsuite/causes.rs
+++ b/tests/testsuite/causes.rs
@@ -18,7 +18,7 @@
             assert_eq!(accepted, Ok(()));
         }
         let board = &s.boards[0];
-        causes.look(board, board.ticked);
+        causes.look(board, board.last_tick);
     });
 }
 
@@ -26,9 +26,9 @@
 fn why(steps: &Steps, causes: &Causes, account: &str) -> Reason {
     let board = &steps.boards[0];
     let ids = (ServiceId::of("drafting"), AccountId::of(account));
-    let arrived = board.ticked.checked_sub(Duration::from_millis(100));
+    let arrived = board.last_tick.checked_sub(Duration::from_millis(100));
     let arrived = arrived.expect("the steps began seconds ago");
-    causes.why(board, ids.0, ids.1, arrived, board.ticked)
+    causes.why(board, ids.0, ids.1, arrived, board.last_tick)
 }
 
 /// Every slot is taken by the account's own calls; no fault must be named.
@@ -99,8 +99,8 @@
     run(&mut steps, &mut causes, "big", 4000);
 
     let board = &mut steps.boards[0];
-    board.stale = Some(board.ticked);
-    causes.look(board, board.ticked);
+    board.stale_since = Some(board.last_tick);
+    causes.look(board, board.last_tick);
 
     assert_eq!(why(&steps, &causes, "big"), Reason::View);
 }
--- a/tests/testsuite/conservation.rs
+++ b/tests/testsuite/conservation.rs
@@ -63,7 +63,7 @@
         .iter()
         .enumerate()
         .filter(|(n, _)| !steps.dead.contains(n) && !steps.frozen.contains(n))
-        .filter_map(|(_, b)| b.links.get(&pool)?.owner)
+        .filter_map(|(_, b)| b.sessions.get(&pool)?.owner)
         .map(|(id, _)| steps.index(id));
     let mut counts = vec![0; steps.boards.len()];
     for owner in owners {
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -29,7 +29,7 @@
 /// Calls that `server` runs, as the entries see it.
 fn running(steps: &Steps, server: &str) -> usize {
     let id = ServerId::of(server);
-    let links = steps.boards.iter().flat_map(|b| b.links.values());
+    let links = steps.boards.iter().flat_map(|b| b.sessions.values());
     links
         .flat_map(|l| l.held.values())
         .filter(|slot| slot.busy && slot.server == id)
@@ -50,7 +50,7 @@
 fn entries_give_grants_for_a_leaving_server_back() {
     let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
     steps.run(6000, keep_waiting);
-    let pool = steps.boards[0].links.iter().find(|(id, _)| {
+    let pool = steps.boards[0].sessions.iter().find(|(id, _)| {
         let server = ServerId::of("draft-a");
         steps.boards[0].config.pools[id].servers.contains(&server)
     });
@@ -71,7 +71,7 @@
     let others = (0..PLACES.len()).filter(|n| *n != own);
     let id = ServerId::of("draft-a");
     let held = others
-        .flat_map(|n| steps.boards[n].links.values())
+        .flat_map(|n| steps.boards[n].sessions.values())
         .flat_map(|l| l.held.values())
         .filter(|s| s.server == id)
         .count();
@@ -92,13 +92,13 @@
 
         let now = steps.instant();
         for board in &mut steps.boards {
-            let pools: Vec<_> = board.owned.keys().copied().collect();
+            let pools: Vec<_> = board.owned_pools.keys().copied().collect();
             if by_answer {
                 entry::on_server_leaving(board, server, now);
                 continue;
             }
             for pool in pools {
-                owner::on_leaving(board, pool, server, true);
+                owner::on_leaving_reading(board, pool, server, true);
             }
         }
         steps.run(60, keep_waiting);
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -38,8 +38,8 @@
     (0..PLACES.len())
         .filter(|n| !steps.dead.contains(n) && !steps.frozen.contains(n))
         .filter(|n| {
-            let owned = steps.boards[*n].owned.get(&pool_of_a());
-            owned.is_some_and(|o| o.active && o.ready.is_some_and(|r| r <= now))
+            let owned = steps.boards[*n].owned_pools.get(&pool_of_a());
+            owned.is_some_and(|o| o.active && o.ready_at.is_some_and(|r| r <= now))
         })
         .collect()
 }
@@ -202,7 +202,7 @@
         let waiting = steps.waiting(old, "small-1", "drafting");
         steps.step();
         let mut stale = 0;
-        while steps.boards[old].stale.is_some() {
+        while steps.boards[old].stale_since.is_some() {
             assert_eq!(steps.waiting(old, "small-1", "drafting"), waiting);
             steps.step();
             stale += 1;
@@ -233,24 +233,24 @@
     steps.frozen.insert(4);
     steps.run(3000, load);
     steps.frozen.remove(&4);
-    let granted = |steps: &Steps| steps.boards[4].owned[&pool].seq;
+    let granted = |steps: &Steps| steps.boards[4].owned_pools[&pool].seq;
     let before = granted(&steps);
 
     steps.step();
     let earlier = ProbeAck {
-        number: steps.boards[4].pauses - 1,
+        number: steps.boards[4].pause_count - 1,
         revision: 1,
         serving: true,
     };
     let now = steps.instant();
     tick::on_probe_ack(&mut steps.boards[4], earlier, now);
-    let stale = steps.boards[4].stale.is_some();
+    let stale = steps.boards[4].stale_since.is_some();
     let held_back = granted(&steps);
     steps.run(1500, load);
 
     assert!(stale, "an early answer confirms nothing");
     assert_eq!(held_back, before);
-    assert!(steps.boards[4].stale.is_none() && granted(&steps) > before);
+    assert!(steps.boards[4].stale_since.is_none() && granted(&steps) > before);
 }
 
 /// While an instance is stopped, a server is taken out of use. The instance wakes, a peer confirms
@@ -271,13 +271,13 @@
     steps.frozen.remove(&0);
 
     steps.run(500, load);
-    let before = steps.boards[0].stale.is_some();
+    let before = steps.boards[0].stale_since.is_some();
     let (config, manifest, values) = newer.accept(2);
     steps.boards[0].install(config, manifest, values);
     steps.run(100, load);
 
     assert!(before, "no view is confirmed that lacks a revision");
-    assert!(steps.boards[0].stale.is_none());
+    assert!(steps.boards[0].stale_since.is_none());
 }
 
 /// The small fleet with one server of failure domain `a` leaving.
--- a/tests/testsuite/one_fleet.rs
+++ b/tests/testsuite/one_fleet.rs
@@ -48,7 +48,7 @@
     steps
         .boards
         .iter()
-        .flat_map(|b| b.owned.values())
+        .flat_map(|b| b.owned_pools.values())
         .filter(|o| o.active)
         .flat_map(|o| o.servers.values())
         .map(|s| u32::from(s.used))
--- a/tests/testsuite/retries.rs
+++ b/tests/testsuite/retries.rs
@@ -184,7 +184,7 @@
     let mut servers = Vec::new();
     for _ in 0..100 {
         let now = steps.instant();
-        hawthornmill::pools::turn(&mut steps.boards[0], now);
+        hawthornmill::pools::run_due(&mut steps.boards[0], now);
         let of = steps.boards[0]
             .dispatches
             .iter()
@@ -225,6 +225,6 @@
     steps.run(600, |_| {});
 
     assert_eq!(steps.waiting(0, "big", "drafting"), 0);
-    let grants: u32 = steps.boards[0].owned.values().map(|o| o.seq).sum();
+    let grants: u32 = steps.boards[0].owned_pools.values().map(|o| o.seq).sum();
     assert!(grants <= 5, "{grants} grants for one call");
 }
--- a/tests/testsuite/starvation.rs
+++ b/tests/testsuite/starvation.rs
@@ -127,5 +127,9 @@
 }
 
 fn crossed(steps: &Steps) -> u64 {
-    steps.boards.iter().map(|b| b.crossing.bytes).sum()
+    steps
+        .boards
+        .iter()
+        .map(|b| b.cross_region.total_bytes)
+        .sum()
 }
