--- a/crates/hawthornmill/src/lib.rs
+++ b/crates/hawthornmill/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decisions of the hawthornmill router fleet, free of input and output.
 //!
-//! Every instance runs the same daemon. What it knows and what it has decided stands on one
-//! [`blackboard::Blackboard`]: the accepted configuration, the members, the queues of waiting requests, the
+//! Every instance runs the same daemon. Its whole state is one [`blackboard::Blackboard`]: the
+//! accepted configuration, the members, the queues of waiting requests, the
 //! pools that this instance owns, the fairness ledger, and the messages that wait to be sent.
 //! Controllers are plain functions that read and write the board and take `now` as an argument, so
 //! a decision can be driven in microseconds, in a fixed order, without a socket.
--- a/crates/hawthornmill/src/limits/backlog.rs
+++ b/crates/hawthornmill/src/limits/backlog.rs
@@ -1,4 +1,4 @@
-//! What waits at this entry, by account.
+//! Waiting requests at this entry, by account.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,16 @@
 /// Waiting requests and the bytes of their bodies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Backlog {
-    /// Requests.
+    /// Number of requests.
     pub count: usize,
-    /// Bytes of their bodies.
+    /// Total size of their bodies.
     pub bytes: usize,
 }
 
-/// Backlog of every account that waits, and of all together.
+/// Backlog of each account with waiting requests, and the total.
 ///
-/// The sums are kept with every change, so that an arrival costs the same however long the queues
-/// are.
+/// The sums are updated with every change, so that the cost of an arrival doesn't depend on the
+/// length of the queues.
 #[derive(Debug, Clone, Default)]
 pub struct Backlogs {
     accounts: BTreeMap<AccountId, Backlog>,
@@ -25,7 +25,7 @@
 
 impl Backlogs {
     /// Backlog of one account over all services.
-    pub fn of(&self, account: AccountId) -> Backlog {
+    pub fn account(&self, account: AccountId) -> Backlog {
         self.accounts.get(&account).copied().unwrap_or_default()
     }
 
@@ -34,7 +34,7 @@
         self.total
     }
 
-    /// Counts a request of `bytes` in.
+    /// Adds a request of `bytes`.
     pub fn add(&mut self, account: AccountId, bytes: usize) {
         let own = self.accounts.entry(account).or_default();
         for backlog in [own, &mut self.total] {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Counts a request of `bytes` out.
+    /// Removes a request of `bytes`.
     pub fn remove(&mut self, account: AccountId, bytes: usize) {
         let Some(own) = self.accounts.get_mut(&account) else {
             return;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The account with the largest backlog by `size`.
+    /// The account with the largest backlog as measured by `size`.
     pub fn largest(&self, size: impl Fn(Backlog) -> usize) -> Option<(AccountId, Backlog)> {
         self.accounts
             .iter()
--- a/crates/hawthornmill/src/limits/congestion.rs
+++ b/crates/hawthornmill/src/limits/congestion.rs
@@ -1,53 +1,59 @@
-//! Whether an instance's own link is so full that times measured over it tell of the link.
+//! Detects congestion of the instance's own network link.
 //!
-//! Load pattern: callers of a flooding account come to one instance and send more than its link takes. Each answer of
-//! a server then waits behind what they send, for seconds, while the processor is idle. Taken for slow servers, it
-//! would make the instance refuse every request as too long to be in time, and nothing sent could show otherwise.
+//! When a flooding account sends more to one instance than its link carries, responses of servers queue behind that
+//! traffic for seconds while the processor is idle. If the instance took the delay for slow servers, it would reject
+//! every request as unable to meet its deadline, and with no requests sent it would never measure anything better.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use smallvec::SmallVec;
 
-/// Time for which a connection attempt tells of the link.
-const RECENT: Duration = Duration::from_secs(2);
-/// Addresses that must all have been late: a few servers may be gone or slow by themselves.
-const ENOUGH: usize = 3;
-/// Time beyond which attempts are late: two regions are less than that apart.
-const LATE: Duration = Duration::from_millis(100);
+/// Age up to which a connection attempt is taken into account.
+const SAMPLE_VALIDITY: Duration = Duration::from_secs(2);
+/// Addresses that must be slow before the link is blamed; a few servers may be down or slow themselves.
+const MIN_SAMPLES: usize = 3;
+/// Connect time that means congestion; the round trip between two regions is shorter.
+const CONGESTED_CONNECT_TIME: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Clone, Copy)]
-struct Attempt {
-    to: SocketAddr,
+struct Sample {
+    address: SocketAddr,
     took: Duration,
     at: Instant,
 }
 
-/// The last attempts to connect to servers, one for each address.
+/// The most recent connection attempt to each server address.
 #[derive(Debug, Clone, Default)]
 pub struct LinkMonitor {
-    recent: SmallVec<[Attempt; 16]>,
+    recent: SmallVec<[Sample; 16]>,
 }
 
 impl LinkMonitor {
-    /// An attempt to connect to `to` took `took`, whether it succeeded or not.
-    pub fn record_connect(&mut self, to: SocketAddr, took: Duration, now: Instant) {
+    /// Records the duration of a connection attempt to `address`, successful or not.
+    pub fn record_connect(&mut self, address: SocketAddr, took: Duration, now: Instant) {
         self.recent
-            .retain(|a| a.to != to && now.duration_since(a.at) < RECENT);
-        self.recent.push(Attempt { to, took, at: now });
+            .retain(|s| s.address != address && now.duration_since(s.at) < SAMPLE_VALIDITY);
+        self.recent.push(Sample {
+            address,
+            took,
+            at: now,
+        });
     }
 
-    /// How long bytes wait before the link: what all recent attempts have in common; zero when they are too few.
+    /// Estimated queueing delay of the link: the shortest recent connect time, or zero with too few samples.
     pub fn queueing_delay(&self, now: Instant) -> Duration {
         let recent = self.recent.iter();
-        let recent = recent.filter(|a| now.duration_since(a.at) < RECENT);
-        let waits: SmallVec<[Duration; 16]> = recent.map(|a| a.took).collect();
-        let least = waits.iter().min().copied();
-        least.filter(|_| waits.len() >= ENOUGH).unwrap_or_default()
+        let recent = recent.filter(|s| now.duration_since(s.at) < SAMPLE_VALIDITY);
+        let times: SmallVec<[Duration; 16]> = recent.map(|s| s.took).collect();
+        let shortest = times.iter().min().copied();
+        shortest
+            .filter(|_| times.len() >= MIN_SAMPLES)
+            .unwrap_or_default()
     }
 
-    /// Tells whether times that are measured now tell more of the link than of servers.
+    /// Returns true if latencies measured now are dominated by the link rather than by servers.
     pub fn is_congested(&self, now: Instant) -> bool {
-        self.queueing_delay(now) > LATE
+        self.queueing_delay(now) > CONGESTED_CONNECT_TIME
     }
 }
--- a/crates/hawthornmill/src/limits/load_shedding.rs
+++ b/crates/hawthornmill/src/limits/load_shedding.rs
@@ -1,55 +1,53 @@
-//! How far a process is behind with its work, and which new connections it turns away for that.
+//! Sheds new connections while the process is overloaded.
 //!
-//! Load pattern: an account floods, and its callers come in by one instance, whatever they are told. When
-//! that instance has not enough processor to read all, it reads each request late: callers give up on some
-//! before they are read, get refusals when their time is nearly over, and find no place for new connections.
-//! Connections that are closed before anything was read of them cost least, and their callers go to another
-//! instance at once.
+//! A flooding account may send all its calls to one instance, whatever addresses it is given. When the processor
+//! can't keep up, every request is read late: some callers time out before their request is read, others are
+//! rejected just before their deadline, and new connections are not accepted. Closing a connection before reading
+//! anything from it is the cheapest rejection, and its caller tries another instance at once.
 
 use std::time::{Duration, Instant};
 
-/// Lateness from which a process counts as behind and turns connections away: a request takes several of its turns,
-/// and waits in each.
-const FIRST: Duration = Duration::from_millis(15);
-/// Lateness beyond [`FIRST`] at which the most are turned away.
-const RANGE: Duration = Duration::from_millis(45);
-/// Part of the connections that is turned away at most, so that the process is always seen to take some.
-const MOST_PART: f64 = 0.95;
-/// Part of the lateness that is kept when the next timer is less late: a queue takes a while to shrink.
-const KEPT: f64 = 0.25;
-
-/// How late a process runs what is due.
+/// Timer lag above which the process counts as overloaded; a request waits this long several times over.
+const OVERLOAD_LAG: Duration = Duration::from_millis(15);
+/// Lag beyond [`OVERLOAD_LAG`] at which [`MAX_SHED_RATIO`] is reached.
+const SHED_RANGE: Duration = Duration::from_millis(45);
+/// Largest fraction of connections to close, so that the process always accepts some.
+const MAX_SHED_RATIO: f64 = 0.95;
+/// Factor by which the lag decays per timer tick, since a backlog takes a while to drain.
+const LAG_DECAY: f64 = 0.25;
+
+/// Measures the timer lag of the process and derives the fraction of connections to close.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadShedder {
-    late: Duration,
-    due: Option<Instant>,
+    lag: Duration,
+    next_due: Option<Instant>,
 }
 
 impl LoadShedder {
-    /// A timer came at `now`; the next one is due at `next`.
+    /// Records a timer that fired at `now`; the next one is due at `next`.
     pub fn tick(&mut self, now: Instant, next: Instant) {
-        self.late = self.overdue(now).max(self.late.mul_f64(KEPT));
-        self.due = Some(next);
+        self.lag = self.overdue(now).max(self.lag.mul_f64(LAG_DECAY));
+        self.next_due = Some(next);
     }
 
-    /// How late the process is: by its last timer, or by one that should have come already.
+    /// Current lag, from the last timer or from one that is overdue.
     pub fn lag(&self, now: Instant) -> Duration {
-        self.late.max(self.overdue(now))
+        self.lag.max(self.overdue(now))
     }
 
-    /// Tells whether the process is so late that times it measures tell more of itself than of others.
+    /// Returns true if latencies measured now are dominated by the process itself.
     pub fn is_overloaded(&self, now: Instant) -> bool {
-        self.lag(now) > FIRST
+        self.lag(now) > OVERLOAD_LAG
     }
 
     fn overdue(&self, now: Instant) -> Duration {
-        self.due
+        self.next_due
             .map_or(Duration::ZERO, |due| now.saturating_duration_since(due))
     }
 
-    /// Part of the new connections to turn away.
+    /// Fraction of new connections to close.
     pub fn shed_ratio(&self, now: Instant) -> f64 {
-        let over = self.lag(now).saturating_sub(FIRST).as_secs_f64();
-        (over / RANGE.as_secs_f64()).min(MOST_PART)
+        let over = self.lag(now).saturating_sub(OVERLOAD_LAG).as_secs_f64();
+        (over / SHED_RANGE.as_secs_f64()).min(MAX_SHED_RATIO)
     }
 }
--- a/crates/hawthornmill/src/limits/mod.rs
+++ b/crates/hawthornmill/src/limits/mod.rs
@@ -1,13 +1,13 @@
-//! Bounds on what waits, and retries of calls that failed.
+//! Limits on waiting requests, retries and new connections.
 //!
 //! | module | decides |
 //! |---|---|
-//! | [`backlog`] | how much of each account waits here, and who makes room |
-//! | [`link`] | whether the own link is so full that times measured over it tell of the link |
-//! | [`pace`] | how fast a queue is served here, so when a caller may come back |
-//! | [`patience`] | how long a peer is given to answer a question |
-//! | [`retry`] | whether a call that failed is tried again, and after which pause |
-//! | [`strain`] | how far the process is behind, and which new connections it turns away for that |
+//! | [`backlog`] | how many requests of each account wait here |
+//! | [`congestion`] | whether the instance's own network link is congested |
+//! | [`load_shedding`] | how many new connections an overloaded process closes |
+//! | [`queue_rate`] | how fast a queue is served, and when a refused caller should retry |
+//! | [`retry`] | whether a failed call is retried, and after which delay |
+//! | [`timeout`] | how long to wait for a peer's response |
 
 pub mod backlog;
 pub mod congestion;
--- a/crates/hawthornmill/src/limits/queue_rate.rs
+++ b/crates/hawthornmill/src/limits/queue_rate.rs
@@ -1,27 +1,27 @@
-//! How fast a queue is served at this entry.
+//! Service rate of a queue at this entry.
 
 use std::time::{Duration, Instant};
 
-/// Weight of the newest sample once an average is settled.
+/// Lowest weight of the newest sample in an average.
 ///
-/// Grants come in bursts of up to [`BURST`], so an average over as few samples would swing with them.
-const WEIGHT: f64 = 1.0 / 64.0;
-/// Samples after which an average is settled.
-const SETTLED: u32 = 16;
-/// Samples that one message of an owner may bring at once, so that a gap may be this much longer.
-const BURST: u32 = 16;
-/// Gap that is assumed before anything was served.
-const FIRST_GAP: f64 = 0.02;
-/// Part by which a predicted wait may be too short.
-const MARGIN: f64 = 1.25;
-/// Times the mean that a request may hold its slot: a longer one than most must be done in time too.
-const LONG: f64 = 2.0;
-/// Bounds of the time after which a caller is told to come back.
-const RETRY_AFTER: (f64, f64) = (0.05, 30.0);
-/// Part of the time to come back that is added at most at random.
+/// Grants come in bursts of up to [`MAX_BURST`], so an average over that few samples would oscillate.
+const MIN_SAMPLE_WEIGHT: f64 = 1.0 / 64.0;
+/// Samples after which an average is reliable.
+const MIN_SAMPLES: u32 = 16;
+/// Grants that one message of an owner may carry; the gap before it may be this many times the mean.
+const MAX_BURST: u32 = 16;
+/// Gap between dispatches to assume before the first sample.
+const INITIAL_GAP_S: f64 = 0.02;
+/// Safety factor on a predicted wait.
+const WAIT_FACTOR: f64 = 1.25;
+/// Multiple of the mean holding time to allow for, so that longer requests meet their deadline too.
+const HOLDING_TIME_FACTOR: f64 = 2.0;
+/// Lower and upper bound of the time after which a refused caller should retry.
+const RETRY_AFTER_S: (f64, f64) = (0.05, 30.0);
+/// Largest random addition to the retry time, as a fraction of it.
 const JITTER: f64 = 0.5;
 
-/// Mean of samples, the newer ones weighing more.
+/// Exponentially weighted moving average; a plain mean for the first samples.
 #[derive(Debug, Clone, Copy, Default)]
 struct Average {
     value: f64,
@@ -31,83 +31,83 @@
 impl Average {
     fn add(&mut self, sample: f64) {
         self.samples = self.samples.saturating_add(1);
-        let weight = WEIGHT.max(1.0 / f64::from(self.samples));
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
         self.value += weight * (sample - self.value);
     }
 
-    fn settled(&self) -> bool {
-        self.samples >= SETTLED
+    fn is_reliable(&self) -> bool {
+        self.samples >= MIN_SAMPLES
     }
 }
 
-/// QueueRate of the queue of one account and service.
+/// Service rate of the queue of one account and service.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct QueueRate {
-    last: Option<Instant>,
+    last_dispatch: Option<Instant>,
     gap: Average,
-    hold: Average,
+    holding_time: Average,
 }
 
 impl QueueRate {
-    /// A request left the queue for a server, and `left` others still wait.
+    /// Records that a request was dispatched while `remaining` others still wait.
     ///
-    /// Only gaps while others wait are counted: an empty queue says nothing of how fast it would
-    /// be served.
-    pub fn record_dispatch(&mut self, left: usize, now: Instant) {
-        if let Some(last) = self.last {
+    /// Only gaps while others wait are counted: an empty queue doesn't show how fast it would be
+    /// served.
+    pub fn record_dispatch(&mut self, remaining: usize, now: Instant) {
+        if let Some(last) = self.last_dispatch {
             self.gap.add(now.duration_since(last).as_secs_f64());
         }
-        self.last = (left > 0).then_some(now);
+        self.last_dispatch = (remaining > 0).then_some(now);
     }
 
-    /// The queue ran empty without a request being served.
+    /// Records that the queue became empty without a dispatch.
     pub fn on_empty(&mut self) {
-        self.last = None;
+        self.last_dispatch = None;
     }
 
-    /// A request held its slot for `time`.
+    /// Records that a request held its slot for `time`.
     pub fn record_holding_time(&mut self, time: Duration) {
-        self.hold.add(time.as_secs_f64());
+        self.holding_time.add(time.as_secs_f64());
     }
 
-    /// Mean time that a request holds its slot; none until some have.
+    /// Mean time that a request holds its slot, once there are enough samples.
     pub fn mean_holding_time(&self) -> Option<Duration> {
-        self.hold
-            .settled()
-            .then(|| Duration::from_secs_f64(self.hold.value))
+        self.holding_time
+            .is_reliable()
+            .then(|| Duration::from_secs_f64(self.holding_time.value))
     }
 
-    /// Seconds between two requests that are served.
+    /// Seconds between two dispatches.
     fn gap(&self, now: Instant) -> f64 {
         let mean = if self.gap.samples == 0 {
-            FIRST_GAP
+            INITIAL_GAP_S
         } else {
             self.gap.value
         };
-        // When nothing is served any more no sample comes either; the silence itself is one then.
-        let silence = self.last.map_or(0.0, |last| {
-            now.duration_since(last).as_secs_f64() / f64::from(BURST)
+        // A stalled queue yields no samples, so the time since the last dispatch counts as one.
+        let stall = self.last_dispatch.map_or(0.0, |last| {
+            now.duration_since(last).as_secs_f64() / f64::from(MAX_BURST)
         });
-        mean.max(silence)
+        mean.max(stall)
     }
 
-    /// Tells whether a request behind `ahead` others can't be answered within `left`.
+    /// Returns true if a request behind `ahead` others is unlikely to finish within `left`.
     pub fn misses_deadline(&self, ahead: usize, left: Duration, now: Instant) -> bool {
-        if !self.gap.settled() {
+        if !self.gap.is_reliable() {
             return false;
         }
-        let wait = ahead as f64 * self.gap(now) * MARGIN;
-        let hold = self.mean_holding_time().unwrap_or_default().as_secs_f64();
-        wait + LONG * hold > left.as_secs_f64()
+        let wait = ahead as f64 * self.gap(now) * WAIT_FACTOR;
+        let holding_time = self.mean_holding_time().unwrap_or_default().as_secs_f64();
+        wait + HOLDING_TIME_FACTOR * holding_time > left.as_secs_f64()
     }
 
-    /// When a caller that was refused may come back to a queue of `ahead` requests.
+    /// Time after which a refused caller should retry on a queue of `ahead` requests.
     ///
-    /// By then half of the queue has been served. `draw` lies between 0 and 1 and spreads callers
-    /// that were refused together.
+    /// Half of the queue has been served by then. `draw` is a random number between 0 and 1 that
+    /// spreads callers that were refused together.
     pub fn retry_after(&self, ahead: usize, draw: f64, now: Instant) -> Duration {
         let half = (ahead as f64 / 2.0).max(1.0) * self.gap(now);
-        let spread = half.clamp(RETRY_AFTER.0, RETRY_AFTER.1) * (1.0 + JITTER * draw);
-        Duration::from_secs_f64(spread)
+        let delay = half.clamp(RETRY_AFTER_S.0, RETRY_AFTER_S.1) * (1.0 + JITTER * draw);
+        Duration::from_secs_f64(delay)
     }
 }
--- a/crates/hawthornmill/src/limits/retry.rs
+++ b/crates/hawthornmill/src/limits/retry.rs
@@ -1,78 +1,78 @@
-//! Whether a call that failed is tried again.
+//! Retries of failed calls.
 //!
-//! Only calls that may repeat come here, and only before any byte of an answer was passed on. A try
-//! that reached no server puts no load on any, so it is bounded by [`MAX_ATTEMPTS`] and the deadline
-//! alone. A try that a server may have run is paid from the service's `Budget`, which successful
-//! calls fill: when everything fails, retries stop adding to the load.
+//! Only idempotent calls are retried, and only before any byte of a response was forwarded. An
+//! attempt that reached no server adds no load, so only [`MAX_ATTEMPTS`] and the deadline bound it.
+//! An attempt that a server may have run is taken from the service's retry `Budget`, which
+//! successful calls refill: during an outage, retries stop adding to the load.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use crate::ident::{AccountId, ServerId, ServiceId};
 
-/// Tries that one call may make, the first included.
+/// Attempts of one call, including the first.
 pub const MAX_ATTEMPTS: u32 = 4;
-/// Retries that one successful call pays for.
-const RATIO: f64 = 0.1;
-/// Retries that a budget holds at most.
-const MOST: f64 = 20.0;
-/// Retries that a budget holds at first.
-const FIRST: f64 = 20.0;
-/// Part of the budget, and of what fills it, that the failures of one server may use.
-const PART: f64 = 0.5;
-/// Pause before the first retry; each further one doubles it.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Longest pause.
-const MOST_PAUSE: Duration = Duration::from_millis(500);
-
-/// How a try failed.
+/// Retries that one successful call adds to the budget.
+const RETRIES_PER_SUCCESS: f64 = 0.1;
+/// Largest retry budget.
+const MAX_BUDGET: f64 = 20.0;
+/// Initial retry budget.
+const INITIAL_BUDGET: f64 = 20.0;
+/// Fraction of the budget, and of its refill, that the failures of one server may use.
+const MAX_SERVER_FRACTION: f64 = 0.5;
+/// Delay before the first retry; it doubles with each further one.
+const INITIAL_DELAY: Duration = Duration::from_millis(20);
+/// Longest delay before a retry.
+const MAX_DELAY: Duration = Duration::from_millis(500);
+
+/// How an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// No connection was made.
     Unreachable,
-    /// The server may have run the call: the connection broke, or the answer can't be used.
+    /// The server may have run the call: the connection broke, or the response is invalid.
     Broken,
-    /// The server answered that it, or what stands behind it, can't serve now (502, 503, 504).
+    /// The server responded that it or its upstream is unavailable (502, 503, 504).
     Unavailable,
 }
 
-/// A try that failed.
+/// A failed attempt of a call.
 #[derive(Debug, Clone, Copy)]
 pub struct FailedAttempt {
-    /// Service that was called.
+    /// The service called.
     pub service: ServiceId,
-    /// Account that called.
+    /// The account of the caller.
     pub account: AccountId,
-    /// Server that failed.
+    /// The server that failed.
     pub server: ServerId,
-    /// How.
+    /// How it failed.
     pub failure: Failure,
-    /// Number of the try, from 1.
+    /// Number of the attempt, starting at 1.
     pub attempt: u32,
-    /// When the caller gives up.
+    /// Deadline of the call.
     pub deadline: Instant,
 }
 
-/// What a server's failures have used.
+/// Retries that the failures of one server have used.
 #[derive(Debug, Clone, Copy, Default)]
-struct Used {
+struct ServerUsage {
     retries: f64,
-    /// Successes of the service when `retries` was last brought up to date.
-    at: u64,
+    /// Successes of the service when `retries` was last updated.
+    at_successes: u64,
 }
 
-/// Retries that one service may still make.
+/// Retry budget of one service.
 #[derive(Debug, Clone)]
 struct Budget {
-    left: f64,
+    remaining: f64,
     successes: u64,
-    servers: BTreeMap<ServerId, Used>,
+    servers: BTreeMap<ServerId, ServerUsage>,
 }
 
 impl Default for Budget {
     fn default() -> Self {
         Self {
-            left: FIRST,
+            remaining: INITIAL_BUDGET,
             successes: 0,
             servers: BTreeMap::new(),
         }
@@ -80,63 +80,71 @@
 }
 
 impl Budget {
-    fn succeed(&mut self) {
+    fn record_success(&mut self) {
         self.successes += 1;
-        self.left = (self.left + RATIO).min(MOST);
+        self.remaining = (self.remaining + RETRIES_PER_SUCCESS).min(MAX_BUDGET);
     }
 
-    /// Takes one retry on account of `server`; false when there is none for it.
-    fn take(&mut self, server: ServerId) -> bool {
+    /// Takes one retry after a failure of `server`; returns false if none is left for it.
+    fn try_take(&mut self, server: ServerId) -> bool {
         let successes = self.successes;
-        let used = self.servers.entry(server).or_default();
-        let earned = (successes - used.at) as f64 * RATIO * PART;
-        used.retries = (used.retries - earned).max(0.0);
-        used.at = successes;
-        // A server that fails everything would use up the whole budget, and a call that another
-        // server failed for once would find none; so each has only a part of it.
-        if self.left < 1.0 || used.retries + 1.0 > MOST * PART {
+        let usage = self.servers.entry(server).or_default();
+        let earned =
+            (successes - usage.at_successes) as f64 * RETRIES_PER_SUCCESS * MAX_SERVER_FRACTION;
+        usage.retries = (usage.retries - earned).max(0.0);
+        usage.at_successes = successes;
+        // Without a bound per server, one that fails every call would use up the whole budget and
+        // leave none for the occasional failure of another.
+        if self.remaining < 1.0 || usage.retries + 1.0 > MAX_BUDGET * MAX_SERVER_FRACTION {
             return false;
         }
-        used.retries += 1.0;
-        self.left -= 1.0;
-        self.servers
-            .retain(|_, u| u.retries > (successes - u.at) as f64 * RATIO * PART);
+        usage.retries += 1.0;
+        self.remaining -= 1.0;
+        self.servers.retain(|_, u| {
+            u.retries
+                > (successes - u.at_successes) as f64 * RETRIES_PER_SUCCESS * MAX_SERVER_FRACTION
+        });
         true
     }
 }
 
-/// Failures of a server since its last answer.
+/// Failures of a server since its last successful response.
 #[derive(Debug, Clone, Copy)]
-struct Failing {
-    /// Account that met the first of them.
-    first: AccountId,
-    /// It is the server's fault: another account met one too, or a call that failed here was
-    /// answered elsewhere.
-    proved: bool,
+struct FailingServer {
+    /// Account whose call failed first.
+    first_account: AccountId,
+    /// The server is at fault: calls of a second account failed too, or a call that failed here
+    /// succeeded on another server.
+    at_fault: bool,
 }
 
-/// Retry budgets of one instance, and servers that fail.
+/// Retry budgets of one instance, and its failing servers.
 #[derive(Debug, Clone, Default)]
 pub struct Retries {
     budgets: BTreeMap<ServiceId, Budget>,
-    failing: BTreeMap<ServerId, Failing>,
+    failing: BTreeMap<ServerId, FailingServer>,
 }
 
 impl Retries {
-    /// A server has begun to answer a call that had failed at the servers `before`.
-    pub fn record_success(&mut self, service: ServiceId, server: ServerId, before: &[ServerId]) {
-        self.budgets.entry(service).or_default().succeed();
+    /// Records that `server` began to respond to a call that had failed on `failed_servers`.
+    pub fn record_success(
+        &mut self,
+        service: ServiceId,
+        server: ServerId,
+        failed_servers: &[ServerId],
+    ) {
+        self.budgets.entry(service).or_default().record_success();
         self.failing.remove(&server);
-        for failed in before {
+        for failed in failed_servers {
             if let Some(failing) = self.failing.get_mut(failed) {
-                failing.proved = true;
+                failing.at_fault = true;
             }
         }
     }
 
-    /// The pause before the next try, or none when the call is given up.
+    /// Delay before the next attempt, or `None` if the call must not be retried.
     ///
-    /// `draw` lies between 0 and 1 and spreads the retries of calls that failed together.
+    /// `draw` is a random number between 0 and 1 that spreads retries of calls that failed together.
     pub fn retry_delay(
         &mut self,
         failed: &FailedAttempt,
@@ -146,39 +154,45 @@
         if failed.attempt >= MAX_ATTEMPTS {
             return None;
         }
-        let doubled = PAUSE * 2_u32.saturating_pow(failed.attempt - 1);
-        let pause = doubled.min(MOST_PAUSE).mul_f64(0.5 + draw / 2.0);
-        if now + pause >= failed.deadline {
+        let doubled = INITIAL_DELAY * 2_u32.saturating_pow(failed.attempt - 1);
+        let delay = doubled.min(MAX_DELAY).mul_f64(0.5 + draw / 2.0);
+        if now + delay >= failed.deadline {
             return None;
         }
         let free = failed.failure == Failure::Unreachable;
         let budget = self.budgets.entry(failed.service).or_default();
-        (free || budget.take(failed.server)).then_some(pause)
+        (free || budget.try_take(failed.server)).then_some(delay)
     }
 
-    /// Tells whether the owner should keep work from the server for a while.
+    /// Records a failure; returns true if the owner should keep work from the server for a while.
     ///
-    /// A server that fails at once frees its slots faster than any other and would draw all work to
-    /// itself. But one account's calls may be what makes it fail: the others must not lose the server
-    /// for that. So a server that takes connections is suspect only once two accounts have met its
-    /// failures without an answer between, or a call that failed there was answered elsewhere.
+    /// A server that fails immediately frees its slots faster than any other and would attract all
+    /// work. But the calls of one account may be what makes it fail, and the other accounts must not
+    /// lose the server for that. So a reachable server is at fault only once calls of two accounts
+    /// have failed with no success in between, or a call that failed there succeeded elsewhere.
     pub fn record_failure(&mut self, failed: &FailedAttempt) -> bool {
-        let failing = self.failing.entry(failed.server).or_insert(Failing {
-            first: failed.account,
-            proved: false,
+        let failing = self.failing.entry(failed.server).or_insert(FailingServer {
+            first_account: failed.account,
+            at_fault: false,
         });
-        failing.proved |= failing.first != failed.account;
-        failing.proved || failed.failure == Failure::Unreachable
+        failing.at_fault |= failing.first_account != failed.account;
+        failing.at_fault || failed.failure == Failure::Unreachable
     }
 
-    /// Forgets services and servers that `keep` and `known` do not know.
-    pub fn retain(&mut self, known: impl Fn(ServiceId) -> bool, keep: impl Fn(ServerId) -> bool) {
-        self.budgets.retain(|service, _| known(*service));
-        self.failing.retain(|server, _| keep(*server));
+    /// Removes all services and servers for which the predicates return false.
+    pub fn retain(
+        &mut self,
+        keep_service: impl Fn(ServiceId) -> bool,
+        keep_server: impl Fn(ServerId) -> bool,
+    ) {
+        self.budgets.retain(|service, _| keep_service(*service));
+        self.failing.retain(|server, _| keep_server(*server));
     }
 
-    /// Retries that `service` may still make.
+    /// Remaining retry budget of `service`.
     pub fn remaining(&self, service: ServiceId) -> f64 {
-        self.budgets.get(&service).map_or(FIRST, |b| b.left)
+        self.budgets
+            .get(&service)
+            .map_or(INITIAL_BUDGET, |b| b.remaining)
     }
 }
--- a/crates/hawthornmill/src/limits/timeout.rs
+++ b/crates/hawthornmill/src/limits/timeout.rs
@@ -1,17 +1,16 @@
-//! How long a peer is given to answer a question.
+//! Adaptive timeout for a peer's response.
 //!
-//! Load pattern: an instance's own link is full, or its process is behind, so that every answer reaches it late.
-//! Given up each time after the usual time, no question would ever be answered, and the instance would go on by an
-//! old configuration.
+//! When an instance's own link is congested or its process is overloaded, every response reaches it late. With a fixed
+//! timeout no request would ever succeed, and the instance would keep serving an old configuration.
 
 use std::time::Duration;
 
-/// Time for an answer at first: several round trips between regions, and a catalog's way.
+/// Initial timeout: several round trips between regions and the transfer of a catalog.
 const INITIAL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Most time for an answer.
+/// Upper bound of the timeout.
 pub const MAX_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time for the next answer; it doubles with each one that a peer who lives does not give.
+/// Response timeout that doubles each time a live peer exceeds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdaptiveTimeout(Duration);
 
@@ -22,16 +21,16 @@
 }
 
 impl AdaptiveTimeout {
-    /// Time for the next answer.
+    /// Timeout for the next request.
     pub const fn current(self) -> Duration {
         self.0
     }
 
-    /// An answer did not come in time; `alive` says that its peer was heard meanwhile.
+    /// Records a timeout; `peer_alive` means that the peer was heard in the meantime.
     ///
-    /// More time for one that is gone would only hold up the question to the next one.
-    pub fn on_timeout(&mut self, alive: bool) {
-        if alive {
+    /// A longer timeout for a dead peer would only delay the request to the next one.
+    pub fn on_timeout(&mut self, peer_alive: bool) {
+        if peer_alive {
             self.0 = (self.0 * 2).min(MAX_TIMEOUT);
         }
     }
--- a/crates/hawthornmill/src/pools/queue.rs
+++ b/crates/hawthornmill/src/pools/queue.rs
@@ -66,7 +66,7 @@
 /// # Errors
 /// [`Code::QueueFull`]; asked before a body is read, so that a flood costs no memory for bodies.
 pub fn check_account_limits(board: &Blackboard, arrival: &Arrival) -> Result<(), Code> {
-    let held = board.backlogs.of(arrival.account);
+    let held = board.backlogs.account(arrival.account);
     let fits = board
         .config
         .accounts
@@ -90,7 +90,7 @@
         } else {
             return Ok(());
         };
-        let mut own = board.backlogs.of(arrival.account);
+        let mut own = board.backlogs.account(arrival.account);
         own.count += 1;
         own.bytes += arrival.bytes;
         let largest = board.backlogs.largest(size);
