--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -258,7 +258,7 @@
     };
     match event {
         Event::InstanceDown(id) => {
-            log::warn!(target: "membership", "{} is not heard any more", name(id))
+            log::warn!(target: "membership", "{} is not heard any more", name(id));
         }
         Event::InstanceUp(id) => log::info!(target: "membership", "{} is heard", name(id)),
         Event::OwnerChanged(pool, id) => {
--- a/crates/hawthornmill/src/blackboard.rs
+++ b/crates/hawthornmill/src/blackboard.rs
@@ -1,8 +1,8 @@
-//! The blackboard that controllers read and write.
+//! The blackboard: state that all controllers share.
 //!
-//! Adapters feed events in through the controllers' functions, call [`crate::pools::run_due()`], and drain
-//! what the turn left: messages for peers, dispatches of waiting requests, refusals. Nothing on the
-//! board blocks, and nothing in it reads a clock.
+//! Adapters pass events to the controllers' functions, call [`crate::pools::run_due()`], and drain the
+//! results: messages for peers, dispatches of waiting requests, rejections. Nothing here blocks or
+//! reads a clock.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -25,41 +25,41 @@
 use crate::wire::message::{Contact, GrantId, Message};
 
 slotmap::new_key_type! {
-    /// A request that waits at this entry.
+    /// Identifies a request that waits at this entry.
     pub struct RequestKey;
 }
 
-/// Who schedules.
+/// How slots are scheduled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
     /// An owner for each pool grants slots to entries.
     Pooled,
-    /// Each instance schedules alone on its part of every server's slots; a measured baseline.
+    /// Each instance schedules its fixed share of every server's slots; a baseline for measurements.
     Static,
 }
 
-/// Durations and bounds of the controllers.
+/// Tunable durations and limits of the controllers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tuning {
-    /// Who schedules.
+    /// How slots are scheduled.
     pub policy: Policy,
-    /// Time for which a new owner only collects what entries hold.
+    /// Time for which a new owner collects held slots from entries before it grants.
     pub rebuild: Duration,
-    /// Time between reports.
+    /// Interval between reports.
     pub report: Duration,
-    /// Time for which an unreachable server gets no grants.
+    /// Time for which a failed server gets no grants.
     pub penalty: Duration,
     /// Gap between two ticks after which the process counts as paused.
     pub pause: Duration,
-    /// Longest time without dispatch after a pause when no peer answers.
+    /// Longest time without dispatching after a pause if no peer responds.
     pub confirm: Duration,
-    /// Requests that may wait at this instance, over all accounts.
+    /// Largest number of requests that wait at this instance, over all accounts.
     pub max_waiting: usize,
-    /// Bytes of waiting bodies at this instance, over all accounts.
+    /// Largest total size of waiting bodies at this instance, over all accounts.
     pub max_bytes: usize,
-    /// Lag behind the most served account that is remembered, in slots × estimated cost.
+    /// Largest lag behind the most served account that is made up for, in slots × estimated cost.
     pub lag_cap: f64,
-    /// Bytes of calls a second that this entry may exchange with servers in other regions.
+    /// Bytes per second that this entry may exchange with servers in other regions.
     pub cross_bytes: f64,
 }
 
@@ -80,29 +80,29 @@
     }
 }
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Debug, Clone)]
 pub struct Waiting {
-    /// Service that it calls.
+    /// The service called.
     pub service: ServiceId,
-    /// Account that pays.
+    /// The account charged.
     pub account: AccountId,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived: Instant,
-    /// When the caller gives up.
+    /// Deadline of the caller.
     pub deadline: Instant,
-    /// Bytes of its body.
+    /// Size of its body.
     pub bytes: usize,
-    /// Servers that failed it already.
+    /// Servers that failed this request.
     pub avoid: SmallVec<[ServerId; 2]>,
-    /// Grants of servers to avoid that it let go by.
+    /// Declined grants for servers in `avoid`.
     pub declined: u8,
 }
 
-/// A request that may go to a server now.
+/// A request to send to a server.
 #[derive(Debug, Clone)]
 pub struct Dispatch {
-    /// The request; it waits no longer.
+    /// The request, which is no longer waiting.
     pub request: RequestKey,
     /// Pool of the slot.
     pub pool: PoolId,
@@ -114,11 +114,11 @@
     pub owner: InstanceId,
     /// Share of the account on that server.
     pub share: f64,
-    /// When it arrived.
+    /// Time of arrival of the request.
     pub arrived: Instant,
 }
 
-/// The blackboard.
+/// Shared state of all controllers of one instance.
 #[derive(Debug)]
 pub struct Blackboard {
     /// This process run.
@@ -131,66 +131,66 @@
     pub manifest: Manifest,
     /// Texts of the configuration in force, for peers that ask.
     pub values: Arc<Values>,
-    /// Revisions that are not held.
+    /// Configuration revisions that are being fetched.
     pub intake: Intake,
-    /// What this instance was told at its start.
+    /// What peers and the platform reported during startup.
     pub startup: Startup,
     /// The platform's instance list.
     pub roster: Roster,
-    /// Instances.
+    /// All known instances.
     pub members: Members,
     /// Reports of all instances.
     pub reports: Reports,
     /// Fairness counters.
     pub ledger: Ledger,
-    /// Peers that were asked for their counters since the start.
+    /// Requests for fairness counters sent since startup.
     pub counter_requests: u32,
-    /// Requests that wait at this entry.
+    /// Waiting requests.
     pub waiting: SlotMap<RequestKey, Waiting>,
-    /// How much waits, by account.
+    /// Backlog of each account.
     pub backlogs: Backlogs,
-    /// How fast each queue is served.
+    /// Service rate of each queue.
     pub queue_rates: BTreeMap<(ServiceId, AccountId), QueueRate>,
-    /// Order of waiting requests.
+    /// Waiting requests in order of arrival.
     pub queues: BTreeMap<(ServiceId, AccountId), VecDeque<RequestKey>>,
-    /// Queues that changed since their demand was last told.
+    /// Queues that changed since their demand was last sent to owners.
     pub dirty_queues: BTreeSet<(ServiceId, AccountId)>,
-    /// Dealings of this entry with the owner of each pool.
+    /// Session of this entry with the owner of each pool.
     pub sessions: BTreeMap<PoolId, OwnerSession>,
-    /// Pools for which other entries or this one have sent demand here.
+    /// Pools that this instance owns, or for which entries have sent demand here.
     pub owned_pools: BTreeMap<PoolId, OwnedPool>,
-    /// Servers whose answers said that they are leaving, and when.
+    /// Servers that announced in a response that they are leaving, and when.
     pub leaving_servers: BTreeMap<ServerId, Instant>,
-    /// Connections to these instances broke and have not been renewed.
+    /// Instances to which the connection broke and is not re-established.
     pub broken_peers: BTreeSet<InstanceId>,
-    /// A pause made this instance's view old; nothing is dispatched until it is confirmed.
+    /// Since when the view is stale after a pause; nothing is dispatched until it is confirmed.
     pub stale_since: Option<Instant>,
-    /// When the last pause was noticed.
+    /// When the last pause was detected.
     pub resumed_at: Option<Instant>,
-    /// Numbers of the pause, to tell confirmations apart.
+    /// Number of pauses so far; probes carry it so that responses can be matched to a pause.
     pub pause_count: u64,
-    /// Revision that a peer named after the pause; the view is old until it is in force.
+    /// Revision that a peer reported after the pause; the view is stale until it is in force.
     pub awaited_revision: Option<u64>,
-    /// Messages that wait to be sent.
+    /// Messages to send.
     pub outbox: Vec<(InstanceId, Message)>,
-    /// Requests that may go to a server.
+    /// Requests to send to servers.
     pub dispatches: Vec<Dispatch>,
-    /// Events that operators should read in the log.
+    /// Events to log.
     pub events: Vec<Event>,
-    /// Requests that are given up.
+    /// Rejected requests.
     pub refusals: Vec<(RequestKey, Code)>,
-    /// Bytes of calls that may still cross to other regions.
+    /// Budget of bytes for calls to other regions.
     pub cross_region: CrossRegionBudget,
-    /// Last tick.
+    /// Time of the last tick.
     pub last_tick: Instant,
-    /// When owners must be worked out anew although nothing changed.
+    /// When owners must be recomputed because an instance becomes stable.
     pub reassign_at: Option<Instant>,
-    /// Revision whose servers and slots the owned pools have.
+    /// Configuration revision from which the servers and slots of the owned pools were taken.
     pub sized_revision: u64,
 }
 
 impl Blackboard {
-    /// An empty board for one process run.
+    /// Creates the initial state for one process run.
     pub fn new(contact: Contact, incarnation: Incarnation, tuning: Tuning, now: Instant) -> Self {
         let me = InstanceId::of(&contact.name);
         let cross_region = CrossRegionBudget::new(tuning.cross_bytes, now);
@@ -240,7 +240,7 @@
         self.members.me
     }
 
-    /// Puts a checked configuration in force; false when it is not newer.
+    /// Puts a validated configuration in force; returns false if it is not newer.
     pub fn install(&mut self, config: FleetConfig, manifest: Manifest, values: Values) -> bool {
         if config.revision <= self.config.revision {
             return false;
@@ -258,7 +258,7 @@
         true
     }
 
-    /// Tells whether nothing may be expected of `owner` now, so that held slots are kept.
+    /// Returns true if `owner` can't be reached now, so that held slots are retained.
     pub fn is_unreachable(&self, owner: InstanceId) -> bool {
         owner != self.me()
             && (self.broken_peers.contains(&owner)
--- a/crates/hawthornmill/src/events.rs
+++ b/crates/hawthornmill/src/events.rs
@@ -1,22 +1,22 @@
-//! What operators should read in the log about decisions.
+//! Events that are logged for operators.
 //!
-//! Controllers leave notes on the board; an adapter writes them.
+//! Controllers append events to the blackboard; an adapter writes them to the log.
 
 use std::time::Duration;
 
 use crate::ident::{InstanceId, PoolId};
 
-/// One event worth a log line.
+/// An event to log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// A member has not been heard for too long.
+    /// A member timed out.
     InstanceDown(InstanceId),
-    /// A member is heard again, or for the first time.
+    /// A member is live again, or for the first time.
     InstanceUp(InstanceId),
-    /// A pool has another owner in this instance's view.
+    /// The owner of a pool changed in this instance's view.
     OwnerChanged(PoolId, InstanceId),
-    /// This process was stopped for about so long.
+    /// This process was stopped for about this time.
     ProcessPaused(Duration),
-    /// The view was confirmed after a pause; calls are dispatched again.
+    /// The view was confirmed after a pause, and dispatching resumes.
     ViewConfirmed,
 }
--- a/crates/hawthornmill/src/fairness/counter_sync.rs
+++ b/crates/hawthornmill/src/fairness/counter_sync.rs
@@ -1,22 +1,22 @@
-//! How an instance that starts learns the counters of the fleet.
+//! Transfer of the fleet's fairness counters to a starting instance.
 //!
-//! An instance without state would take every account for equal and serve those first that had their
-//! share already. It asks one live peer after another, nearest first, and stops after some tries: at
-//! the start of a whole fleet there is nobody to ask.
+//! Without the counters an instance would treat all accounts as equal and might prefer those that
+//! already had their share. It asks one live peer after another, nearest first, and gives up after
+//! `MAX_REQUESTS`: when the whole fleet starts, no peer has any counters.
 
 use crate::blackboard::Blackboard;
 use crate::ident::InstanceId;
 use crate::wire::message::{Message, Standing};
 
-/// Peers that are asked, one with each report, before an instance starts from zero.
+/// Requests, one per report interval, before an instance starts from zero.
 const MAX_REQUESTS: u32 = 8;
 
-/// The question that is due with this report, if any.
+/// Returns the request to send with this report, if any.
 pub fn next_request(board: &mut Blackboard) -> Option<(InstanceId, Message)> {
     if board.ledger.is_synced() {
         return None;
     }
-    let turn = board.counter_requests as usize;
+    let next = board.counter_requests as usize;
     board.counter_requests += 1;
     if board.counter_requests > MAX_REQUESTS {
         board.ledger.mark_synced();
@@ -30,20 +30,20 @@
         .map(|(id, m)| (m.domain != own.domain, m.region != own.region, id))
         .collect();
     peers.sort_unstable();
-    let (_, _, peer) = peers.get(turn % peers.len().max(1))?;
+    let (_, _, peer) = peers.get(next % peers.len().max(1))?;
     Some((*peer, Message::StandingPull))
 }
 
-/// Answers a peer that starts; an instance that has yet to learn the counters itself says nothing.
+/// Responds to a starting peer, unless this instance has yet to receive the counters itself.
 pub fn respond(board: &mut Blackboard, peer: InstanceId) {
     if board.ledger.is_synced() {
-        let standing = board.ledger.snapshot(board.me(), board.incarnation);
-        board.outbox.push((peer, Message::Standing(standing)));
+        let snapshot = board.ledger.snapshot(board.me(), board.incarnation);
+        board.outbox.push((peer, Message::Standing(snapshot)));
     }
 }
 
-/// Takes a peer's answer.
-pub fn apply(board: &mut Blackboard, standing: &Standing) {
+/// Applies a peer's response.
+pub fn apply(board: &mut Blackboard, snapshot: &Standing) {
     let (me, incarnation) = (board.me(), board.incarnation);
-    board.ledger.apply_snapshot(me, incarnation, standing);
+    board.ledger.apply_snapshot(me, incarnation, snapshot);
 }
--- a/crates/hawthornmill/src/fairness/ledger.rs
+++ b/crates/hawthornmill/src/fairness/ledger.rs
@@ -1,4 +1,4 @@
-//! Counters of normalised service, own and fleet-wide.
+//! Counters of normalised service, local and fleet-wide.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,15 +7,15 @@
 use crate::ident::{AccountId, Incarnation, InstanceId, ServiceId};
 use crate::wire::message::{Counters, Standing};
 
-/// Weight of the newest call in an account's average cost.
+/// Weight of the newest call in the moving average of an account's cost.
 const AVERAGE_COST_WEIGHT: f64 = 0.1;
 
-/// What one counter counts: services have units of their own and are never added up.
+/// Key of a counter; each service has its own unit of cost, so services are never summed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CostKey {
-    /// Service that ran the calls.
+    /// The service called.
     pub service: ServiceId,
-    /// Account that made them.
+    /// The account charged.
     pub account: AccountId,
 }
 
@@ -25,11 +25,11 @@
     counters: BTreeMap<CostKey, f64>,
 }
 
-/// Normalised service of every account, as this instance knows it.
+/// Normalised service of every account, as known to this instance.
 ///
-/// A total is the sum of this instance's own counter, the latest counter of every other owner, and
-/// what earlier runs of owners counted. A lost, repeated or late message therefore costs accuracy
-/// for one interval only.
+/// A total is the sum of this instance's local counter, the latest counter of every other owner, and
+/// the counters of earlier process runs. Counters are cumulative, so a lost, repeated or late
+/// message costs accuracy for one report interval only.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     local_only: bool,
@@ -43,7 +43,7 @@
 }
 
 impl Ledger {
-    /// A ledger that counts what this instance grants and nothing else.
+    /// Creates a ledger that ignores the counters of other instances.
     pub fn local_only() -> Self {
         Self {
             local_only: true,
@@ -52,24 +52,24 @@
         }
     }
 
-    /// Charges `amount` of normalised service that this instance granted; negative to correct.
+    /// Charges `amount` of normalised service granted by this instance; negative to correct.
     pub fn charge(&mut self, key: CostKey, amount: f64) {
         *self.local.entry(key).or_default() += amount;
         *self.total.entry(key).or_default() += amount;
         self.changed.insert(key);
     }
 
-    /// The account's service over the whole fleet, in cost units per share.
+    /// Service received over the whole fleet, in cost units per share.
     pub fn total(&self, key: CostKey) -> f64 {
         self.total.get(&key).copied().unwrap_or_default()
     }
 
-    /// What this instance has charged since its start.
+    /// Service charged by this instance since its start.
     pub fn local(&self, key: CostKey) -> f64 {
         self.local.get(&key).copied().unwrap_or_default()
     }
 
-    /// Takes a counter of another owner; counters are cumulative over an incarnation.
+    /// Merges a counter of another owner; counters are cumulative over an incarnation.
     pub fn merge(&mut self, from: InstanceId, incarnation: Incarnation, key: CostKey, value: f64) {
         if self.local_only {
             return;
@@ -79,7 +79,7 @@
             return;
         }
         if remote.incarnation < incarnation {
-            // A new run counts from zero; what the earlier one granted stays granted.
+            // A new run counts from zero, so the counters of the earlier run are kept separately.
             for (key, value) in std::mem::take(&mut remote.counters) {
                 *self.retired.entry(key).or_default() += value;
             }
@@ -89,17 +89,17 @@
         *self.total.entry(key).or_default() += value - before;
     }
 
-    /// Tells whether this ledger holds the fleet's past, or nobody was there to tell it.
+    /// Returns true if this ledger has the fleet's counters, or no peer could provide them.
     pub fn is_synced(&self) -> bool {
         self.synced
     }
 
-    /// Stops asking for the fleet's past.
+    /// Marks the ledger as synced, so that no peer is asked for counters any more.
     pub fn mark_synced(&mut self) {
         self.synced = true;
     }
 
-    /// Everything that this instance knows, for one that starts.
+    /// All counters known to this instance, for a starting peer.
     pub fn snapshot(&self, me: InstanceId, incarnation: Incarnation) -> Standing {
         let list = |map: &BTreeMap<CostKey, f64>| map.iter().map(|(k, v)| (*k, *v)).collect();
         let others = self.remote.iter().map(|(id, remote)| Counters {
@@ -118,51 +118,51 @@
         }
     }
 
-    /// Takes what a peer knows, once; `me` and `incarnation` are this instance's.
+    /// Applies the snapshot of a peer, once; `me` and `incarnation` are this instance's.
     ///
-    /// Totals alone would not do: a counter that is heard for the first time afterwards would be
-    /// added to a total that has it already. With each owner's counter the sum stays exact.
+    /// The snapshot has the counter of each owner because totals would not be enough: a counter that
+    /// arrives for the first time afterwards would be added to a total that already includes it.
     pub fn apply_snapshot(
         &mut self,
         me: InstanceId,
         incarnation: Incarnation,
-        standing: &Standing,
+        snapshot: &Standing,
     ) {
         if self.synced {
             return;
         }
         self.synced = true;
-        for (key, value) in &standing.retired {
+        for (key, value) in &snapshot.retired {
             *self.retired.entry(*key).or_default() += value;
         }
-        for counters in &standing.counters {
+        for counters in &snapshot.counters {
             self.apply_counters(me, incarnation, counters);
         }
         self.recompute_total();
     }
 
-    fn apply_counters(&mut self, me: InstanceId, incarnation: Incarnation, told: &Counters) {
-        let known = if told.origin == me {
+    fn apply_counters(&mut self, me: InstanceId, incarnation: Incarnation, counters: &Counters) {
+        let known = if counters.origin == me {
             incarnation
         } else {
-            self.remote.entry(told.origin).or_default().incarnation
+            self.remote.entry(counters.origin).or_default().incarnation
         };
-        if told.incarnation < known {
-            for (key, value) in &told.values {
+        if counters.incarnation < known {
+            for (key, value) in &counters.values {
                 *self.retired.entry(*key).or_default() += value;
             }
             return;
         }
-        if told.origin == me {
+        if counters.origin == me {
             return;
         }
-        let remote = self.remote.entry(told.origin).or_default();
-        if told.incarnation > known {
-            // The teller has what the earlier run counted among its retired counters.
+        let remote = self.remote.entry(counters.origin).or_default();
+        if counters.incarnation > known {
+            // The sender of the snapshot has the earlier run in its retired counters.
             remote.counters.clear();
-            remote.incarnation = told.incarnation;
+            remote.incarnation = counters.incarnation;
         }
-        for (key, value) in &told.values {
+        for (key, value) in &counters.values {
             remote.counters.entry(*key).or_insert(*value);
         }
     }
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Own counters that changed since the last call.
+    /// Local counters that changed since the last call.
     pub fn take_changed(&mut self) -> Vec<(CostKey, f64)> {
         std::mem::take(&mut self.changed)
             .into_iter()
@@ -183,17 +183,17 @@
             .collect()
     }
 
-    /// Own counters, all of them.
+    /// All local counters.
     pub fn local_counters(&self) -> Vec<(CostKey, f64)> {
         self.local.iter().map(|(k, v)| (*k, *v)).collect()
     }
 
-    /// The cost to assume of the account's next call, before shares.
+    /// Expected cost of the account's next call, before division by its share.
     pub fn estimated_cost(&self, key: CostKey, default: f64) -> f64 {
         self.average_cost.get(&key).copied().unwrap_or(default)
     }
 
-    /// Notes the cost of a finished call.
+    /// Records the cost of a finished call.
     pub fn record_cost(&mut self, key: CostKey, cost: f64) {
         let average = self.average_cost.entry(key).or_insert(cost);
         *average += AVERAGE_COST_WEIGHT * (cost - *average);
