--- a/crates/hawthornmill/src/membership/mod.rs
+++ b/crates/hawthornmill/src/membership/mod.rs
@@ -1,9 +1,10 @@
-//! Who is live, leaving or dead.
+//! Membership and failure detection: which instances are live, leaving or dead.
 //!
-//! Three sources speak of an instance: the platform's list (lagging), heartbeats inside the failure
-//! domain and between instances that work together, and reports that relays pass on. An instance is
-//! live while either of the last two is heard; it is leaving as soon as any of the three says so.
-//! [`placement`] derives owners, relays and readers from that view; nothing is elected.
+//! There are three sources of information on an instance: the platform's list (which lags),
+//! heartbeats within the failure domain and between instances that exchange work, and reports
+//! forwarded by relays. An instance is live while heartbeats or reports arrive, and leaving as soon
+//! as any source says so. [`placement`] derives owners, relays and readers from this view without an
+//! election.
 
 pub mod placement;
 pub mod reports;
@@ -18,43 +19,43 @@
 use placement::STABLE_AFTER;
 use roster::Roster;
 
-/// Intervals that may pass in silence before an instance counts as dead.
+/// Heartbeat intervals without a heartbeat after which an instance counts as dead.
 const MAX_MISSED_HEARTBEATS: u32 = 3;
-/// Least silence after which an instance counts as dead.
+/// Shortest time of silence after which an instance counts as dead.
 const MIN_TIMEOUT: Duration = Duration::from_millis(500);
-/// Silence after which an instance counts as dead whose heartbeats have ended for want of need.
+/// Timeout of an instance that announced the end of its heartbeats and is only heard via relays.
 const RELAYED_TIMEOUT: Duration = Duration::from_secs(3);
-/// Silence after which an instance that the platform does not list is forgotten.
+/// Time of silence after which an instance that the platform does not list is removed.
 const EXPIRE_AFTER: Duration = Duration::from_mins(1);
-/// Longest steadiness that is told, in tenths of a second.
+/// Largest stable time that fits into a message, in tenths of a second.
 const MAX_STABLE_TENTHS: u128 = 255;
-/// Difference between the told and the known steadiness that is taken for rounding and delay.
+/// Difference in stable time that is attributed to rounding and network delay.
 const STABILITY_TOLERANCE: Duration = Duration::from_millis(200);
 
-/// Time for one heartbeat to one instance, so that all of them stay within about 1.2 KB/s.
+/// Time between heartbeats to two different instances, which limits them to about 1.2 KB/s in total.
 const HEARTBEAT_SPACING: Duration = Duration::from_millis(50);
-/// Longest time between heartbeats.
+/// Longest interval between heartbeats to one instance.
 const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time between heartbeats to `targets` instances: `base`, or longer when they are many.
+/// Heartbeat interval for `targets` instances: `base`, or longer if there are many.
 ///
-/// The receiver's patience follows from the interval, which each heartbeat tells.
+/// Each heartbeat carries the interval, and the receiver derives its timeout from it.
 pub fn heartbeat_interval(base: Duration, targets: usize) -> Duration {
     (HEARTBEAT_SPACING * targets as u32)
         .min(MAX_HEARTBEAT_INTERVAL)
         .max(base)
 }
 
-/// Who says that an instance leaves.
+/// Which sources say that an instance is leaving.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LeavingSources {
-    /// It said so itself; never taken back within one run.
+    /// The instance announced it; not reverted within one process run.
     pub announced: bool,
     /// The platform's list says so.
     pub listed: bool,
 }
 
-/// One instance as this one sees it.
+/// An instance in the view of this one.
 #[derive(Debug, Clone)]
 pub struct Member {
     /// How to reach it.
@@ -63,36 +64,36 @@
     pub domain: DomainId,
     /// Its region.
     pub region: RegionId,
-    /// Its latest process run that was heard of.
+    /// Its latest known process run.
     pub incarnation: Incarnation,
-    /// It takes no new work, by any of `words`.
+    /// It takes no new work, according to any of `leaving_sources`.
     pub leaving: bool,
-    /// Who says that it leaves.
+    /// Which sources say that it is leaving.
     pub leaving_sources: LeavingSources,
     /// Configuration revision in force there.
     pub revision: u64,
-    /// It was heard recently enough.
+    /// It was last heard within its timeout.
     pub live: bool,
-    /// Since when it is steady: it started, woke, or was heard again after a silence.
+    /// When it last started, resumed after a pause, or became live again.
     pub stable_since: Instant,
-    /// When it was heard again after a silence that was not this instance's own.
-    pub returned: Option<Instant>,
-    /// Last sign of life.
+    /// When it became live again after a silence not caused by a partition of this instance.
+    pub returned_at: Option<Instant>,
+    /// When it was last heard, directly or via relays.
     pub last_heard: Option<Instant>,
-    /// Silence after which it counts as dead.
+    /// Time of silence after which it counts as dead.
     pub timeout: Duration,
-    /// The last sign came from itself, and more are to come.
+    /// It was last heard directly, and further heartbeats are due.
     pub direct: bool,
 }
 
 impl Member {
-    /// Tells whether the last sign of life is recent enough.
+    /// Returns true if it was heard within its timeout.
     pub fn within_timeout(&self, now: Instant) -> bool {
         self.last_heard
             .is_some_and(|h| now.duration_since(h) <= self.timeout)
     }
 
-    /// Tells whether it has been steady for long enough to be preferred as an owner.
+    /// Returns true if it has been stable for long enough to be preferred as an owner.
     pub fn is_stable(&self, now: Instant) -> bool {
         now.duration_since(self.stable_since) >= STABLE_AFTER
     }
@@ -103,45 +104,45 @@
     }
 }
 
-/// A sign of life.
+/// Evidence that an instance is live: a heartbeat, or a report forwarded by a relay.
 #[derive(Debug, Clone, Copy)]
 pub struct LivenessUpdate {
-    /// Who gave it.
+    /// The instance.
     pub from: InstanceId,
-    /// Process run of the giver.
+    /// Its process run.
     pub incarnation: Incarnation,
-    /// The giver takes no new work.
+    /// It takes no new work.
     pub leaving: bool,
     /// Configuration revision in force there.
     pub revision: u64,
-    /// Time until the next sign of this kind is due; zero when there will be none, and reports that
-    /// relays pass on must do.
+    /// Time until the next update of this kind is due; zero if there will be none and only reports
+    /// forwarded by relays follow.
     pub interval: Duration,
-    /// Tenths of a second for which the giver has been steady.
+    /// Tenths of a second for which the instance has been stable.
     pub stable_tenths: u8,
-    /// It came from the giver itself; a relayed one is older by an unknown time.
+    /// It came from the instance itself; a forwarded one is older by an unknown time.
     pub direct: bool,
 }
 
-/// Every instance that this one knows of, itself included.
+/// All known instances, including this one.
 #[derive(Debug, Clone)]
 pub struct Members {
     /// This instance.
     pub me: InstanceId,
-    /// Members by key.
+    /// Members by ID.
     pub map: BTreeMap<InstanceId, Member>,
-    /// Something changed that owners or relays depend on.
+    /// A change that may affect owners or relays.
     pub changed: bool,
-    /// Members that fell silent since owners were last worked out.
+    /// Members that timed out since owners were last computed.
     pub newly_dead: Vec<InstanceId>,
-    /// Members that were heard again, or for the first time, since then.
+    /// Members that became live since owners were last computed.
     pub newly_live: Vec<InstanceId>,
     /// When most of the own failure domain was last silent.
     partitioned_at: Option<Instant>,
 }
 
 impl Members {
-    /// A view that knows only this instance.
+    /// Creates a view with this instance only.
     pub fn new(me: InstanceId, contact: Contact, incarnation: Incarnation, now: Instant) -> Self {
         let mut own = new_member(contact, now);
         own.incarnation = incarnation;
@@ -156,15 +157,15 @@
         }
     }
 
-    /// The record of this instance.
+    /// The entry of this instance.
     ///
     /// # Panics
-    /// Never: the record is made with the view and not removed.
+    /// Never: the entry is created with the view and not removed.
     pub fn own(&self) -> &Member {
         &self.map[&self.me]
     }
 
-    /// Learns how to reach an instance, from the platform's list or from itself.
+    /// Adds or updates the contact of an instance, from the platform's list or from itself.
     pub fn upsert_contact(&mut self, contact: Contact, now: Instant) {
         let id = InstanceId::of(&contact.name);
         if id == self.me {
@@ -183,7 +184,7 @@
         self.changed = true;
     }
 
-    /// Takes an instance's own word that it is leaving.
+    /// Records that an instance announced that it is leaving.
     pub fn set_leaving(&mut self, id: InstanceId) {
         if let Some(member) = self.map.get_mut(&id) {
             member.leaving_sources.announced = true;
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Takes contacts and the word on leaving from the platform's list.
+    /// Applies contacts and leaving states of the platform's list.
     pub fn apply_roster(&mut self, roster: &Roster, now: Instant) {
         for (_, listed) in roster.entries() {
             self.upsert_contact(listed.contact.clone(), now);
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Forgets instances that are gone for good, not listed and long silent, and returns them.
+    /// Removes instances that are not listed and have long been silent, and returns them.
     pub fn remove_expired(&mut self, roster: &Roster, now: Instant) -> Vec<InstanceId> {
         let me = self.me;
         let gone = |id: &InstanceId, member: &Member| {
@@ -222,7 +223,7 @@
         ids
     }
 
-    /// What this instance says of itself.
+    /// The liveness update that this instance sends about itself.
     pub fn own_liveness(&self, revision: u64, interval: Duration, now: Instant) -> LivenessUpdate {
         let own = self.own();
         LivenessUpdate {
@@ -236,13 +237,13 @@
         }
     }
 
-    /// Tenths of a second for which this instance has been steady.
+    /// Tenths of a second for which this instance has been stable.
     pub fn stable_tenths(&self, now: Instant) -> u8 {
         let tenths = now.duration_since(self.own().stable_since).as_millis() / 100;
         tenths.min(MAX_STABLE_TENTHS) as u8
     }
 
-    /// Takes a sign of life; false when the giver is unknown or the sign is of an earlier run.
+    /// Records a liveness update; returns false if it is of an unknown instance or an earlier run.
     pub fn record_liveness(&mut self, update: LivenessUpdate, now: Instant) -> bool {
         let partitioned = self.was_partitioned(now);
         let Some(member) = self.map.get_mut(&update.from) else {
@@ -252,36 +253,37 @@
             return false;
         }
         let restarted = update.incarnation > member.incarnation;
-        let again = !restarted && !member.live;
+        let returned = !restarted && !member.live;
         if restarted {
             member.leaving_sources.announced = false;
         }
-        // All views take how long an instance has been steady from itself, so they agree on who is
-        // preferred as an owner. One that comes and goes without noticing starts anew in each view.
-        if restarted || again {
-            member.returned = (again && !partitioned).then_some(now);
+        // Every view uses the stable time that the instance reports, so that all agree on which
+        // instances are preferred as owners. One that times out without noticing it restarts at zero
+        // in each view.
+        if restarted || returned {
+            member.returned_at = (returned && !partitioned).then_some(now);
         }
-        let told = stable_start(update.stable_tenths, now);
-        let since = member.returned.map_or(told, |returned| told.max(returned));
+        let reported = stable_start(update.stable_tenths, now);
+        let since = member.returned_at.map_or(reported, |at| reported.max(at));
         if restarted
-            || again
+            || returned
             || (update.direct
                 && stability_changed(member.stable_since, since, update.stable_tenths))
         {
             member.stable_since = since;
             self.changed = true;
         }
-        if restarted || again {
+        if restarted || returned {
             self.newly_live.push(update.from);
         }
-        // Within one run leaving is never taken back, so a late frame can't revive it.
+        // Leaving is not reverted within one run, so that a late frame can't undo it.
         member.leaving_sources.announced |= update.leaving;
         self.changed |= member.update_leaving();
         member.incarnation = update.incarnation;
         member.revision = member.revision.max(update.revision);
-        // A relayed report must not cover the silence of the more frequent direct heartbeats.
-        let covered = !update.direct && member.direct && member.live && !restarted;
-        if covered && member.within_timeout(now) {
+        // A forwarded report must not hide that the more frequent direct heartbeats have stopped.
+        let forwarded = !update.direct && member.direct && member.live && !restarted;
+        if forwarded && member.within_timeout(now) {
             return true;
         }
         let last = update.interval.is_zero();
@@ -293,13 +295,15 @@
         } else {
             (update.interval * MAX_MISSED_HEARTBEATS).max(MIN_TIMEOUT)
         };
-        if again && partitioned {
+        if returned && partitioned {
             self.reset_stability(now);
         }
         true
     }
 
-    /// This instance was stopped or cut off: others took over meanwhile and should keep it.
+    /// Restarts the stable time after a pause or a partition.
+    ///
+    /// Other instances took over the pools of this one in the meantime and should keep them.
     pub fn reset_stability(&mut self, now: Instant) {
         if let Some(own) = self.map.get_mut(&self.me) {
             own.stable_since = now;
@@ -307,10 +311,10 @@
         self.changed = true;
     }
 
-    /// Tells whether most of the own failure domain was silent a moment ago.
+    /// Returns true if most of the own failure domain was silent a moment ago.
     ///
-    /// Whoever is cut off from the others sees all of them go silent, and all of them come back
-    /// when the cut heals. It is the one that went, and must not take their pools.
+    /// A partitioned instance sees all others time out and return when the partition heals. From
+    /// their side this instance was the one that failed, so it must not take over their pools.
     fn was_partitioned(&self, now: Instant) -> bool {
         self.partitioned_at
             .is_some_and(|at| now.duration_since(at) < STABLE_AFTER)
@@ -318,17 +322,17 @@
 
     fn detect_partition(&mut self, now: Instant) {
         let home = self.own().domain;
-        let mates = self
+        let neighbours = self
             .map
             .iter()
             .filter(|(id, m)| **id != self.me && m.domain == home && m.last_heard.is_some());
-        let (live, silent): (Vec<_>, Vec<_>) = mates.partition(|(_, m)| m.live);
+        let (live, silent): (Vec<_>, Vec<_>) = neighbours.partition(|(_, m)| m.live);
         if silent.len() > live.len() {
             self.partitioned_at = Some(now);
         }
     }
 
-    /// Marks members that have been silent for too long.
+    /// Marks members dead that were not heard within their timeout.
     pub fn expire_silent(&mut self, now: Instant) {
         for (id, member) in &mut self.map {
             if *id == self.me || !member.live {
@@ -343,7 +347,7 @@
         self.detect_partition(now);
     }
 
-    /// Takes a broken connection as a first doubt: the member must be heard again soon.
+    /// Suspects a member after a broken connection: it must be heard again within `grace`.
     pub fn suspect(&mut self, id: InstanceId, now: Instant, grace: Duration) {
         if let Some(member) = self.map.get_mut(&id)
             && let Some(heard) = member.last_heard
@@ -355,17 +359,17 @@
         }
     }
 
-    /// Tells whether `id` is live and takes new work.
+    /// Returns true if `id` is live and takes new work.
     pub fn is_available(&self, id: InstanceId) -> bool {
         self.map.get(&id).is_some_and(|m| m.live && !m.leaving)
     }
 
-    /// Tells whether `id` is live.
+    /// Returns true if `id` is live.
     pub fn is_live(&self, id: InstanceId) -> bool {
         self.map.get(&id).is_some_and(|m| m.live)
     }
 
-    /// Live instances, this one included.
+    /// Live instances, including this one.
     pub fn live(&self) -> impl Iterator<Item = (InstanceId, &Member)> {
         self.map
             .iter()
@@ -374,11 +378,11 @@
     }
 }
 
-/// Tells whether a told start of steadiness is other than the known one, rounding apart.
-fn stability_changed(known: Instant, told: Instant, tenths: u8) -> bool {
-    // The longest time that can be told means: at least that long.
-    let longer = u128::from(tenths) == MAX_STABLE_TENTHS && known <= told;
-    !longer && known.max(told) - known.min(told) > STABILITY_TOLERANCE
+/// Returns true if the reported start of the stable time differs from the known one beyond rounding.
+fn stability_changed(known: Instant, reported: Instant, tenths: u8) -> bool {
+    // The largest value that fits means at least that long.
+    let at_least = u128::from(tenths) == MAX_STABLE_TENTHS && known <= reported;
+    !at_least && known.max(reported) - known.min(reported) > STABILITY_TOLERANCE
 }
 
 fn stable_start(tenths: u8, now: Instant) -> Instant {
@@ -397,7 +401,7 @@
         revision: 0,
         live: false,
         stable_since: now,
-        returned: None,
+        returned_at: None,
         last_heard: None,
         timeout: Duration::from_secs(2),
         direct: false,
--- a/crates/hawthornmill/src/membership/placement.rs
+++ b/crates/hawthornmill/src/membership/placement.rs
@@ -1,7 +1,7 @@
-//! Owners, relays and readers by rendezvous hashing over the view of members.
+//! Selects owners, relays and readers by rendezvous hashing over the member view.
 //!
-//! Each instance works these out alone. Two views that differ may name two owners for a moment; the
-//! slots that an owner may grant are bounded by what servers report, so that costs accuracy only.
+//! Each instance computes these locally. Views that differ may yield two owners of a pool for a
+//! moment. Owners limit their grants by the load that servers report, so this reduces accuracy only.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -10,12 +10,12 @@
 use crate::config::model::Pool;
 use crate::ident::{DomainId, InstanceId, PoolId, RegionId, mix};
 
-/// Time for which an instance must have been live before it is preferred as an owner.
+/// Time for which an instance must have been stable before it is preferred as an owner.
 pub const STABLE_AFTER: Duration = Duration::from_secs(3);
-/// Instances of a failure domain that watch the platform's configuration.
+/// Number of instances per failure domain that watch the platform's configuration.
 pub const READERS: usize = 2;
 
-/// The owner of `id`: in the pool's failure domain, else in its region, else anywhere.
+/// The owner of pool `id`: in the pool's failure domain, else in its region, else anywhere.
 pub fn owner(members: &Members, id: PoolId, pool: &Pool, now: Instant) -> Option<InstanceId> {
     let tiers: [&dyn Fn(&Member) -> bool; 3] = [
         &|m| m.domain == pool.domain,
@@ -34,12 +34,12 @@
     members
         .live()
         .filter(|(_, m)| !m.leaving && tier(m))
-        // A newcomer, or one that keeps coming and going, does not take pools from others.
+        // A newly started or flapping instance doesn't take over pools from others.
         .max_by_key(|(id, m)| (m.is_stable(now), mix(salt ^ id.0)))
         .map(|(id, _)| id)
 }
 
-/// When the next live instance will have been steady for long enough to be preferred.
+/// When the next live instance becomes stable and thus preferred as an owner.
 pub fn next_stable_at(members: &Members, now: Instant) -> Option<Instant> {
     members
         .live()
@@ -70,29 +70,29 @@
         .max_by_key(|id| mix(region.0 ^ id.0))
 }
 
-/// A member of a failure domain in which nobody is heard: one after another with each `round`.
+/// The member of `domain` to contact in `round`, where no relay of the domain is known.
 ///
-/// At a start, and after a cut has healed, nobody there has been heard yet; somebody must speak
-/// first, and any live member passes a report on to its own relay.
+/// The rounds go through all members. After a start or a healed partition no member of the domain
+/// has been heard yet, so one side must send first; any live member forwards reports to its relay.
 pub fn contact_candidate(members: &Members, domain: DomainId, round: u32) -> Option<InstanceId> {
-    let silent: Vec<InstanceId> = members
+    let candidates: Vec<InstanceId> = members
         .map
         .iter()
         .filter(|(_, m)| m.domain == domain)
         .map(|(id, _)| *id)
         .collect();
-    let turn = round as usize % silent.len().max(1);
-    silent.get(turn).copied()
+    let index = round as usize % candidates.len().max(1);
+    candidates.get(index).copied()
 }
 
-/// One member of each failure domain in which nobody is heard, for the relay of this region.
+/// One member of each failure domain without a live member, if this instance is its region's relay.
 pub fn silent_domain_candidates(members: &Members, round: u32) -> Vec<InstanceId> {
     if region_relay(members, members.own().region) != Some(members.me) {
         return Vec::new();
     }
-    let heard: BTreeSet<DomainId> = members.live().map(|(_, m)| m.domain).collect();
+    let live: BTreeSet<DomainId> = members.live().map(|(_, m)| m.domain).collect();
     let all: BTreeSet<DomainId> = members.map.values().map(|m| m.domain).collect();
-    all.difference(&heard)
+    all.difference(&live)
         .filter_map(|domain| contact_candidate(members, *domain, round))
         .collect()
 }
--- a/crates/hawthornmill/src/membership/reports.rs
+++ b/crates/hawthornmill/src/membership/reports.rs
@@ -1,9 +1,9 @@
-//! Reports: what each instance tells of itself, passed on along a tree of relays.
+//! Dissemination of reports, in which instances publish their state, along a tree of relays.
 //!
-//! An instance sends its report to the relay of its failure domain; domain relays exchange with
-//! the relay of their region, and region relays with each other. Each hop passes on what is newer
-//! than it last sent to that neighbour. Counters are cumulative and states whole, so a lost datagram
-//! costs one interval; every [`REFRESH_ROUNDS`]th round repeats everything.
+//! An instance sends its report to the relay of its failure domain; domain relays exchange reports
+//! with the relay of their region, and region relays with each other. Each hop forwards what is newer
+//! than what it last sent to that neighbour. Counters are cumulative and states complete, so a lost
+//! datagram costs one interval, and everything is sent again every [`REFRESH_ROUNDS`] rounds.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -14,20 +14,20 @@
 use crate::ident::{DomainId, Incarnation, InstanceId, PoolId, RegionId};
 use crate::wire::message::{Message, PoolState, Report};
 
-/// Rounds after which a neighbour is told everything again.
+/// Rounds after which everything is sent to all neighbours again.
 pub const REFRESH_ROUNDS: u32 = 16;
-/// Counters that one report in a datagram may carry.
+/// Counters in one report, so that it fits into a datagram.
 const MAX_COSTS_PER_REPORT: usize = 32;
-/// Rounds after which an instance reports although nothing changed.
+/// Rounds after which an instance reports even if nothing changed.
 pub const KEEPALIVE_ROUNDS: u32 = 4;
-/// Bytes of reports in one datagram; the frame's header fits under the datagram limit besides.
+/// Bytes of reports in one datagram, leaving room for the header of the frame.
 const MAX_BATCH_BYTES: usize = 1200;
 
 #[derive(Debug, Clone, Default)]
 struct Origin {
     incarnation: Incarnation,
     version: u32,
-    /// Version in which anything but the sign of life was last new.
+    /// Last version that changed anything; later ones are keepalives.
     changed_version: u32,
     leaving: bool,
     revision: u64,
@@ -37,7 +37,7 @@
     from: Option<InstanceId>,
 }
 
-/// Latest report of every instance, and what each neighbour was last sent.
+/// Latest report of every instance, and the versions last sent to each neighbour.
 #[derive(Debug, Clone, Default)]
 pub struct Reports {
     origins: BTreeMap<InstanceId, Origin>,
@@ -47,7 +47,7 @@
 }
 
 impl Reports {
-    /// Writes this instance's own report, if anything in it changed or a sign of life is due.
+    /// Updates this instance's own report if anything changed or a keepalive is due.
     pub fn write_own(
         &mut self,
         members: &Members,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes a report that `from` sent; false when nothing in it is new.
+    /// Applies a report that `from` sent; returns false if it is not newer than the known one.
     pub fn receive(
         &mut self,
         from: InstanceId,
@@ -139,13 +139,13 @@
         true
     }
 
-    /// Forgets what an instance told that is gone for good.
+    /// Removes the report of an instance that was removed from the members.
     pub fn forget(&mut self, id: InstanceId) {
         self.origins.remove(&id);
         self.sent.remove(&id);
     }
 
-    /// The last state told of `pool`, by whichever live instance owns it.
+    /// The last state of `pool` that `owner` reported.
     pub fn pool_state(&self, pool: PoolId, owner: InstanceId) -> Option<PoolState> {
         self.origins
             .get(&owner)?
@@ -155,17 +155,17 @@
             .copied()
     }
 
-    /// Forgets what `neighbour` was sent: it was gone and may have lost it.
+    /// Forgets the versions sent to `neighbour`, which was away and may have lost them.
     pub fn forget_sent(&mut self, neighbour: InstanceId) {
         self.sent.remove(&neighbour);
     }
 
-    /// Highest revision that any report named.
+    /// Highest configuration revision in any report.
     pub fn highest_revision(&self) -> u64 {
         self.origins.values().map(|o| o.revision).max().unwrap_or(0)
     }
 
-    /// Messages of one round to this instance's neighbours in the tree.
+    /// Starts the next round and returns its messages to this instance's neighbours in the tree.
     pub fn next_round(&mut self, members: &Members) -> Vec<(InstanceId, Message)> {
         self.round = self.round.wrapping_add(1);
         if self.round.is_multiple_of(REFRESH_ROUNDS) {
@@ -192,7 +192,7 @@
             if incarnation != origin.incarnation {
                 version = 0;
             }
-            // Mere signs of life go on together: a datagram for each would be mostly headers.
+            // Keepalives are batched in one round; a datagram for each would be mostly header.
             let due = if self.round.is_multiple_of(KEEPALIVE_ROUNDS) {
                 origin.version
             } else {
@@ -208,7 +208,7 @@
     }
 }
 
-/// Puts reports together as long as they fit into one datagram; a frame's header is paid once each.
+/// Batches reports into as few datagrams as possible, to save frame headers.
 fn batch(reports: Vec<Report>) -> Vec<Vec<Report>> {
     let mut batches: Vec<Vec<Report>> = Vec::new();
     let mut room = 0;
@@ -254,7 +254,7 @@
         .collect()
 }
 
-/// The instances to which this one sends reports in `round`.
+/// The instances to which this one sends reports in `round`: its neighbours in the relay tree.
 pub fn neighbours(members: &Members, round: u32) -> BTreeSet<InstanceId> {
     let own = members.own();
     let mut set = BTreeSet::new();
@@ -276,7 +276,7 @@
     set
 }
 
-/// Domain relays of the own region and region relays of the others, for a region's relay.
+/// Neighbours of a region's relay: domain relays of its region and relays of the other regions.
 fn region_neighbours(members: &Members, round: u32) -> BTreeSet<InstanceId> {
     let home = members.own().region;
     let places: BTreeSet<(RegionId, DomainId)> =
--- a/crates/hawthornmill/src/membership/roster.rs
+++ b/crates/hawthornmill/src/membership/roster.rs
@@ -1,17 +1,17 @@
-//! The platform's instance list, read by few and passed on by them.
+//! The platform's instance list, read by a few instances and distributed to the others.
 //!
-//! The readers of a failure domain read the list; the others follow the first of them. Heartbeats
-//! name a digest of the list, and whoever holds another one asks for what changed.
+//! The readers of a failure domain read the list; the others follow the first reader. Heartbeats
+//! carry a digest of the list, and an instance with a different digest requests the changes.
 
 use std::collections::BTreeMap;
 
 use crate::ident::InstanceId;
 use crate::wire::message::{Listed, RosterDelta};
 
-/// The list by instance.
+/// Entries of the list by instance.
 type Entries = BTreeMap<InstanceId, Listed>;
 
-/// The instance list, and the one before it.
+/// The instance list and its previous version, from which deltas are computed.
 #[derive(Debug, Clone, Default)]
 pub struct Roster {
     entries: Entries,
@@ -26,7 +26,7 @@
         self.digest
     }
 
-    /// Tells whether any list was taken, an empty one included.
+    /// Returns true if any list was received, even an empty one.
     pub fn is_known(&self) -> bool {
         self.known
     }
@@ -41,7 +41,7 @@
         self.entries.get(&id)
     }
 
-    /// Takes a whole list; true when it differs from the one held.
+    /// Replaces the list; returns true if it changed.
     pub fn replace(&mut self, list: Vec<Listed>) -> bool {
         let entries = list
             .into_iter()
@@ -50,7 +50,9 @@
         self.install(entries)
     }
 
-    /// What leads from the list with digest `have` to this one; none when that is the same.
+    /// Changes from the list with digest `have` to this one, or `None` if they are equal.
+    ///
+    /// The delta starts from the empty list if `have` is not the previous version.
     pub fn delta(&self, have: u32) -> Option<RosterDelta> {
         if have == self.digest {
             return None;
@@ -80,7 +82,7 @@
         })
     }
 
-    /// Takes what changed; false when it does not start from the list held or changes nothing.
+    /// Applies a delta; returns false if its base is not this list or nothing changed.
     pub fn apply(&mut self, delta: RosterDelta) -> bool {
         let mut entries = match delta.base {
             0 => Entries::new(),
