--- a/crates/hawthornmill/src/pools/cross_region.rs
+++ b/crates/hawthornmill/src/pools/cross_region.rs
@@ -1,8 +1,9 @@
-//! Which pools an account's requests may use: those of its entry's region first.
+//! Selects the pools for an account's requests, preferring the entry's own region.
 //!
 //! The link between regions is slow and billed by volume. An entry asks a pool of another region only
-//! when slots idle there and none does at home, when home has no open server, or when its account
-//! has received clearly less than those that wait there. What crosses is bounded in bytes a second.
+//! if slots idle there and none in its own region, if its own region has no server for the account,
+//! or if the account has received clearly less service than those that wait there. The traffic is
+//! limited in bytes per second.
 
 use std::time::Instant;
 
@@ -13,51 +14,51 @@
 use crate::ident::{AccountId, PoolId, ServiceId};
 use crate::wire::message::PoolState;
 
-/// Rounds of a pool's slots by which an account must lag behind it to ask from another region.
+/// Lag behind a pool of another region from which an account uses it, in rounds of the pool's slots.
 ///
-/// Totals of accounts that are served fairly differ by up to one round, and counters are some
-/// hundred milliseconds old; a smaller margin would send calls across for noise.
+/// Totals of fairly served accounts differ by up to one round, and counters are some hundred
+/// milliseconds old; with a smaller margin, noise would send calls to other regions.
 const MARGIN_ROUNDS: f64 = 2.0;
-/// Part of the allowance that is left to accounts that have no server at home.
+/// Fraction of the budget reserved for accounts without a server in this region.
 const RESERVED_SHARE: f64 = 0.5;
 
-/// Pools to ask.
+/// Selected pools.
 type Pools = SmallVec<[PoolId; 4]>;
 
-/// Bytes of calls that this entry may still send to other regions.
+/// Token bucket of bytes that this entry may exchange with other regions.
 #[derive(Debug, Clone, Copy)]
 pub struct CrossRegionBudget {
     available: f64,
-    filled: Instant,
-    /// Bytes of calls that crossed since the start, requests and answers.
+    refilled_at: Instant,
+    /// Bytes of requests and responses exchanged since the start.
     pub total_bytes: u64,
 }
 
 impl CrossRegionBudget {
-    /// The full allowance of one second.
+    /// Creates a full bucket for `rate` bytes per second.
     pub fn new(rate: f64, now: Instant) -> Self {
         Self {
             available: rate,
-            filled: now,
+            refilled_at: now,
             total_bytes: 0,
         }
     }
 
-    /// Adds what the time since the last call allows; at most what a second allows is saved up.
+    /// Refills the bucket for the time since the last call, up to the bytes of one second.
     pub fn refill(&mut self, rate: f64, now: Instant) {
-        let time = now.duration_since(self.filled).as_secs_f64();
-        self.available = (self.available + rate * time).min(rate);
-        self.filled = now;
+        let elapsed = now.duration_since(self.refilled_at).as_secs_f64();
+        self.available = (self.available + rate * elapsed).min(rate);
+        self.refilled_at = now;
     }
 
-    /// Takes bytes that cross; a debt is paid off before anything more may cross.
+    /// Takes bytes from the bucket; it may go negative and must then refill first.
     fn spend(&mut self, bytes: usize) {
         self.available -= bytes as f64;
         self.total_bytes += bytes as u64;
     }
 }
 
-/// Counts bytes of a call that runs in `pool`, if they cross to another region.
+/// Counts bytes of a call that runs in `pool`, if that is in another region.
 pub fn spend(board: &mut Blackboard, pool: PoolId, bytes: usize) {
     if is_remote(board, pool) {
         board.cross_region.spend(bytes);
@@ -65,15 +66,15 @@
 }
 
 fn is_remote(board: &Blackboard, pool: PoolId) -> bool {
-    let home = board.members.own().region;
+    let local = board.members.own().region;
     board
         .config
         .pools
         .get(&pool)
-        .is_some_and(|p| p.region != home)
+        .is_some_and(|p| p.region != local)
 }
 
-/// The pools to ask for `account`.
+/// Selects the pools to ask for `account`.
 pub fn select_pools(
     board: &Blackboard,
     service: ServiceId,
@@ -84,33 +85,33 @@
         .iter()
         .copied()
         .filter(|p| board.config.pool_open(account, *p));
-    let (home, away): (Pools, Pools) = open.partition(|p| !is_remote(board, *p));
+    let (local, remote): (Pools, Pools) = open.partition(|p| !is_remote(board, *p));
     if board.tuning.policy == Policy::Static {
-        return home.into_iter().chain(away).collect();
+        return local.into_iter().chain(remote).collect();
     }
-    let allowance = board.tuning.cross_bytes;
-    if home.is_empty() {
+    let rate = board.tuning.cross_bytes;
+    if local.is_empty() {
         return if board.cross_region.available > 0.0 {
-            away
+            remote
         } else {
-            home
+            local
         };
     }
-    if board.cross_region.available <= RESERVED_SHARE * allowance {
-        return home;
+    if board.cross_region.available <= RESERVED_SHARE * rate {
+        return local;
     }
     let idle = |p: &PoolId| pool_state(board, *p).is_some_and(|s| s.idle > 0);
-    let idle_home = home.iter().any(idle);
-    let wanted = away
+    let idle_locally = local.iter().any(idle);
+    let useful = remote
         .into_iter()
-        .filter(|p| (!idle_home && idle(p)) || is_behind(board, service, account, *p));
-    home.iter().copied().chain(wanted).collect()
+        .filter(|p| (!idle_locally && idle(p)) || is_behind(board, service, account, *p));
+    local.iter().copied().chain(useful).collect()
 }
 
-/// Tells whether `account` has received clearly less than those that wait for `pool`.
+/// Returns true if `account` has received clearly less service than those that wait for `pool`.
 ///
-/// Callers of one region may all be confined to a few servers there. Without this an account would
-/// get the share of its region, not of the fleet.
+/// All callers of an account may be in a region with few servers. Without this rule, the account
+/// would get a share of that region only, not of the fleet.
 fn is_behind(board: &Blackboard, service: ServiceId, account: AccountId, pool: PoolId) -> bool {
     let Some(state) = pool_state(board, pool) else {
         return false;
--- a/crates/hawthornmill/src/pools/entry.rs
+++ b/crates/hawthornmill/src/pools/entry.rs
@@ -1,4 +1,4 @@
-//! The entry's side of a pool: requests that wait, slots that are held.
+//! The entry's side of a pool: waiting requests and held slots.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,87 +17,87 @@
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId, ServiceId};
 use crate::wire::message::{Demand, Done, Grant, GrantId, Grants, Held, Holding, Message, Want};
 
-/// Waiting requests of one account that one owner is told of at most.
+/// Largest number of waiting requests of one account that an owner is told of.
 ///
-/// More would only cost messages: a grant raises the want again, and an owner seldom frees more
-/// slots at once.
+/// A larger number would only cost messages: each grant renews the want, and an owner rarely has
+/// more slots to grant at once.
 pub const MAX_WANT: usize = 16;
-/// Time for which a server's word that it leaves holds at an entry; the owner reads its load anew.
+/// Time for which an entry avoids a server that announced it is leaving; the owner polls its state.
 const LEAVING_VALIDITY: Duration = Duration::from_secs(5);
 
 /// A slot that this entry holds.
 #[derive(Debug, Clone, Copy)]
 pub struct Slot {
-    /// Account that it serves.
+    /// The account that uses it.
     pub account: AccountId,
-    /// Server on which it is.
+    /// Its server.
     pub server: ServerId,
-    /// A request uses it; otherwise it is kept while the owner is silent.
+    /// A request uses it; otherwise it is retained while the owner is unreachable.
     pub busy: bool,
-    /// It was reused without a grant, so nobody has charged it yet.
+    /// It was reused without a grant, so no owner has charged its current request.
     pub reused: bool,
-    /// Since when its present request has it.
+    /// When its current request got it.
     pub started: Instant,
 }
 
-/// Up to which number the grants of one owner run have arrived or never will.
+/// Last grant of one owner run that is settled: it and all before it were received or are lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ack {
-    /// Owner.
+    /// The owner.
     pub owner: InstanceId,
     /// Its process run.
     pub run: Incarnation,
-    /// Number of a grant.
+    /// Number of the grant.
     pub seq: u32,
 }
 
-/// Owners whose last grant number is remembered for one pool.
+/// Number of recent owners whose last grant is remembered per pool.
 const RECENT_OWNERS: usize = 4;
 
-/// Dealings with the owner of one pool.
+/// Session of an entry with the owner of one pool.
 #[derive(Debug, Clone, Default)]
 pub struct OwnerSession {
-    /// Owner and its process run.
+    /// The owner and its process run.
     pub owner: Option<(InstanceId, Incarnation)>,
-    /// Number of the last grant of each recent owner run that arrived or is known to be lost.
+    /// Last settled grant of each recent owner run.
     ///
-    /// It outlives a turn to another owner and back: the first owner may not have noticed, and would
-    /// take every grant above a forgotten number for one in flight, whose slot stays taken for good.
+    /// Kept across a switch to another owner and back: the first owner may not have noticed, and
+    /// would treat every later grant as in flight, so that its slot would never be freed.
     pub acks: SmallVec<[Ack; RECENT_OWNERS]>,
-    /// Grants received per account from this owner.
+    /// Grants received from this owner, by account.
     pub grants_received: BTreeMap<AccountId, u32>,
-    /// Wants as last told.
+    /// Wants as last sent to the owner.
     pub reported_wants: BTreeMap<AccountId, u32>,
-    /// Slots to give back.
+    /// Slots to return to the owner.
     pub released: SmallVec<[Done; 2]>,
-    /// Costs of calls that ended in kept slots while the owner was silent.
+    /// Costs of calls that ended while the owner was unreachable.
     pub late_costs: Vec<Done>,
-    /// Wants to tell.
+    /// Wants to send to the owner.
     pub pending_wants: SmallVec<[Want; 2]>,
     /// Slots held.
     pub held: BTreeMap<GrantId, Slot>,
-    /// The owner must be told everything.
+    /// The complete state must be sent to the owner.
     pub resync: bool,
-    /// The owner is known to grant; until then slots that come free are kept.
+    /// The owner is known to grant; until then freed slots are retained.
     pub owner_ready: bool,
 }
 
 impl OwnerSession {
-    /// Turns to a new owner, or a new run of the same one.
+    /// Switches to a new owner, or to a new run of the same one.
     pub fn switch_owner(&mut self, owner: InstanceId, run: Incarnation) {
         self.owner = Some((owner, run));
         self.grants_received.clear();
         self.reported_wants.clear();
         self.pending_wants.clear();
         self.released.clear();
-        // The estimates that the earlier owner charged for these stand in its counters.
+        // The estimates that the previous owner charged for these remain in its counters.
         self.late_costs.clear();
         self.held.retain(|_, slot| slot.busy);
         self.resync = true;
         self.owner_ready = false;
     }
 
-    /// Notes that grants of `owner` up to `seq` have arrived or never will.
+    /// Records that all grants of `owner` up to `seq` were received or are lost.
     pub fn acknowledge(&mut self, owner: InstanceId, run: Incarnation, seq: u32) {
         let known = self.acks.iter().position(|a| a.owner == owner);
         let mut ack = known.map_or(Ack { owner, run, seq }, |at| self.acks.remove(at));
@@ -115,7 +115,7 @@
         self.acks.push(ack);
     }
 
-    /// Number of the last grant of the present owner that arrived or never will.
+    /// Number of the last settled grant of the current owner.
     pub fn ack(&self) -> u32 {
         let acks = self.acks.iter();
         let known = acks.filter(|a| self.owner == Some((a.owner, a.run)));
@@ -123,7 +123,7 @@
     }
 }
 
-/// Takes grants: each goes to the oldest waiting request of its account, or back.
+/// Handles grants: each is assigned to the oldest waiting request of its account, or returned.
 pub fn on_grants(
     board: &mut Blackboard,
     from: InstanceId,
@@ -140,10 +140,11 @@
             return_unused(board, from, grants.pool, id);
             continue;
         }
-        // An old view must not start anything: a process that was paused may hold grants that
-        // the owner has long given to others.
+        // Nothing is started on a stale view: a process that was paused may hold grants whose slots
+        // the owner has since granted to others.
         if board.stale_since.is_some() || !assign_slot(board, grants.pool, id, now) {
-            // An owner that has not heard yet that the server leaves would grant it over and over.
+            // Otherwise an owner that doesn't know yet that the server is leaving would grant the
+            // slot again and again.
             let leaving = is_leaving(board, grant.server, now);
             return_slot(board, grants.pool, id, 0.0, leaving);
         }
@@ -158,15 +159,15 @@
     grant: &Grant,
     now: Instant,
 ) -> bool {
-    let Some(link) = board.sessions.get_mut(&pool) else {
+    let Some(session) = board.sessions.get_mut(&pool) else {
         return false;
     };
-    link.acknowledge(from, incarnation, grant.seq);
-    if link.owner != Some((from, incarnation)) {
+    session.acknowledge(from, incarnation, grant.seq);
+    if session.owner != Some((from, incarnation)) {
         return false;
     }
-    link.owner_ready = true;
-    *link.grants_received.entry(grant.account).or_default() += 1;
+    session.owner_ready = true;
+    *session.grants_received.entry(grant.account).or_default() += 1;
     let id = GrantId {
         maker: maker(incarnation),
         seq: grant.seq,
@@ -178,11 +179,11 @@
         reused: false,
         started: now,
     };
-    link.held.insert(id, slot);
+    session.held.insert(id, slot);
     true
 }
 
-/// Gives an idle held slot to the oldest fitting request of its account.
+/// Assigns an idle held slot to the oldest suitable request of its account.
 pub(super) fn assign_slot(
     board: &mut Blackboard,
     pool: PoolId,
@@ -190,7 +191,7 @@
     now: Instant,
 ) -> bool {
     let config = Arc::clone(&board.config);
-    let Some(slot) = board.sessions.get(&pool).and_then(|l| l.held.get(&grant)) else {
+    let Some(slot) = board.sessions.get(&pool).and_then(|s| s.held.get(&grant)) else {
         return false;
     };
     let (account, server) = (slot.account, slot.server);
@@ -209,14 +210,14 @@
     let Some(waiting) = cancel(board, request) else {
         return false;
     };
-    let Some(link) = board.sessions.get_mut(&pool) else {
+    let Some(session) = board.sessions.get_mut(&pool) else {
         return false;
     };
-    if let Some(slot) = link.held.get_mut(&grant) {
+    if let Some(slot) = session.held.get_mut(&grant) {
         slot.busy = true;
         slot.started = now;
     }
-    let owner = link.owner.map_or(board.members.me, |(id, _)| id);
+    let owner = session.owner.map_or(board.members.me, |(id, _)| id);
     cross_region::spend(board, pool, waiting.bytes);
     queue::record_dispatch(board, known.service, account, now);
     board.dispatches.push(Dispatch {
@@ -231,14 +232,14 @@
     true
 }
 
-/// Tells whether the configuration or the server itself says that it is leaving.
+/// Returns true if the configuration or the server itself says that the server is leaving.
 fn is_leaving(board: &Blackboard, server: ServerId, now: Instant) -> bool {
     let listed = board.config.servers.get(&server).is_some_and(|s| s.leaving);
-    let said = board.leaving_servers.get(&server);
-    listed || said.is_some_and(|at| now.duration_since(*at) < LEAVING_VALIDITY)
+    let announced = board.leaving_servers.get(&server);
+    listed || announced.is_some_and(|at| now.duration_since(*at) < LEAVING_VALIDITY)
 }
 
-/// An answer of `server` said that it is leaving.
+/// Records that `server` announced in a response that it is leaving.
 pub fn on_server_leaving(board: &mut Blackboard, server: ServerId, now: Instant) {
     board.leaving_servers.insert(server, now);
     board
@@ -246,7 +247,7 @@
         .retain(|_, at| now.duration_since(*at) < LEAVING_VALIDITY);
 }
 
-/// A request has left its slot: the slot goes back, or is kept while the owner is silent.
+/// Frees the slot of a finished request: returns it, or retains it while the owner is unreachable.
 pub fn finish(
     board: &mut Blackboard,
     pool: PoolId,
@@ -255,16 +256,16 @@
     failed: bool,
     now: Instant,
 ) {
-    let Some(link) = board.sessions.get(&pool) else {
+    let Some(session) = board.sessions.get(&pool) else {
         return;
     };
-    let Some((owner, _)) = link.owner else {
+    let Some((owner, _)) = session.owner else {
         return;
     };
-    let Some(slot) = link.held.get(&grant).copied() else {
+    let Some(slot) = session.held.get(&grant).copied() else {
         return;
     };
-    let settled = link.owner_ready;
+    let owner_ready = session.owner_ready;
     if let Some(server) = board.config.servers.get(&slot.server)
         && cost > 0.0
         && !failed
@@ -272,26 +273,26 @@
         let time = now.duration_since(slot.started);
         queue::record_holding_time(board, server.service, slot.account, time);
     }
-    // A new owner that still collects what entries hold grants nothing, so a slot that was handed
-    // back to it would idle as with a silent one.
-    let silent = board.is_unreachable(owner) || !settled;
+    // A new owner that is still collecting held slots doesn't grant, so a slot returned to it would
+    // idle as with an unreachable owner.
+    let retain = board.is_unreachable(owner) || !owner_ready;
     if slot.reused {
         charge_locally(board, slot, cost);
     }
-    let told = if slot.reused { 0.0 } else { cost };
-    if silent && !failed {
-        record_late_cost(board, pool, grant, told);
+    let reported_cost = if slot.reused { 0.0 } else { cost };
+    if retain && !failed {
+        record_late_cost(board, pool, grant, reported_cost);
         retain_slot(board, pool, grant, now);
         return;
     }
-    return_slot(board, pool, grant, told, failed);
+    return_slot(board, pool, grant, reported_cost, failed);
 }
 
 fn return_slot(board: &mut Blackboard, pool: PoolId, grant: GrantId, cost: f64, failed: bool) {
-    if let Some(link) = board.sessions.get_mut(&pool)
-        && link.held.remove(&grant).is_some()
+    if let Some(session) = board.sessions.get_mut(&pool)
+        && session.held.remove(&grant).is_some()
     {
-        link.released.push(Done {
+        session.released.push(Done {
             grant,
             cost: cost as f32,
             failed,
@@ -313,7 +314,7 @@
     board.outbox.push((owner, Message::Demand(demand)));
 }
 
-/// The owner asks what this entry holds, and tells up to which number its grants are settled.
+/// Handles an owner's request for the held slots, which also settles its grants up to `last`.
 pub fn on_sync(
     board: &mut Blackboard,
     from: InstanceId,
@@ -322,26 +323,26 @@
     last: u32,
     ready: bool,
 ) {
-    if let Some(link) = board.sessions.get_mut(&pool)
-        && link.owner == Some((from, incarnation))
+    if let Some(session) = board.sessions.get_mut(&pool)
+        && session.owner == Some((from, incarnation))
     {
-        link.acknowledge(from, incarnation, last);
-        link.owner_ready |= ready;
-        link.resync = true;
+        session.acknowledge(from, incarnation, last);
+        session.owner_ready |= ready;
+        session.resync = true;
     }
 }
 
-/// The connection to `peer` was renewed: say everything again.
+/// Resends the complete state after the connection to `peer` was re-established.
 pub fn on_reconnected(board: &mut Blackboard, peer: InstanceId) {
     board.broken_peers.remove(&peer);
     resync(board, peer);
 }
 
-/// Says everything again to `peer` as an owner, and asks it to do the same as an entry.
+/// Schedules the complete state for `peer` as an owner, and requests the same from it as an entry.
 pub fn resync(board: &mut Blackboard, peer: InstanceId) {
-    for link in board.sessions.values_mut() {
-        if link.owner.is_some_and(|(o, _)| o == peer) {
-            link.resync = true;
+    for session in board.sessions.values_mut() {
+        if session.owner.is_some_and(|(o, _)| o == peer) {
+            session.resync = true;
         }
     }
     let owned = board.owned_pools.iter().filter(|(_, o)| o.active);
@@ -355,7 +356,7 @@
     board.outbox.extend(syncs.into_iter().map(|s| (peer, s)));
 }
 
-/// Tells owners what changed since they were last told.
+/// Sends owners what changed since the last message to them.
 pub fn notify_owners(board: &mut Blackboard, now: Instant) {
     let dirty = std::mem::take(&mut board.dirty_queues);
     for (service, account) in dirty {
@@ -365,11 +366,11 @@
     let pools: Vec<PoolId> = board
         .sessions
         .iter()
-        .filter(|(_, l)| l.resync || !l.released.is_empty() || !l.pending_wants.is_empty())
+        .filter(|(_, s)| s.resync || !s.released.is_empty() || !s.pending_wants.is_empty())
         .map(|(id, _)| *id)
         .collect();
     for pool in pools {
-        let Some(owner) = board.sessions.get(&pool).and_then(|l| l.owner) else {
+        let Some(owner) = board.sessions.get(&pool).and_then(|s| s.owner) else {
             continue;
         };
         if owner.0 != me && board.broken_peers.contains(&owner.0) {
@@ -381,35 +382,35 @@
 }
 
 fn message_for(board: &mut Blackboard, pool: PoolId, run: Incarnation, now: Instant) -> Message {
-    let link = board.sessions.entry(pool).or_default();
-    if !link.resync {
+    let session = board.sessions.entry(pool).or_default();
+    if !session.resync {
         return Message::Demand(Demand {
             pool,
-            wants: std::mem::take(&mut link.pending_wants),
-            done: std::mem::take(&mut link.released),
+            wants: std::mem::take(&mut session.pending_wants),
+            done: std::mem::take(&mut session.released),
         });
     }
-    link.resync = false;
-    // What the list of held slots leaves out is free, so slots kept for want of an owner go back.
-    let kept: Vec<GrantId> = link
+    session.resync = false;
+    // Slots missing from the list of held ones count as free, which returns the unused ones.
+    let unused: Vec<GrantId> = session
         .held
         .iter()
         .filter(|(_, s)| !s.busy)
         .map(|(id, _)| *id)
         .collect();
-    for grant in kept {
+    for grant in unused {
         if !reuse(board, pool, grant, now)
-            && let Some(link) = board.sessions.get_mut(&pool)
+            && let Some(session) = board.sessions.get_mut(&pool)
         {
-            link.held.remove(&grant);
+            session.held.remove(&grant);
         }
     }
     holding_message(board, pool, run)
 }
 
 fn holding_message(board: &mut Blackboard, pool: PoolId, run: Incarnation) -> Message {
-    let link = board.sessions.entry(pool).or_default();
-    let held = link
+    let session = board.sessions.entry(pool).or_default();
+    let held = session
         .held
         .iter()
         .map(|(grant, slot)| Held {
@@ -429,18 +430,18 @@
     let message = Holding {
         pool,
         owner: run,
-        ack: link.ack(),
+        ack: session.ack(),
         held,
-        received: list(&link.grants_received),
-        wants: list(&link.reported_wants),
-        done: link
+        received: list(&session.grants_received),
+        wants: list(&session.reported_wants),
+        done: session
             .late_costs
             .drain(..)
-            .chain(link.released.drain(..))
+            .chain(session.released.drain(..))
             .collect(),
-        settled: link.owner_ready,
+        settled: session.owner_ready,
     };
-    link.pending_wants.clear();
+    session.pending_wants.clear();
     Message::Holding(message)
 }
 
@@ -456,22 +457,22 @@
     };
     let chosen = cross_region::select_pools(board, service, account, pools);
     for pool in pools {
-        let Some(link) = board.sessions.get_mut(pool) else {
+        let Some(session) = board.sessions.get_mut(pool) else {
             continue;
         };
-        let base = link
+        let base = session
             .grants_received
             .get(&account)
             .copied()
             .unwrap_or_default();
-        let open = if chosen.contains(pool) { waiting } else { 0 };
-        let wanted = base.wrapping_add(open);
-        let told = link.reported_wants.get(&account).copied();
-        if told == Some(wanted) || (told.is_none() && wanted == 0) {
+        let pending = if chosen.contains(pool) { waiting } else { 0 };
+        let wanted = base.wrapping_add(pending);
+        let reported = session.reported_wants.get(&account).copied();
+        if reported == Some(wanted) || (reported.is_none() && wanted == 0) {
             continue;
         }
-        link.reported_wants.insert(account, wanted);
-        link.pending_wants.retain(|w| w.account != account);
-        link.pending_wants.push(Want { account, wanted });
+        session.reported_wants.insert(account, wanted);
+        session.pending_wants.retain(|w| w.account != account);
+        session.pending_wants.push(Want { account, wanted });
     }
 }
--- a/crates/hawthornmill/src/pools/mod.rs
+++ b/crates/hawthornmill/src/pools/mod.rs
@@ -1,11 +1,11 @@
-//! Pools, owners and slots.
+//! Scheduling of requests onto the slots of server pools.
 //!
-//! Requests wait at the entry that received them ([`queue`], [`entry`]). The owner of a pool ([`owner`])
-//! learns only how many wait for each account, and grants slots one by one to the account that has
-//! received the least normalised service; the entry then sends its oldest request of that account
-//! straight to the server. [`cross_region`] says which pools an entry asks, and [`retained`] what becomes of
-//! its slots while an owner is silent. [`ownership`] follows the members and the configuration; [`run_due()`] runs
-//! whatever is due after an event.
+//! Requests wait at the entry, the instance that received them ([`queue`], [`entry`]). The owner of
+//! a pool ([`owner`]) only knows how many wait for each account, and grants slots one by one to the
+//! account that has received the least normalised service ([`schedule`]); the entry then sends its
+//! oldest request of that account directly to the server. [`cross_region`] selects the pools that an
+//! entry asks, and [`retained`] reuses its slots while an owner is unreachable. [`ownership`] tracks
+//! the owner of each pool; [`run_due()`] runs everything that is due after an event.
 
 pub mod cross_region;
 pub mod entry;
@@ -25,29 +25,29 @@
 use crate::membership::placement;
 use crate::wire::message::Message;
 
-/// Rounds of messages to itself that one turn may take.
+/// Largest number of rounds of messages to itself in one call of [`run_due()`].
 const MAX_SELF_ROUNDS: usize = 64;
 
-/// Instances that need this one's heartbeats: its failure domain, and those it works with.
+/// Instances that need this one's heartbeats: its failure domain, and those it exchanges work with.
 ///
-/// A region's relay also tries the failure domains in which nobody is heard, one instance after
-/// another with each `round`: one that starts while the platform is down knows nobody, and a
-/// heartbeat brings it a first contact. One that leaves tells everybody: callers in any region may be
-/// given its address until the instance that they ask has heard of it.
+/// A region's relay also contacts failure domains without a live member, one instance per `round`:
+/// an instance that starts while the platform is down knows no others until a heartbeat arrives. A
+/// leaving instance sends to all live ones, since any instance may give its address to callers until
+/// it knows.
 pub fn heartbeat_targets(board: &Blackboard, round: u32) -> BTreeSet<InstanceId> {
     let home = board.members.own().domain;
-    let mates = board.members.map.iter().filter(|(_, m)| m.domain == home);
+    let neighbours = board.members.map.iter().filter(|(_, m)| m.domain == home);
     let owners = board
         .sessions
         .values()
-        .filter(|link| !link.reported_wants.is_empty() || !link.held.is_empty())
-        .filter_map(|link| link.owner);
+        .filter(|s| !s.reported_wants.is_empty() || !s.held.is_empty())
+        .filter_map(|s| s.owner);
     let owned = board.owned_pools.values().filter(|owned| owned.active);
     let entries = owned.flat_map(|owned| {
-        let wants = owned.accounts.values().flat_map(|q| q.entries.keys());
-        wants.chain(owned.held.keys().map(|(entry, _)| entry))
+        let waiting = owned.accounts.values().flat_map(|q| q.entries.keys());
+        waiting.chain(owned.held.keys().map(|(entry, _)| entry))
     });
-    let mut targets: BTreeSet<InstanceId> = mates.map(|(id, _)| *id).collect();
+    let mut targets: BTreeSet<InstanceId> = neighbours.map(|(id, _)| *id).collect();
     targets.extend(owners.map(|(id, _)| id));
     targets.extend(entries);
     targets.extend(placement::silent_domain_candidates(&board.members, round));
@@ -58,7 +58,7 @@
     targets
 }
 
-/// Runs everything that recent events have made due, messages to itself included.
+/// Runs everything that is due after recent events, including messages to itself.
 pub fn run_due(board: &mut Blackboard, now: Instant) {
     for _ in 0..MAX_SELF_ROUNDS {
         ownership::update_owners(board, now);
@@ -84,7 +84,7 @@
     any
 }
 
-/// Takes a pool message from an instance, this one included.
+/// Handles a pool message from an instance, including this one.
 pub fn handle_message(
     board: &mut Blackboard,
     from: InstanceId,
@@ -101,7 +101,7 @@
             entry::on_sync(board, from, incarnation, pool, last, ready);
         }
         Message::StandingPull => counter_sync::respond(board, from),
-        Message::Standing(told) => counter_sync::apply(board, &told),
+        Message::Standing(snapshot) => counter_sync::apply(board, &snapshot),
         _ => {}
     }
 }
--- a/crates/hawthornmill/src/pools/owner.rs
+++ b/crates/hawthornmill/src/pools/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a pool: what each entry wants and holds.
+//! The owner's side of a pool: the demand and the held slots of each entry.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,9 +8,9 @@
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId, ServiceId};
 use crate::wire::message::{Demand, Done, GrantId, Held, Holding, Message, Want};
 
-/// Part of a new load reading in the owner's trust: readings over this are foreign work.
+/// Consecutive load readings with foreign calls after which the limit is lowered.
 const MIN_FOREIGN_READINGS: u8 = 2;
-/// Readings without work of others after which all slots are granted again.
+/// Load readings over which a lowered limit returns to all slots.
 const LIMIT_STEPS: u16 = 8;
 
 /// Time after a penalty in which a server gets one request at a time, until one succeeds.
@@ -19,30 +19,30 @@
 /// Slots of one server.
 #[derive(Debug, Clone, Default)]
 pub struct ServerSlots {
-    /// Slots by configuration.
+    /// Slots in the configuration.
     pub total: u16,
-    /// Slots that may be granted: fewer while the server reports work of others.
+    /// Slots that may be granted; lower while the server reports foreign calls.
     pub limit: u16,
-    /// Slots granted and not given back.
+    /// Slots granted and not returned.
     pub used: u16,
     /// Class in the configuration.
     pub class: u16,
-    /// The configuration says that it gets no new work.
+    /// The configuration lists it as leaving, so it gets no new work.
     pub leaving: bool,
-    /// Its own load report says so.
+    /// Its own load report says that it is leaving.
     pub reports_leaving: bool,
-    /// It failed; no grants until then, and one at a time for `PROBING` after.
+    /// After a failure: no grants until then, and one at a time for `PROBE_PERIOD` after.
     pub avoid_until: Option<Instant>,
-    /// Number of the last grant of a slot here.
+    /// Number of the last grant on this server.
     pub last_grant: u32,
-    /// Most slots granted at once since the last load reading, and before it.
+    /// Most slots in use at once since the last load reading, and in the interval before it.
     pub peak: [u16; 2],
-    /// Load readings in a row that showed work of others.
+    /// Consecutive load readings that showed foreign calls.
     pub foreign_readings: u8,
 }
 
 impl ServerSlots {
-    /// Takes slots, class and state from the configuration; true when that changed anything.
+    /// Applies slots, class and state of the configuration; returns true if anything changed.
     pub fn resize(&mut self, total: u16, class: u16, leaving: bool) -> bool {
         let old = (self.total, self.class, self.leaving);
         if self.total != total {
@@ -60,35 +60,36 @@
         match self.avoid_until {
             _ if self.leaving || self.reports_leaving => 0,
             Some(until) if now < until => 0,
-            // A server that still fails would otherwise cost as many calls as it has slots.
+            // If the server still fails, this limits the number of failed calls.
             Some(until) if now < until + PROBE_PERIOD => free.min(u16::from(self.used == 0)),
             _ => free,
         }
     }
 
-    /// Takes a slot.
+    /// Marks a slot as used.
     pub fn acquire(&mut self) {
         self.used += 1;
         self.peak[0] = self.peak[0].max(self.used);
     }
 
-    /// Takes a load reading.
+    /// Adjusts the limit to a load reading, the number of calls that the server runs.
     ///
-    /// Readings lag, so the first is compared with the most that was granted since the reading before
-    /// the last. What is above that is work of another owner, or of an entry that died. While the
-    /// server is overfull the slots are shared in proportion; otherwise the other's are left to it.
-    /// Two owners that took all slots back as soon as the server was no longer overfull would overfill
-    /// it again with every other reading, so the limit then moves by small steps.
+    /// Readings lag, so while the limit is at its maximum they are compared with the most slots in use
+    /// since the reading before the last. Calls beyond that are foreign: granted by another owner, or
+    /// left over from a dead entry. The limit leaves their slots free; if the server is overloaded, it
+    /// is set in proportion to this owner's part of the calls. Once lowered, the limit moves in small
+    /// steps: two owners that claimed all slots again as soon as the overload ended would overload
+    /// the server with every other reading.
     pub fn apply_load_reading(&mut self, running: u16) {
         let shared = self.limit < self.total;
         let peak = self.peak[0].max(self.peak[1]).max(self.used);
-        let mine = if shared { self.used } else { peak };
+        let own = if shared { self.used } else { peak };
         self.peak = [self.used, self.peak[0]];
         let step = (self.total / LIMIT_STEPS).max(1);
-        let most = self.total.min(self.limit + step);
-        if running <= mine {
+        let highest = self.total.min(self.limit + step);
+        if running <= own {
             self.foreign_readings = 0;
-            self.limit = most;
+            self.limit = highest;
             return;
         }
         self.foreign_readings = self.foreign_readings.saturating_add(1);
@@ -96,100 +97,100 @@
             return;
         }
         let target = if running > self.total {
-            (u32::from(self.total) * u32::from(mine) / u32::from(running)) as u16
+            (u32::from(self.total) * u32::from(own) / u32::from(running)) as u16
         } else {
-            self.total - (running - mine)
+            self.total - (running - own)
         };
-        let least = if shared {
+        let lowest = if shared {
             self.limit.saturating_sub(step)
         } else {
             0
         };
-        self.limit = target.clamp(least, most).max(1).min(self.total);
+        self.limit = target.clamp(lowest, highest).max(1).min(self.total);
     }
 
-    /// Trusts the configured slots again.
+    /// Resets the limit to the configured slots.
     fn reset_limit(&mut self) {
         self.limit = self.total;
         self.foreign_readings = 0;
     }
 }
 
-/// What one entry wants for one account.
+/// Demand of one entry for one account.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct EntryWant {
-    /// Cumulative want, as the entry told it.
+    /// Cumulative want as last received from the entry.
     pub wanted: u32,
-    /// Grants made for it.
+    /// Grants made to the entry for this account.
     pub granted: u32,
-    /// Number of the last of them.
+    /// Number of the last of these grants.
     pub last_grant: u32,
 }
 
 impl EntryWant {
     /// Requests that wait for a grant.
     pub fn pending(&self) -> u32 {
-        // Counters wrap after four billion grants; the difference stays right.
-        let open = self.wanted.wrapping_sub(self.granted);
-        if open > u32::MAX / 2 { 0 } else { open }
+        // The counters wrap after 2^32 grants, but their difference stays correct.
+        let pending = self.wanted.wrapping_sub(self.granted);
+        if pending > u32::MAX / 2 { 0 } else { pending }
     }
 }
 
 /// One account in one pool.
 #[derive(Debug, Clone, Default)]
 pub struct AccountQueue {
-    /// What is added to the account's fleet-wide service here, so that idling earns no credit.
+    /// Added to the account's fleet-wide service in this pool, so that idle time earns no credit.
     pub offset: f64,
-    /// Requests that wait over all entries.
+    /// Requests that wait for a grant, over all entries.
     pub pending: u32,
     /// Slots held.
     pub held: u32,
-    /// Wants by entry.
+    /// Demand by entry.
     pub entries: BTreeMap<InstanceId, EntryWant>,
 }
 
 /// A slot that an entry holds.
 #[derive(Debug, Clone, Copy)]
 pub struct HeldSlot {
-    /// Account that it serves.
+    /// The account that uses it.
     pub account: AccountId,
-    /// Server on which it is.
+    /// Its server.
     pub server: ServerId,
-    /// Normalised service charged when it was granted; none where another owner charged it.
+    /// Normalised service charged with the grant, or `None` if another owner charged it.
     pub charged: Option<f64>,
 }
 
-/// A pool as its owner keeps it.
+/// State of a pool at its owner.
 #[derive(Debug, Clone, Default)]
 pub struct OwnedPool {
-    /// This instance takes itself for the owner.
+    /// This instance is the owner in its own view.
     pub active: bool,
-    /// From when on it grants.
+    /// When it starts to grant.
     pub ready_at: Option<Instant>,
-    /// When the old owner handed the pool over, before this instance took itself for the owner.
+    /// When the previous owner handed over the pool, if this instance was not yet active.
     pub handed_over_at: Option<Instant>,
-    /// Servers.
+    /// Servers of the pool.
     pub servers: BTreeMap<ServerId, ServerSlots>,
     /// Slots held, by entry and grant.
     pub held: BTreeMap<(InstanceId, GrantId), HeldSlot>,
-    /// Accounts with wants or slots.
+    /// Accounts with demand or held slots.
     pub accounts: BTreeMap<AccountId, AccountQueue>,
-    /// Process run of each entry that spoke.
+    /// Process run of each known entry.
     pub entries: BTreeMap<InstanceId, Incarnation>,
     /// Number of the last grant.
     pub seq: u32,
     /// Number of the last grant to each entry.
     pub last_grants: BTreeMap<InstanceId, u32>,
-    /// Normalised service of the account served last; it never falls.
+    /// Least normalised service among waiting accounts at the last grant; never decreases.
     pub level: f64,
-    /// Something changed that a grant may follow from.
+    /// A change that may allow further grants.
     pub dirty: bool,
-    /// Entries were told that grants are made from now on.
+    /// Entries were informed that this owner grants.
     pub announced: bool,
 }
 
 impl OwnedPool {
-    /// Starts to own the pool; grants are made from `ready` on.
+    /// Starts to own the pool and to grant from `ready` on.
     pub fn activate(&mut self, ready: Instant) {
         self.active = true;
         self.ready_at = Some(ready);
@@ -198,12 +199,12 @@
         self.servers.values_mut().for_each(ServerSlots::reset_limit);
     }
 
-    /// Tells whether grants are made.
+    /// Returns true if the owner grants slots.
     pub fn is_ready(&self, now: Instant) -> bool {
         self.ready_at.is_some_and(|ready| ready <= now)
     }
 
-    /// Notes the process run of an entry that speaks; false when that run is over.
+    /// Registers the process run of an entry; returns false if a later run is known.
     pub fn register_entry(&mut self, entry: InstanceId, incarnation: Incarnation) -> bool {
         match self.entries.get(&entry) {
             Some(known) if *known > incarnation => return false,
@@ -214,10 +215,10 @@
         true
     }
 
-    /// Stops to own the pool and drops what was known of it.
+    /// Stops owning the pool and drops its state.
     ///
-    /// The numbers of grants go on: entries remember the last one of this run, and would take a
-    /// number that is used again for a grant that has long arrived.
+    /// Grant numbers continue: entries remember the last one of this run and would ignore a reused
+    /// number as already received.
     pub fn deactivate(&mut self) {
         *self = Self {
             seq: self.seq,
@@ -225,7 +226,7 @@
         };
     }
 
-    /// Drops everything that `entry` wants and holds.
+    /// Drops the demand and the held slots of `entry`.
     pub fn remove_entry(&mut self, entry: InstanceId) {
         if self.entries.remove(&entry).is_none() {
             return;
@@ -251,7 +252,7 @@
             .map(|((_, grant), _)| *grant)
     }
 
-    /// Frees a slot and returns what was known of it.
+    /// Frees a held slot and returns it.
     pub fn release(&mut self, entry: InstanceId, grant: GrantId) -> Option<HeldSlot> {
         let slot = self.held.remove(&(entry, grant))?;
         if let Some(server) = self.servers.get_mut(&slot.server) {
@@ -273,7 +274,7 @@
         self.dirty = true;
     }
 
-    /// Books a slot that an entry holds.
+    /// Adds a slot that an entry holds.
     pub fn add_held(&mut self, entry: InstanceId, held: &Held, charged: Option<f64>) {
         if self.held.contains_key(&(entry, held.grant)) {
             return;
@@ -288,7 +289,7 @@
         self.accounts.entry(held.account).or_default().held += 1;
     }
 
-    /// Slots that may be granted and that nothing waits for.
+    /// Slots that may be granted while no request waits for one.
     pub fn idle_slots(&self, now: Instant) -> u16 {
         if self.accounts.values().any(|q| q.pending > 0) {
             return 0;
@@ -297,12 +298,12 @@
     }
 }
 
-/// Low half of an incarnation, as grants carry it.
+/// Low half of an incarnation, which identifies the owner run in a grant.
 pub const fn maker(incarnation: Incarnation) -> u32 {
     incarnation.0 as u32
 }
 
-/// Takes what changed at an entry.
+/// Handles a change of an entry's demand.
 pub fn on_demand(
     board: &mut Blackboard,
     from: InstanceId,
@@ -327,7 +328,7 @@
     }
 }
 
-/// Lifts an account that was idle here to the level of those that are served.
+/// Raises an account that was idle to the level of the accounts that are served.
 fn raise_idle_account(
     board: &mut Blackboard,
     pool: PoolId,
@@ -343,7 +344,7 @@
     }
 }
 
-/// Takes a slot back and corrects the charge to what the call cost.
+/// Frees a returned slot and corrects the charge to the actual cost of the call.
 fn release_slot(
     board: &mut Blackboard,
     pool: PoolId,
@@ -372,8 +373,8 @@
     };
     let cost = f64::from(done.cost);
     let share = board.config.share(slot.account, slot.server);
-    // The estimate of an owner that is gone stays in its counters; the cost on top of it would
-    // count the call twice.
+    // If another owner charged an estimate, it remains in that owner's counters; charging the cost
+    // as well would count the call twice.
     if let Some(charged) = slot.charged {
         let corrected = cost / share.unwrap_or(1.0) - charged;
         board.ledger.charge(key, corrected);
@@ -383,7 +384,7 @@
     }
 }
 
-/// Takes everything that an entry holds and wants.
+/// Handles the complete state of an entry.
 pub fn on_holding(
     board: &mut Blackboard,
     from: InstanceId,
@@ -397,33 +398,34 @@
     let Some(service) = board.config.pools.get(&holding.pool).map(|p| p.service) else {
         return;
     };
-    let made = maker(board.incarnation);
+    let own_maker = maker(board.incarnation);
     let owned = board.owned_pools.entry(holding.pool).or_default();
     if !owned.register_entry(from, incarnation) {
         return;
     }
-    // Costs come first: what is not held and not listed here was never run, and is refunded.
+    // Costs are settled first: a slot that is neither held nor listed here was never used, and its
+    // charge is refunded.
     for done in &holding.done {
         release_slot(board, holding.pool, service, from, done, now);
     }
     let owned = board.owned_pools.entry(holding.pool).or_default();
-    let gone: Vec<GrantId> = owned
+    let returned: Vec<GrantId> = owned
         .held_by(from)
-        .filter(|g| g.maker != made || g.seq <= holding.ack)
+        .filter(|g| g.maker != own_maker || g.seq <= holding.ack)
         .filter(|g| !holding.held.iter().any(|h| h.grant == *g))
         .collect();
     let mut refunds = Vec::new();
-    for grant in gone {
+    for grant in returned {
         refunds.extend(owned.release(from, grant));
     }
     for held in &holding.held {
         owned.add_held(from, held, None);
     }
-    // Every grant up to `ack` has arrived or is lost, so what is granted counts from there.
+    // Every grant up to `ack` was received or is lost; only later ones are in flight.
     let in_flight: Vec<AccountId> = owned
         .held
         .iter()
-        .filter(|((e, g), _)| *e == from && g.maker == made && g.seq > holding.ack)
+        .filter(|((e, g), _)| *e == from && g.maker == own_maker && g.seq > holding.ack)
         .map(|(_, slot)| slot.account)
         .collect();
     reset_wants(owned, from, &holding.received, &in_flight);
@@ -440,12 +442,12 @@
     sync_returning_entry(board, from, holding, now);
 }
 
-/// Asks an entry that comes back to this owner once more, after the grants that are on their way.
+/// Syncs an entry that switched to another owner and back, after the grants in flight to it.
 ///
-/// An entry that turned to another owner and back has forgotten up to which number grants arrived,
-/// so those that it dropped meanwhile would count as on their way for good and their slots idle.
-/// Messages keep their order: what it says after this number has arrived is the whole truth. One
-/// that turns here late must also learn that grants are made already.
+/// Such an entry may have forgotten which grants it received, so grants that it dropped meanwhile
+/// would count as in flight forever and their slots would idle. Messages arrive in order, so its
+/// response to this message accounts for all earlier grants. An entry that switched to this owner
+/// late must also learn that the owner already grants.
 fn sync_returning_entry(board: &mut Blackboard, from: InstanceId, holding: &Holding, now: Instant) {
     let pool = holding.pool;
     let Some(owned) = board.owned_pools.get(&pool).filter(|o| o.active) else {
@@ -459,7 +461,7 @@
     }
 }
 
-/// Tells every entry that the owned pools which have just become ready grant from now on.
+/// Informs all entries of owned pools that have just become ready to grant.
 pub fn announce_ready(board: &mut Blackboard, now: Instant) {
     let due: Vec<PoolId> = board
         .owned_pools
@@ -495,8 +497,8 @@
         .filter(|(_, q)| q.entries.contains_key(&from))
         .map(|(a, _)| *a)
         .collect();
-    let told = received.iter().map(|w| w.account);
-    let mut accounts: Vec<AccountId> = known.into_iter().chain(told).collect();
+    let reported = received.iter().map(|w| w.account);
+    let mut accounts: Vec<AccountId> = known.into_iter().chain(reported).collect();
     accounts.sort_unstable();
     accounts.dedup();
     for account in accounts {
@@ -512,7 +514,7 @@
     }
 }
 
-/// Takes a server's own word, in its load report, on whether it is leaving.
+/// Handles the leaving state in a server's load report.
 pub fn on_leaving_reading(board: &mut Blackboard, pool: PoolId, server: ServerId, leaving: bool) {
     if let Some(owned) = board.owned_pools.get_mut(&pool)
         && let Some(slots) = owned.servers.get_mut(&server)
@@ -523,10 +525,10 @@
     }
 }
 
-/// Takes a server's load reading.
+/// Handles a server's load reading.
 ///
-/// An owner that still collects what entries hold would take their work for another owner's, and an
-/// instance that schedules alone would take the work of all others for it.
+/// Ignored while an owner still collects held slots, and under the static policy: in both cases
+/// calls of other entries or instances would be mistaken for foreign calls.
 pub fn on_load_reading(board: &mut Blackboard, pool: PoolId, server: ServerId, running: u16) {
     if board.tuning.policy == Policy::Static {
         return;
--- a/crates/hawthornmill/src/pools/ownership.rs
+++ b/crates/hawthornmill/src/pools/ownership.rs
@@ -1,4 +1,4 @@
-//! Follows who owns which pool.
+//! Tracks the owner of each pool and transfers pools between owners.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,10 +13,10 @@
 use crate::pools::owner::OwnedPool;
 use crate::wire::message::{Handover, Held, HeldBy, Message};
 
-/// Time for which a handover is good that came before this instance took itself for the owner.
+/// Validity of a handover that arrives before this instance becomes the owner in its own view.
 const HANDOVER_VALIDITY: Duration = Duration::from_secs(1);
 
-/// Works out owners anew after the members or the configuration changed.
+/// Recomputes owners after the members or the configuration changed.
 pub fn update_owners(board: &mut Blackboard, now: Instant) {
     if !board.members.changed {
         return;
@@ -35,7 +35,7 @@
         .owned_pools
         .retain(|id, _| config.pools.contains_key(id));
     apply_liveness_changes(board);
-    // Static parts also depend on how many instances are live.
+    // Static shares also depend on the number of live instances.
     if board.sized_revision != config.revision || board.tuning.policy == Policy::Static {
         board.sized_revision = config.revision;
         update_servers(board, &config);
@@ -45,24 +45,24 @@
 fn update_owner(board: &mut Blackboard, pool: PoolId, owner: Option<InstanceId>, now: Instant) {
     let incarnation = owner.map(|o| incarnation_of(board, o));
     let level = reported_level(board, pool);
-    let link = board.sessions.entry(pool).or_default();
-    let found = owner.zip(incarnation);
-    if let Some((id, run)) = found
-        && link.owner != Some((id, run))
+    let session = board.sessions.entry(pool).or_default();
+    let owner_run = owner.zip(incarnation);
+    if let Some((id, run)) = owner_run
+        && session.owner != Some((id, run))
     {
-        link.switch_owner(id, run);
+        session.switch_owner(id, run);
         board.events.push(Event::OwnerChanged(pool, id));
         let queues = board.queues.keys().copied();
         board.dirty_queues.extend(queues);
     }
-    let mine = owner == Some(board.me());
+    let owned_here = owner == Some(board.me());
     let ready = match board.tuning.policy {
         Policy::Static => now,
         Policy::Pooled => now + board.tuning.rebuild,
     };
     let me = board.me();
     let owned = board.owned_pools.entry(pool).or_default();
-    if mine && !owned.active {
+    if owned_here && !owned.active {
         if owned
             .handed_over_at
             .is_some_and(|at| now.duration_since(at) > HANDOVER_VALIDITY)
@@ -71,10 +71,10 @@
         }
         let handed_over = owned.handed_over_at.take().is_some();
         owned.activate(if handed_over { now } else { ready });
-        // Without the level that the pool had reached, every account that had idled would come
-        // back with credit for that time.
+        // Without the pool's last level, accounts that were idle would return with credit for that
+        // time.
         owned.level = owned.level.max(level);
-        // The book of a pool that was not owned here has no slots yet.
+        // Pools not owned here before have no slots yet.
         board.sized_revision = 0;
         let peers: Vec<InstanceId> = board.members.live().map(|(id, _)| id).collect();
         for peer in peers.into_iter().filter(|p| *p != me) {
@@ -86,7 +86,7 @@
             board.outbox.push((peer, sync));
         }
     }
-    if !mine && owned.active {
+    if !owned_here && owned.active {
         let handover = handover(pool, owned, &board.ledger, &board.config);
         owned.deactivate();
         if let Some(to) = owner.filter(|_| board.stale_since.is_none()) {
@@ -95,7 +95,7 @@
     }
 }
 
-/// What the next owner of a pool must know to grant at once.
+/// The state that the next owner of a pool needs to grant at once.
 fn handover(pool: PoolId, owned: &OwnedPool, ledger: &Ledger, config: &FleetConfig) -> Handover {
     let held = owned.held.iter().filter_map(|((entry, grant), slot)| {
         let held = Held {
@@ -127,9 +127,9 @@
     }
 }
 
-/// The level that the last owner told of `pool`; 0 when it told none.
+/// The level that the last owner of `pool` reported, or 0.
 fn reported_level(board: &Blackboard, pool: PoolId) -> f64 {
-    let owner = board.sessions.get(&pool).and_then(|l| l.owner);
+    let owner = board.sessions.get(&pool).and_then(|s| s.owner);
     owner
         .and_then(|(id, _)| board.reports.pool_state(pool, id))
         .map_or(0.0, |state| state.level)
@@ -143,21 +143,21 @@
         .map_or(Incarnation::default(), |m| m.incarnation)
 }
 
-/// Drops what entries that died wanted and held, and asks those that came back.
+/// Drops the state of entries that died, and resyncs entries that returned.
 ///
-/// Requests of a dead entry may still run on a server; the server's load report keeps the owner
-/// from granting those slots twice. An entry that was only silent does not know that it was
-/// dropped, so its wants would be missing for good if nobody asked: both sides say everything again.
+/// Requests of a dead entry may still run on a server; the server's load report keeps the owner from
+/// granting those slots twice. An entry that was only unreachable doesn't know that its state was
+/// dropped and would never send it again, so both sides resend everything.
 fn apply_liveness_changes(board: &mut Blackboard) {
-    let died = std::mem::take(&mut board.members.newly_dead);
+    let dead = std::mem::take(&mut board.members.newly_dead);
     for owned in board.owned_pools.values_mut() {
-        for id in &died {
+        for id in &dead {
             owned.remove_entry(*id);
         }
     }
     board
         .events
-        .extend(died.into_iter().map(Event::InstanceDown));
+        .extend(dead.into_iter().map(Event::InstanceDown));
     for id in std::mem::take(&mut board.members.newly_live) {
         board.reports.forget_sent(id);
         board.events.push(Event::InstanceUp(id));
@@ -165,13 +165,13 @@
     }
 }
 
-/// Takes over from the old owner of a pool.
+/// Takes over a pool from its previous owner.
 ///
-/// Without its word, a new owner knows nothing of the slots that are held and must first wait for
-/// every entry to say so, while free slots idle. An entry that has spoken here may know better than
-/// the old owner, or may have turned back to it since; its slots are taken as held, and it is asked
-/// again. An owner that grants already has heard all entries, so a word that comes late, from one
-/// that was cut off or paused, changes nothing.
+/// Without a handover, a new owner has to collect the held slots from every entry first, while free
+/// slots idle. Entries that have already sent their state may be more recent than the handover, or
+/// may have switched back to the previous owner since; their slots count as held, and they are
+/// synced again. An owner that already grants has collected all entries, so it ignores a late
+/// handover from an instance that was partitioned or paused.
 pub fn on_handover(board: &mut Blackboard, handover: &Handover, now: Instant) {
     let Some(service) = board.config.pools.get(&handover.pool).map(|p| p.service) else {
         return;
@@ -201,8 +201,8 @@
         owned.level = owned.level.max(total(*account) + lag);
     }
     for (account, lag) in &handover.lags {
-        let lift = owned.level - lag - total(*account);
-        owned.accounts.entry(*account).or_default().offset = lift;
+        let offset = owned.level - lag - total(*account);
+        owned.accounts.entry(*account).or_default().offset = offset;
     }
     if owned.active {
         owned.activate(now);
@@ -211,34 +211,34 @@
     }
 }
 
-/// Takes servers and their slots from the configuration.
+/// Applies servers and slots of the configuration to the owned pools.
 fn update_servers(board: &mut Blackboard, config: &FleetConfig) {
     let live: Vec<InstanceId> = board.members.live().map(|(id, _)| id).collect();
     let rank = live.iter().position(|id| *id == board.me()).unwrap_or(0);
     let policy = board.tuning.policy;
-    // Only pools owned here: the time and memory for all others would grow with the whole fleet.
+    // Only pools owned here: for all pools, time and memory would grow with the whole fleet.
     for (id, owned) in board.owned_pools.iter_mut().filter(|(_, o)| o.active) {
         let Some(pool) = config.pools.get(id) else {
             continue;
         };
         owned.servers.retain(|s, _| pool.servers.contains(s));
         for server in &pool.servers {
-            let known = &config.servers[server];
+            let server_config = &config.servers[server];
             let slots = match policy {
-                Policy::Pooled => known.slots,
-                Policy::Static => static_share(known.slots, rank, live.len(), server.0),
+                Policy::Pooled => server_config.slots,
+                Policy::Static => static_share(server_config.slots, rank, live.len(), server.0),
             };
             let entry = owned.servers.entry(*server).or_default();
-            owned.dirty |= entry.resize(slots, known.class, known.leaving);
+            owned.dirty |= entry.resize(slots, server_config.class, server_config.leaving);
         }
     }
 }
 
-/// The part of `slots` that the instance of `rank` among `count` schedules alone.
+/// The static share of `slots` for the instance with `rank` among `count`.
 fn static_share(slots: u16, rank: usize, count: usize, salt: u64) -> u16 {
     let slots = usize::from(slots);
-    // Remainders are turned by server, so that they do not all fall to the first instances.
+    // Remainders rotate by server, so that they don't all go to the first instances.
     let rank = (rank + (salt % count.max(1) as u64) as usize) % count.max(1);
-    let upto = |r: usize| slots * r / count.max(1);
-    (upto(rank + 1) - upto(rank)) as u16
+    let end = |r: usize| slots * r / count.max(1);
+    (end(rank + 1) - end(rank)) as u16
 }
--- a/crates/hawthornmill/src/pools/queue.rs
+++ b/crates/hawthornmill/src/pools/queue.rs
@@ -1,4 +1,4 @@
-//! Queues of waiting requests at an entry: who is let in, who goes next, who is given up.
+//! Queues of waiting requests at an entry: admission, order and expiry.
 
 use std::time::{Duration, Instant};
 
@@ -11,26 +11,26 @@
 use crate::limits::backlog::Backlog;
 use crate::limits::queue_rate::QueueRate;
 
-/// Grants of servers to be avoided that a request lets go by before it takes one.
+/// Grants for avoided servers that a request declines before it accepts one.
 const MAX_DECLINES: u8 = 4;
 
-/// Requests of a queue behind which one may be refused for its deadline.
+/// Queue length from which a request may be rejected because of its deadline.
 const MIN_QUEUE_LENGTH: usize = 4;
 
 /// A new request.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
-    /// Service that it calls.
+    /// The service called.
     pub service: ServiceId,
-    /// Account that pays.
+    /// The account charged.
     pub account: AccountId,
-    /// Bytes of its body.
+    /// Size of its body.
     pub bytes: usize,
-    /// When the caller gives up.
+    /// Deadline of the caller.
     pub deadline: Instant,
 }
 
-/// Puts a request into its account's queue.
+/// Adds a request to its account's queue.
 ///
 /// # Errors
 /// [`Code::QueueFull`], [`Code::QueueLate`] or [`Code::InstanceFull`]; the request was not run.
@@ -38,8 +38,8 @@
     check_account_limits(board, &arrival)?;
     let ahead = queue_length(board, arrival.service, arrival.account);
     let left = arrival.deadline.saturating_duration_since(now);
-    // Some wait in any case: a wrong estimate then takes no work from a server, and is put right by
-    // how they are served.
+    // A few requests always wait, so that a wrong estimate never leaves servers idle and is
+    // corrected by how fast these are served.
     if ahead >= MIN_QUEUE_LENGTH
         && queue_rate(board, arrival.service, arrival.account).misses_deadline(ahead, left, now)
     {
@@ -49,9 +49,9 @@
     Ok(insert(board, arrival, now, SmallVec::new()))
 }
 
-/// Puts a request that failed at `avoid` back to the place that it had.
+/// Returns a request that failed on the servers in `avoid` to its position in the queue.
 ///
-/// It was let in before and its body is held anyway, so no bound is checked again.
+/// It was admitted before and its body is in memory anyway, so no limit is checked again.
 pub fn requeue(
     board: &mut Blackboard,
     arrival: Arrival,
@@ -61,25 +61,29 @@
     insert(board, arrival, arrived, avoid)
 }
 
-/// Tells whether a request of `bytes` would find no room in its account's bounds.
+/// Checks a request against its account's limits.
+///
+/// Called before the body is read, so that a flood uses no memory for bodies.
 ///
 /// # Errors
-/// [`Code::QueueFull`]; asked before a body is read, so that a flood costs no memory for bodies.
+/// [`Code::QueueFull`] if the request exceeds a limit.
 pub fn check_account_limits(board: &Blackboard, arrival: &Arrival) -> Result<(), Code> {
-    let held = board.backlogs.account(arrival.account);
+    let backlog = board.backlogs.account(arrival.account);
     let fits = board
         .config
         .accounts
         .get(&arrival.account)
-        .is_some_and(|a| held.count < a.max_queue && held.bytes + arrival.bytes <= a.max_bytes);
+        .is_some_and(|a| {
+            backlog.count < a.max_queue && backlog.bytes + arrival.bytes <= a.max_bytes
+        });
     fits.then_some(()).ok_or(Code::QueueFull)
 }
 
-/// Makes room within the instance's bounds, at the cost of the account that holds most.
+/// Makes room within the instance's limits by evicting requests of the account with most of them.
 ///
-/// First come, first served would let one account with a long queue, or one that came first, keep
-/// all others out. So the newest request of the largest backlog is refused instead, as long as the
-/// arriving account holds less than that one.
+/// In order of arrival, an account with a long queue could keep all others out. So the newest
+/// request of the largest backlog is rejected instead, as long as the arriving account has a smaller
+/// backlog.
 fn make_room(board: &mut Blackboard, arrival: &Arrival) -> Result<(), Code> {
     loop {
         let total = board.backlogs.total();
@@ -131,15 +135,15 @@
     });
     let key = (arrival.service, arrival.account);
     let queue = board.queues.entry(key).or_default();
-    let place = queue.partition_point(|r| board.waiting[*r].arrived <= arrived);
-    queue.insert(place, request);
+    let position = queue.partition_point(|r| board.waiting[*r].arrived <= arrived);
+    queue.insert(position, request);
     board.backlogs.add(arrival.account, arrival.bytes);
     board.dirty_queues.insert(key);
     use_retained(board, arrival.service, arrival.account);
     request
 }
 
-/// Takes a waiting request out; none when it waits no longer.
+/// Removes a waiting request; returns `None` if it is no longer waiting.
 pub fn cancel(board: &mut Blackboard, request: RequestKey) -> Option<Waiting> {
     let waiting = board.waiting.remove(request)?;
     board.backlogs.remove(waiting.account, waiting.bytes);
@@ -148,8 +152,8 @@
         queue.retain(|r| *r != request);
         if queue.is_empty() {
             board.queues.remove(&key);
-            if let Some(pace) = board.queue_rates.get_mut(&key) {
-                pace.on_empty();
+            if let Some(rate) = board.queue_rates.get_mut(&key) {
+                rate.on_empty();
             }
         }
     }
@@ -157,25 +161,25 @@
     Some(waiting)
 }
 
-/// Gives up waiting requests whose deadline has passed.
+/// Rejects waiting requests whose deadline has passed.
 pub fn expire(board: &mut Blackboard, now: Instant) {
-    let late: Vec<RequestKey> = board
+    let expired: Vec<RequestKey> = board
         .waiting
         .iter()
         .filter(|(_, w)| w.deadline <= now)
         .map(|(key, _)| key)
         .collect();
-    for request in late {
+    for request in expired {
         cancel(board, request);
         board.refusals.push((request, Code::DeadlinePassed));
     }
 }
 
-/// The request that a slot on `server` goes to.
+/// The request to assign a slot on `server` to.
 ///
-/// The oldest that can still be answered in time goes first; one that probably can't is taken only
-/// when nothing else waits. Otherwise an overloaded queue gives every slot to a request that is
-/// about to be given up, and servers are busy for nobody.
+/// The oldest request that can still meet its deadline goes first; one that probably can't is chosen
+/// only if no other waits. Otherwise an overloaded queue would give every slot to a request that is
+/// about to time out, and the servers' work would be wasted.
 pub fn next_request(
     board: &mut Blackboard,
     service: ServiceId,
@@ -184,28 +188,28 @@
     now: Instant,
 ) -> Option<RequestKey> {
     let key = (service, account);
-    let hold = board
+    let holding_time = board
         .queue_rates
         .get(&key)
         .and_then(QueueRate::mean_holding_time);
-    let enough = now + hold.unwrap_or_default();
+    let finish = now + holding_time.unwrap_or_default();
     let queue = board.queues.get(&key)?;
     let fits = |w: &Waiting| !w.avoid.contains(&server) || w.declined >= MAX_DECLINES;
-    let find = |left: &dyn Fn(&Waiting) -> bool| {
+    let find = |in_time: &dyn Fn(&Waiting) -> bool| {
         let mut all = queue.iter().copied();
-        all.find(|r| board.waiting.get(*r).is_some_and(|w| left(w) && fits(w)))
+        all.find(|r| board.waiting.get(*r).is_some_and(|w| in_time(w) && fits(w)))
     };
-    let found = find(&|w| w.deadline > enough).or_else(|| find(&|w| w.deadline > now));
+    let found = find(&|w| w.deadline > finish).or_else(|| find(&|w| w.deadline > now));
     if found.is_none() {
         decline(board, key);
     }
     found
 }
 
-/// Notes that a grant goes back because every waiting request avoids its server.
+/// Records that a grant is returned because every waiting request avoids its server.
 ///
-/// The owner doesn't know what a request avoids and may offer the same server again and again, when
-/// it has the most free slots or is the only one; a request therefore declines a few times only.
+/// The owner doesn't know the avoided servers and may grant the same one again and again if it has
+/// the most free slots or is the only one. So a request declines [`MAX_DECLINES`] times only.
 fn decline(board: &mut Blackboard, key: (ServiceId, AccountId)) {
     let oldest = board.queues.get(&key).and_then(|q| q.front()).copied();
     if let Some(waiting) = oldest.and_then(|r| board.waiting.get_mut(r)) {
@@ -224,32 +228,32 @@
     known.copied().unwrap_or_default()
 }
 
-/// Notes that a request of the queue got a slot.
+/// Records that a request of the queue got a slot.
 pub fn record_dispatch(
     board: &mut Blackboard,
     service: ServiceId,
     account: AccountId,
     now: Instant,
 ) {
-    let left = queue_length(board, service, account);
-    let pace = board.queue_rates.entry((service, account)).or_default();
-    pace.record_dispatch(left, now);
+    let remaining = queue_length(board, service, account);
+    let rate = board.queue_rates.entry((service, account)).or_default();
+    rate.record_dispatch(remaining, now);
 }
 
-/// Notes for how long a request held its slot.
+/// Records how long a request held its slot.
 pub fn record_holding_time(
     board: &mut Blackboard,
     service: ServiceId,
     account: AccountId,
     time: Duration,
 ) {
-    let pace = board.queue_rates.entry((service, account)).or_default();
-    pace.record_holding_time(time);
+    let rate = board.queue_rates.entry((service, account)).or_default();
+    rate.record_holding_time(time);
 }
 
-/// When a caller that was refused may come back: half of its queue over the rate of its account.
+/// Time after which a rejected caller should retry: when half of its queue has been served.
 ///
-/// `draw` lies between 0 and 1 and spreads callers that were refused together.
+/// `draw` is a random number between 0 and 1 that spreads callers that were rejected together.
 pub fn retry_after(
     board: &Blackboard,
     service: ServiceId,
--- a/crates/hawthornmill/src/pools/retained.rs
+++ b/crates/hawthornmill/src/pools/retained.rs
@@ -1,8 +1,8 @@
-//! Slots that an entry keeps while their owner is silent or does not grant yet.
+//! Slots that an entry retains while their owner is unreachable or doesn't grant yet.
 //!
-//! A slot that came free could not be granted to anybody until a successor has heard who holds what,
-//! so it would idle. The entry uses it for its own next request instead. It adds no slot, so a server
-//! never gets more than its slots from one side.
+//! A returned slot would idle until the next owner has collected the held slots. The entry uses it
+//! for its own next request instead. This adds no slot, so in a partition neither side runs more
+//! calls on a server than it has slots.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -13,16 +13,16 @@
 use crate::ident::{AccountId, PoolId, ServiceId};
 use crate::wire::message::{Done, GrantId};
 
-/// Notes the cost of a call that ended while its owner was silent.
+/// Records the cost of a call that ended while its owner was unreachable.
 ///
-/// The owner has charged its estimate. If it is heard again in the same run, this corrects it; if it
-/// is gone, the estimate stays in its counters. An entry that charged the call itself would have it
-/// counted twice.
+/// The owner has charged an estimate. If the same run of it returns, this corrects the charge; if
+/// not, the estimate remains in its counters. If the entry charged the call too, it would be counted
+/// twice.
 pub(super) fn record_late_cost(board: &mut Blackboard, pool: PoolId, grant: GrantId, cost: f64) {
-    if let Some(link) = board.sessions.get_mut(&pool)
-        && !link.late_costs.iter().any(|d| d.grant == grant)
+    if let Some(session) = board.sessions.get_mut(&pool)
+        && !session.late_costs.iter().any(|d| d.grant == grant)
     {
-        link.late_costs.push(Done {
+        session.late_costs.push(Done {
             grant,
             cost: cost as f32,
             failed: false,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Charges a call in a reused slot, for which no owner has charged anything.
+/// Charges a call in a reused slot, which no owner has charged.
 pub(super) fn charge_locally(board: &mut Blackboard, slot: Slot, cost: f64) {
     let Some(server) = board.config.servers.get(&slot.server) else {
         return;
@@ -43,10 +43,7 @@
     board.ledger.charge(key, cost / share);
 }
 
-/// Keeps a slot while its owner is silent and gives it to the local request that is served least.
-///
-/// The owner can't grant it to anybody until a successor has heard who holds what, so a slot that
-/// was handed back would idle; reusing it adds none.
+/// Retains a slot and reuses it for a local request if one is waiting.
 pub(super) fn retain_slot(board: &mut Blackboard, pool: PoolId, grant: GrantId, now: Instant) {
     if let Some(slot) = held_mut(board, pool, grant) {
         slot.busy = false;
@@ -55,6 +52,7 @@
     reuse(board, pool, grant, now);
 }
 
+/// Assigns a retained slot to the local account with the least service; returns false if none waits.
 pub(super) fn reuse(board: &mut Blackboard, pool: PoolId, grant: GrantId, now: Instant) -> bool {
     let config = Arc::clone(&board.config);
     let Some(slot) = held_mut(board, pool, grant).map(|s| *s) else {
@@ -71,8 +69,8 @@
         .map(|(_, account)| *account)
         .filter(|account| config.share(*account, slot.server).is_some())
         .min_by(|a, b| {
-            let of = |account: AccountId| board.ledger.total(CostKey { service, account });
-            of(*a).total_cmp(&of(*b))
+            let total = |account: AccountId| board.ledger.total(CostKey { service, account });
+            total(*a).total_cmp(&total(*b))
         });
     let Some(account) = next else {
         return false;
@@ -83,7 +81,7 @@
     board.stale_since.is_none() && assign_slot(board, pool, grant, now)
 }
 
-/// Gives a kept slot to a request that has just arrived.
+/// Assigns a retained slot to a request that has just arrived.
 pub(super) fn use_retained(board: &mut Blackboard, service: ServiceId, account: AccountId) {
     let Some(arrived) = board
         .queues
@@ -94,19 +92,20 @@
     else {
         return;
     };
-    let kept: Option<(PoolId, GrantId)> = board
+    let retained: Option<(PoolId, GrantId)> = board
         .sessions
         .iter()
-        .filter(|(_, link)| {
-            !link.owner_ready || link.owner.is_some_and(|(o, _)| board.is_unreachable(o))
+        .filter(|(_, session)| {
+            !session.owner_ready || session.owner.is_some_and(|(o, _)| board.is_unreachable(o))
         })
-        .find_map(|(pool, link)| {
-            link.held
+        .find_map(|(pool, session)| {
+            session
+                .held
                 .iter()
                 .find(|(_, s)| !s.busy && board.config.share(account, s.server).is_some())
                 .map(|(grant, _)| (*pool, *grant))
         });
-    if let Some((pool, grant)) = kept {
+    if let Some((pool, grant)) = retained {
         reuse(board, pool, grant, arrived);
     }
 }
--- a/crates/hawthornmill/src/pools/schedule.rs
+++ b/crates/hawthornmill/src/pools/schedule.rs
@@ -1,4 +1,4 @@
-//! The grant decision: which account gets the next free slot, on which server, through which entry.
+//! The grant decision: which account gets the next free slot, on which server, at which entry.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -12,25 +12,25 @@
 use crate::ident::{AccountId, InstanceId, PoolId, ServerId, ServiceId};
 use crate::wire::message::{Grant, GrantId, Grants, Message};
 
-/// Classes of servers in one pool that fit on the stack.
+/// Server classes with free slots, on the stack for up to 8 classes.
 type FreeClasses = SmallVec<[(u16, usize); 8]>;
 
-/// A server with slots that may be granted.
+/// A server with available slots.
 #[derive(Debug, Clone, Copy)]
 struct FreeServer {
     id: ServerId,
     class: u16,
     free: u16,
-    last: u32,
+    last_grant: u32,
 }
 
-/// Servers with free slots in the order of their keys; under load seldom more than a few.
+/// Servers with available slots in the order of their IDs; under load rarely more than a few.
 type FreeServers = SmallVec<[FreeServer; 16]>;
 
-/// Totals of the accounts that wait, a tenth of the accounts of a large fleet on the stack.
+/// Totals of the waiting accounts; the stack holds those of a tenth of a large fleet's accounts.
 type Totals = SmallVec<[f64; 32]>;
 
-/// Makes every grant that is due.
+/// Makes all grants that are due.
 pub fn grant_due(board: &mut Blackboard, now: Instant) {
     if board.stale_since.is_some() {
         return;
@@ -52,14 +52,14 @@
 fn grant_pool(board: &mut Blackboard, config: &FleetConfig, id: PoolId, now: Instant) {
     let service = config.pools[&id].service;
     let default = config.services[&service].estimate;
-    let made = maker(board.incarnation);
+    let own_maker = maker(board.incarnation);
     let Some(owned) = board.owned_pools.get_mut(&id) else {
         return;
     };
     owned.dirty = false;
     let cap = board.tuning.lag_cap * default * f64::from(total_slots(owned));
-    let mut out: Vec<(InstanceId, Grants)> = Vec::new();
-    // Looked for once: with a scan for each grant the cost grew with the servers.
+    let mut messages: Vec<(InstanceId, Grants)> = Vec::new();
+    // Collected once per run: with a scan for each grant, its cost would grow with the servers.
     let mut free = free_servers(owned, now);
     while !free.is_empty() {
         let classes = free_classes(&free, config);
@@ -75,13 +75,13 @@
         };
         let charge = board.ledger.estimated_cost(key, default) / pick.share;
         board.ledger.charge(key, charge);
-        let entry = record_grant(owned, pick.account, server, charge, made);
-        push_grant(&mut out, id, entry, owned.seq, pick.account, server);
+        let entry = record_grant(owned, pick.account, server, charge, own_maker);
+        push_grant(&mut messages, id, entry, owned.seq, pick.account, server);
         refresh_server(&mut free, owned, server, now);
     }
     board
         .outbox
-        .extend(out.into_iter().map(|(to, g)| (to, Message::Grants(g))));
+        .extend(messages.into_iter().map(|(to, g)| (to, Message::Grants(g))));
 }
 
 fn total_slots(owned: &OwnedPool) -> u32 {
@@ -95,50 +95,51 @@
             id: *id,
             class: s.class,
             free: s.available(now),
-            last: s.last_grant,
+            last_grant: s.last_grant,
         })
         .filter(|s| s.free > 0)
         .collect()
 }
 
-/// Takes over what a grant changed at `server`.
+/// Updates the entry of `server` after a grant.
 fn refresh_server(free: &mut FreeServers, owned: &OwnedPool, server: ServerId, now: Instant) {
     let Some(slots) = owned.servers.get(&server) else {
         return;
     };
-    for known in free.iter_mut().filter(|s| s.id == server) {
-        known.free = slots.available(now);
-        known.last = slots.last_grant;
+    for entry in free.iter_mut().filter(|s| s.id == server) {
+        entry.free = slots.available(now);
+        entry.last_grant = slots.last_grant;
     }
     free.retain(|s| s.free > 0);
 }
 
-/// Classes with a free slot, the ones open to the fewest accounts first.
+/// Classes with a free slot, those open to the fewest accounts first.
 ///
-/// An account that may use several classes thus leaves the more open ones to those that have no
-/// other.
+/// An account that may use several classes thus leaves the widely open ones to accounts that have no
+/// alternative.
 fn free_classes(free: &FreeServers, config: &FleetConfig) -> FreeClasses {
     let mut classes = FreeClasses::new();
     for server in free {
         if !classes.iter().any(|(c, _)| *c == server.class) {
-            let open = config
+            let accounts = config
                 .classes
                 .get(usize::from(server.class))
                 .map_or(0, |c| c.shares.len());
-            classes.push((server.class, open));
+            classes.push((server.class, accounts));
         }
     }
-    classes.sort_by_key(|(class, open)| (*open, *class));
+    classes.sort_by_key(|(class, accounts)| (*accounts, *class));
     classes
 }
 
+/// The account that gets the next slot, and the server class to take it from.
 struct Pick {
     account: AccountId,
     class: u16,
     share: f64,
 }
 
-/// The waiting account with the least normalised service that a free server is open to.
+/// The waiting account with the least normalised service that may use a server with a free slot.
 fn pick_account(
     owned: &mut OwnedPool,
     config: &FleetConfig,
@@ -147,7 +148,7 @@
     free: &FreeClasses,
     cap: f64,
 ) -> Option<Pick> {
-    // The ledger is asked once for each account: its look-ups are most of what a grant costs.
+    // One ledger lookup per account: these make up most of the cost of a grant.
     let totals: Totals = owned
         .accounts
         .iter()
@@ -157,31 +158,31 @@
             ledger.total(CostKey { service, account })
         })
         .collect();
-    let mut least = f64::INFINITY;
-    let mut most = f64::NEG_INFINITY;
+    let mut lowest = f64::INFINITY;
+    let mut highest = f64::NEG_INFINITY;
     let waiting = owned.accounts.values().filter(|q| q.pending > 0);
     for (queue, total) in waiting.zip(&totals) {
-        let service = total + queue.offset;
-        least = least.min(service);
-        most = most.max(service);
+        let received = total + queue.offset;
+        lowest = lowest.min(received);
+        highest = highest.max(received);
     }
     let mut best: Option<(f64, Pick)> = None;
     let waiting = owned.accounts.iter_mut().filter(|(_, q)| q.pending > 0);
     for ((account, queue), total) in waiting.zip(&totals) {
-        // A lag beyond the cap is forgotten: an account that was confined to a few servers could
-        // otherwise keep the others waiting for as long as it lagged.
-        queue.offset = queue.offset.max(most - cap - total);
-        let service = total + queue.offset;
-        if best.as_ref().is_some_and(|(s, _)| *s <= service) {
+        // Lag beyond the cap is dropped: an account that was restricted to a few servers could
+        // otherwise block the others until it had caught up.
+        queue.offset = queue.offset.max(highest - cap - total);
+        let received = total + queue.offset;
+        if best.as_ref().is_some_and(|(s, _)| *s <= received) {
             continue;
         }
-        let open = free
+        let usable = free
             .iter()
             .find_map(|(class, _)| Some((*class, config.class_share(*account, *class)?)));
-        if let Some((class, share)) = open {
+        if let Some((class, share)) = usable {
             let account = *account;
             best = Some((
-                service,
+                received,
                 Pick {
                     account,
                     class,
@@ -190,30 +191,30 @@
             ));
         }
     }
-    if least.is_finite() {
-        owned.level = owned.level.max(least);
+    if lowest.is_finite() {
+        owned.level = owned.level.max(lowest);
     }
     best.map(|(_, pick)| pick)
 }
 
-/// The server of `class` with the most free slots; of several, the one granted longest ago.
+/// The server of `class` with the most free slots; with several, the least recently granted one.
 ///
-/// Without the second rule an idle pool would offer the same server to each call in turn, and a call
-/// that failed there would be offered it again.
+/// Without the second rule an idle pool would grant the same server to every call, including the
+/// retry of a call that failed there.
 fn pick_server(free: &FreeServers, class: u16) -> Option<ServerId> {
     free.iter()
         .filter(|s| s.class == class)
-        .max_by_key(|s| (s.free, std::cmp::Reverse(s.last)))
+        .max_by_key(|s| (s.free, std::cmp::Reverse(s.last_grant)))
         .map(|s| s.id)
 }
 
-/// Books the grant and returns the entry that gets it: of those that wait, the one served longest ago.
+/// Records a grant and returns the entry that gets it: the waiting one least recently granted.
 fn record_grant(
     owned: &mut OwnedPool,
     account: AccountId,
     server: ServerId,
     charged: f64,
-    made: u32,
+    maker: u32,
 ) -> InstanceId {
     owned.seq += 1;
     let seq = owned.seq;
@@ -234,9 +235,7 @@
         server,
         charged: Some(charged),
     };
-    owned
-        .held
-        .insert((entry, GrantId { maker: made, seq }), slot);
+    owned.held.insert((entry, GrantId { maker, seq }), slot);
     owned.last_grants.insert(entry, seq);
     if let Some(slots) = owned.servers.get_mut(&server) {
         slots.acquire();
@@ -246,7 +245,7 @@
 }
 
 fn push_grant(
-    out: &mut Vec<(InstanceId, Grants)>,
+    messages: &mut Vec<(InstanceId, Grants)>,
     pool: PoolId,
     entry: InstanceId,
     seq: u32,
@@ -258,10 +257,10 @@
         account,
         server,
     };
-    if let Some((_, grants)) = out.iter_mut().find(|(to, _)| *to == entry) {
+    if let Some((_, grants)) = messages.iter_mut().find(|(to, _)| *to == entry) {
         grants.grants.push(grant);
         return;
     }
     let grants = SmallVec::from_iter([grant]);
-    out.push((entry, Grants { pool, grants }));
+    messages.push((entry, Grants { pool, grants }));
 }
--- a/crates/hawthornmill/src/pools/tick.rs
+++ b/crates/hawthornmill/src/pools/tick.rs
@@ -1,4 +1,4 @@
-//! What is due with the passing of time alone.
+//! Periodic work that no event triggers.
 
 use std::time::Instant;
 
@@ -9,7 +9,7 @@
 use crate::ident::InstanceId;
 use crate::wire::message::{Message, PoolState, ProbeAck};
 
-/// Notices that the process was stopped for a while; called with every tick and arrival.
+/// Detects that the process was stopped for a while; called with every tick and arrival.
 pub fn detect_pause(board: &mut Blackboard, now: Instant) {
     let gap = now.duration_since(board.last_tick);
     board.last_tick = now;
@@ -51,8 +51,7 @@
     }
 }
 
-/// Works owners out anew when an instance has been steady for long enough: it is preferred from
-/// then on, and no event says when that is.
+/// Requests new owners once an instance becomes stable and thus preferred, which no event signals.
 fn check_reassignment(board: &mut Blackboard, now: Instant) {
     if board.reassign_at.is_some_and(|due| due <= now) {
         board.reassign_at = None;
@@ -60,10 +59,10 @@
     }
 }
 
-/// The process was stopped and woke up: what it knows may be long out of date.
+/// Marks the view as stale after the process was stopped and resumed.
 ///
-/// Others may have taken its pools and given its slots away. Until a peer has answered a question
-/// asked after the pause, or none has for a while, nothing is dispatched or granted.
+/// Other instances may have taken over its pools and granted its slots. Nothing is dispatched or
+/// granted until a peer has responded to a probe sent after the pause, or none has for a while.
 fn on_resume(board: &mut Blackboard, now: Instant) {
     board.stale_since = Some(now);
     board.resumed_at = Some(now);
@@ -84,11 +83,12 @@
     }
 }
 
-/// A peer answered a question.
+/// Handles a peer's response to a probe.
 ///
-/// An answer to a question asked before the last pause may have lain in the socket during it and
-/// says nothing; the number tells. If the peer has a later configuration in force, servers may have
-/// been taken out of use during the pause, so the view is old until that revision is in force here.
+/// A response to a probe sent before the last pause, recognised by its number, may have been in the
+/// socket buffer during the pause and confirms nothing. If the peer has a later configuration,
+/// servers may have been removed during the pause, so the view stays stale until that revision is in
+/// force here.
 pub fn on_probe_ack(board: &mut Blackboard, ack: ProbeAck, now: Instant) {
     board.startup.highest_revision = board.startup.highest_revision.max(ack.revision);
     board.startup.peer_serving |= ack.serving;
@@ -113,14 +113,14 @@
     let keys: Vec<_> = board.queues.keys().copied().collect();
     board.dirty_queues.extend(keys);
     for owned in board.owned_pools.values_mut() {
-        // Successors may have granted these slots; ask every entry anew before the next grant.
+        // Other owners may have granted these slots, so the held slots are collected again first.
         if owned.active {
             owned.activate(now + board.tuning.rebuild);
         }
     }
 }
 
-/// Writes the own report and returns the messages of one round.
+/// Updates this instance's report and returns the messages of the next round.
 pub fn build_reports(board: &mut Blackboard, now: Instant) -> Vec<(InstanceId, Message)> {
     let pools = board
         .owned_pools
