--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -10,8 +10,8 @@
 use hawthornmill::clock::Clock;
 use hawthornmill::codes::Code;
 use hawthornmill::ident::{Incarnation, InstanceId, ServerId};
-use hawthornmill::limits::link::Link;
-use hawthornmill::limits::strain::Strain;
+use hawthornmill::limits::congestion::LinkMonitor;
+use hawthornmill::limits::load_shedding::LoadShedder;
 use hawthornmill::routing::budget::Budget;
 use hawthornmill::routing::catalog::Catalog;
 use hawthornmill::routing::lag::Lag;
@@ -93,9 +93,9 @@
     /// Number of open client connections.
     pub connections: Cell<usize>,
     /// Congestion of the network link of this instance.
-    pub link: RefCell<Link>,
+    pub link: RefCell<LinkMonitor>,
     /// How late the process runs its timers.
-    pub strain: Cell<Strain>,
+    pub strain: Cell<LoadShedder>,
     /// Connections rejected since they were last logged.
     pub rejected: RefCell<RejectedConnections>,
     /// Number of requests in flight.
@@ -176,7 +176,7 @@
     /// Tells whether latency measured now reflects this instance rather than the servers.
     pub fn is_overloaded(&self) -> bool {
         let now = self.now();
-        self.strain.get().is_behind(now) || self.link.borrow().is_late(now)
+        self.strain.get().is_overloaded(now) || self.link.borrow().is_congested(now)
     }
 
     /// Returns the index of the current catalog.
@@ -464,7 +464,7 @@
         let mut strain = gateway.strain.get();
         strain.tick(now, now + LATENESS_INTERVAL);
         gateway.strain.set(strain);
-        log_rejected(&gateway, strain.late(now));
+        log_rejected(&gateway, strain.lag(now));
         tokio::time::sleep(LATENESS_INTERVAL).await;
     }
 }
--- a/crates/hawthornmill-gateway/src/proxy/progress.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -28,7 +28,7 @@
         "lack": outlook.lack, "standing": format!("{:?}", outlook.share.standing), "lead": outlook.share.lead,
         "asked": outlook.sums.asked, "got": outlook.sums.got, "registrations": scheduler.registry.latest(),
         "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway),
-        "link_wait_ms": gateway.link.borrow().wait(now).as_millis() as u64,
+        "link_wait_ms": gateway.link.borrow().queueing_delay(now).as_millis() as u64,
     });
     event_log::request_problem("refused", &context.request.attempt_id, fields);
 }
--- a/crates/hawthornmill-gateway/src/state_sync.rs
+++ b/crates/hawthornmill-gateway/src/state_sync.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use hawthornmill::limits::patience::{self, Patience};
+use hawthornmill::limits::timeout::{self, AdaptiveTimeout};
 use hawthornmill::routing::news::{Heard, Knowledge, Pull};
 use hawthornmill::routing::parts::{self, Outcome, Reassembly, Wanted};
 use hawthornmill::routing::registry::List;
@@ -84,7 +84,7 @@
     while empty < MAX_EMPTY_ROUNDS {
         let (before, wanted) = pending.with_reassembly(|a| (a.count(), a.wanted(pull)));
         datagrams.send(&Message::Wanted(wanted), [peer]);
-        let round = parts::round(gateway.strain.get().late(gateway.now()));
+        let round = parts::round(gateway.strain.get().lag(gateway.now()));
         let _over = tokio::time::timeout(round, pending.wait_complete()).await;
         match pending.with_reassembly(|a| a.outcome().cloned()) {
             Some(Outcome::Whole(whole)) => return decode_knowledge(&whole),
@@ -108,7 +108,7 @@
 pub async fn sync_from_peers(gateway: Rc<Gateway>, datagrams: Rc<DatagramSocket>) {
     let mut behind_since: Option<Instant> = None;
     let mut skipped: Vec<(SocketAddr, Instant)> = Vec::new();
-    let mut patience = Patience::default();
+    let mut patience = AdaptiveTimeout::default();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
         let now = gateway.now();
@@ -147,7 +147,7 @@
         }
         if all_answered {
             behind_since = None;
-            patience = Patience::default();
+            patience = AdaptiveTimeout::default();
         }
     }
 }
@@ -176,23 +176,29 @@
     gateway: &Gateway,
     peer: SocketAddr,
     pull: Pull,
-    patience: &mut Patience,
+    patience: &mut AdaptiveTimeout,
 ) -> bool {
     let (began, step) = (gateway.now(), Cell::new(Step::Connecting));
-    let answer =
-        tokio::time::timeout(patience.time(), pull_knowledge(gateway, peer, pull, &step)).await;
+    let answer = tokio::time::timeout(
+        patience.current(),
+        pull_knowledge(gateway, peer, pull, &step),
+    )
+    .await;
     let why = match answer {
         Ok(Ok(knowledge)) => {
             apply_knowledge(gateway, knowledge, peer);
             None
         }
         Ok(Err(error)) => Some(error.to_string()),
-        Err(_elapsed) => Some(format!("no answer in {} ms", patience.time().as_millis())),
+        Err(_elapsed) => Some(format!(
+            "no answer in {} ms",
+            patience.current().as_millis()
+        )),
     };
     let step = format!("{:?}", step.get());
     log_pull(gateway, peer, began, &step, why.as_deref());
     if why.is_some() {
-        patience.missed(gateway.peers.borrow().is_heard_since(peer, began));
+        patience.on_timeout(gateway.peers.borrow().is_heard_since(peer, began));
     }
     why.is_none()
 }
@@ -229,7 +235,7 @@
     pull: Pull,
     step: &Cell<Step>,
 ) -> std::io::Result<Knowledge> {
-    let mut stream = connect_timeout(peer, patience::MOST).await?;
+    let mut stream = connect_timeout(peer, timeout::MAX_TIMEOUT).await?;
     step.set(Step::Connected);
     let channel = stream.read_u64_le().await?;
     step.set(Step::Asked);
@@ -270,7 +276,8 @@
         };
         let gateway = Rc::clone(&gateway);
         tokio::task::spawn_local(async move {
-            let answered = tokio::time::timeout(patience::MOST, serve_peer(&gateway, stream)).await;
+            let answered =
+                tokio::time::timeout(timeout::MAX_TIMEOUT, serve_peer(&gateway, stream)).await;
             if let Ok(Err(error)) = answered {
                 let fields = json!({"mate": from.to_string(), "why": error.to_string()});
                 event_log::state_change("mate_not_told", fields);
--- a/crates/hawthornmill/src/fairness/ledger.rs
+++ b/crates/hawthornmill/src/fairness/ledger.rs
@@ -1,4 +1,4 @@
-//! Counters of normalised service, own and fleet-wide.
+//! Counters of normalised service, local and fleet-wide.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,190 +7,200 @@
 use crate::ident::{AccountId, Incarnation, InstanceId, ServiceId};
 use crate::wire::message::{LedgerSnapshot, OwnerCounters};
 
-/// Weight of the newest call in an account's average cost.
-const AVERAGE_WEIGHT: f64 = 0.1;
+/// Weight of the newest call in the moving average of an account's cost.
+const AVERAGE_COST_WEIGHT: f64 = 0.1;
 
-/// What one counter counts: services have units of their own and are never added up.
+/// Key of a counter; each service has its own unit of cost, so services are never summed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CostKey {
-    /// Service that ran the calls.
+    /// The service called.
     pub service: ServiceId,
-    /// Account that made them.
+    /// The account charged.
     pub account: AccountId,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Heard {
+struct RemoteCounters {
     incarnation: Incarnation,
     counters: BTreeMap<CostKey, f64>,
 }
 
-/// Normalised service of every account, as this instance knows it.
+/// Normalised service of every account, as known to this instance.
 ///
-/// A total is the sum of this instance's own counter, the latest counter of every other owner, and
-/// what earlier runs of owners counted. A lost, repeated or late message therefore costs accuracy
-/// for one interval only.
+/// A total is the sum of this instance's local counter, the latest counter of every other owner, and
+/// the counters of earlier process runs. Counters are cumulative, so a lost, repeated or late
+/// message costs accuracy for one report interval only.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
-    alone: bool,
-    settled: bool,
-    own: BTreeMap<CostKey, f64>,
+    local_only: bool,
+    synced: bool,
+    local: BTreeMap<CostKey, f64>,
     total: BTreeMap<CostKey, f64>,
     retired: BTreeMap<CostKey, f64>,
-    heard: BTreeMap<InstanceId, Heard>,
-    average: BTreeMap<CostKey, f64>,
+    remote: BTreeMap<InstanceId, RemoteCounters>,
+    average_cost: BTreeMap<CostKey, f64>,
     changed: BTreeSet<CostKey>,
 }
 
 impl Ledger {
-    /// A ledger that counts what this instance grants and nothing else.
-    pub fn alone() -> Self {
+    /// Creates a ledger that ignores the counters of other instances.
+    pub fn local_only() -> Self {
         Self {
-            alone: true,
-            settled: true,
+            local_only: true,
+            synced: true,
             ..Self::default()
         }
     }
 
-    /// Charges `amount` of normalised service that this instance granted; negative to correct.
+    /// Charges `amount` of normalised service granted by this instance; negative to correct.
     pub fn charge(&mut self, key: CostKey, amount: f64) {
-        *self.own.entry(key).or_default() += amount;
+        *self.local.entry(key).or_default() += amount;
         *self.total.entry(key).or_default() += amount;
         self.changed.insert(key);
     }
 
-    /// The account's service over the whole fleet, in cost units per share.
+    /// Service received over the whole fleet, in cost units per share.
     pub fn total(&self, key: CostKey) -> f64 {
         self.total.get(&key).copied().unwrap_or_default()
     }
 
-    /// What this instance has charged since its start.
-    pub fn own(&self, key: CostKey) -> f64 {
-        self.own.get(&key).copied().unwrap_or_default()
+    /// Service charged by this instance since its start.
+    pub fn local(&self, key: CostKey) -> f64 {
+        self.local.get(&key).copied().unwrap_or_default()
     }
 
-    /// Takes a counter of another owner; counters are cumulative over an incarnation.
+    /// Merges a counter of another owner; counters are cumulative over an incarnation.
     pub fn merge(&mut self, from: InstanceId, incarnation: Incarnation, key: CostKey, value: f64) {
-        if self.alone {
+        if self.local_only {
             return;
         }
-        let heard = self.heard.entry(from).or_default();
-        if heard.incarnation > incarnation {
+        let remote = self.remote.entry(from).or_default();
+        if remote.incarnation > incarnation {
             return;
         }
-        if heard.incarnation < incarnation {
-            // A new run counts from zero; what the earlier one granted stays granted.
-            for (key, value) in std::mem::take(&mut heard.counters) {
+        if remote.incarnation < incarnation {
+            // A new run counts from zero, so the counters of the earlier run are kept separately.
+            for (key, value) in std::mem::take(&mut remote.counters) {
                 *self.retired.entry(key).or_default() += value;
             }
-            heard.incarnation = incarnation;
+            remote.incarnation = incarnation;
         }
-        let before = heard.counters.insert(key, value).unwrap_or_default();
+        let before = remote.counters.insert(key, value).unwrap_or_default();
         *self.total.entry(key).or_default() += value - before;
     }
 
-    /// Tells whether this ledger holds the fleet's past, or nobody was there to tell it.
-    pub fn settled(&self) -> bool {
-        self.settled
+    /// Returns true if this ledger has the fleet's counters, or no peer could provide them.
+    pub fn is_synced(&self) -> bool {
+        self.synced
     }
 
-    /// Stops asking for the fleet's past.
-    pub fn settle(&mut self) {
-        self.settled = true;
+    /// Marks the ledger as synced, so that no peer is asked for counters any more.
+    pub fn mark_synced(&mut self) {
+        self.synced = true;
     }
 
-    /// Everything that this instance knows, for one that starts.
-    pub fn standing(&self, me: InstanceId, incarnation: Incarnation) -> LedgerSnapshot {
+    /// All counters known to this instance, for a starting peer.
+    pub fn snapshot(&self, me: InstanceId, incarnation: Incarnation) -> LedgerSnapshot {
         let list = |map: &BTreeMap<CostKey, f64>| map.iter().map(|(k, v)| (*k, *v)).collect();
-        let others = self.heard.iter().map(|(id, heard)| OwnerCounters {
+        let others = self.remote.iter().map(|(id, remote)| OwnerCounters {
             origin: *id,
-            incarnation: heard.incarnation,
-            values: list(&heard.counters),
+            incarnation: remote.incarnation,
+            values: list(&remote.counters),
         });
-        let own = OwnerCounters {
+        let local = OwnerCounters {
             origin: me,
             incarnation,
-            values: list(&self.own),
+            values: list(&self.local),
         };
         LedgerSnapshot {
             retired: list(&self.retired),
-            counters: others.chain([own]).collect(),
+            counters: others.chain([local]).collect(),
         }
     }
 
-    /// Takes what a peer knows, once; `me` and `incarnation` are this instance's.
+    /// Applies the snapshot of a peer, once; `me` and `incarnation` are this instance's.
     ///
-    /// Totals alone would not do: a counter that is heard for the first time afterwards would be
-    /// added to a total that has it already. With each owner's counter the sum stays exact.
-    pub fn adopt(&mut self, me: InstanceId, incarnation: Incarnation, standing: &LedgerSnapshot) {
-        if self.settled {
+    /// The snapshot has the counter of each owner because totals would not be enough: a counter that
+    /// arrives for the first time afterwards would be added to a total that already includes it.
+    pub fn apply_snapshot(
+        &mut self,
+        me: InstanceId,
+        incarnation: Incarnation,
+        snapshot: &LedgerSnapshot,
+    ) {
+        if self.synced {
             return;
         }
-        self.settled = true;
-        for (key, value) in &standing.retired {
+        self.synced = true;
+        for (key, value) in &snapshot.retired {
             *self.retired.entry(*key).or_default() += value;
         }
-        for counters in &standing.counters {
-            self.adopt_counters(me, incarnation, counters);
+        for counters in &snapshot.counters {
+            self.apply_counters(me, incarnation, counters);
         }
-        self.sum_up();
+        self.recompute_total();
     }
 
-    fn adopt_counters(&mut self, me: InstanceId, incarnation: Incarnation, told: &OwnerCounters) {
-        let known = if told.origin == me {
+    fn apply_counters(
+        &mut self,
+        me: InstanceId,
+        incarnation: Incarnation,
+        counters: &OwnerCounters,
+    ) {
+        let known = if counters.origin == me {
             incarnation
         } else {
-            self.heard.entry(told.origin).or_default().incarnation
+            self.remote.entry(counters.origin).or_default().incarnation
         };
-        if told.incarnation < known {
-            for (key, value) in &told.values {
+        if counters.incarnation < known {
+            for (key, value) in &counters.values {
                 *self.retired.entry(*key).or_default() += value;
             }
             return;
         }
-        if told.origin == me {
+        if counters.origin == me {
             return;
         }
-        let heard = self.heard.entry(told.origin).or_default();
-        if told.incarnation > known {
-            // The teller has what the earlier run counted among its retired counters.
-            heard.counters.clear();
-            heard.incarnation = told.incarnation;
+        let remote = self.remote.entry(counters.origin).or_default();
+        if counters.incarnation > known {
+            // The sender of the snapshot has the earlier run in its retired counters.
+            remote.counters.clear();
+            remote.incarnation = counters.incarnation;
         }
-        for (key, value) in &told.values {
-            heard.counters.entry(*key).or_insert(*value);
+        for (key, value) in &counters.values {
+            remote.counters.entry(*key).or_insert(*value);
         }
     }
 
-    fn sum_up(&mut self) {
+    fn recompute_total(&mut self) {
         self.total = self.retired.clone();
-        let heard = self.heard.values().flat_map(|h| &h.counters);
-        for (key, value) in heard.chain(&self.own) {
+        let remote = self.remote.values().flat_map(|h| &h.counters);
+        for (key, value) in remote.chain(&self.local) {
             *self.total.entry(*key).or_default() += value;
         }
     }
 
-    /// Own counters that changed since the last call.
+    /// Local counters that changed since the last call.
     pub fn take_changed(&mut self) -> Vec<(CostKey, f64)> {
         std::mem::take(&mut self.changed)
             .into_iter()
-            .map(|key| (key, self.own(key)))
+            .map(|key| (key, self.local(key)))
             .collect()
     }
 
-    /// Own counters, all of them.
-    pub fn own_all(&self) -> Vec<(CostKey, f64)> {
-        self.own.iter().map(|(k, v)| (*k, *v)).collect()
+    /// All local counters.
+    pub fn local_counters(&self) -> Vec<(CostKey, f64)> {
+        self.local.iter().map(|(k, v)| (*k, *v)).collect()
     }
 
-    /// The cost to assume of the account's next call, before shares.
-    pub fn estimate(&self, key: CostKey, default: f64) -> f64 {
-        self.average.get(&key).copied().unwrap_or(default)
+    /// Expected cost of the account's next call, before division by its share.
+    pub fn estimated_cost(&self, key: CostKey, default: f64) -> f64 {
+        self.average_cost.get(&key).copied().unwrap_or(default)
     }
 
-    /// Notes the cost of a finished call.
-    pub fn observe(&mut self, key: CostKey, cost: f64) {
-        let average = self.average.entry(key).or_insert(cost);
-        *average += AVERAGE_WEIGHT * (cost - *average);
+    /// Records the cost of a finished call.
+    pub fn record_cost(&mut self, key: CostKey, cost: f64) {
+        let average = self.average_cost.entry(key).or_insert(cost);
+        *average += AVERAGE_COST_WEIGHT * (cost - *average);
     }
 }
--- a/crates/hawthornmill/src/pools/mod.rs
+++ b/crates/hawthornmill/src/pools/mod.rs
@@ -1,56 +1,56 @@
-//! Pools, owners and slots.
+//! Scheduling of requests onto the slots of server pools.
 //!
-//! Requests wait at the entry that received them ([`queue`], [`entry`]). The owner of a pool ([`owner`])
-//! learns only how many wait for each account, and grants slots one by one to the account that has
-//! received the least normalised service; the entry then sends its oldest request of that account
-//! straight to the server. [`regions`] says which pools an entry asks, and [`kept`] what becomes of
-//! its slots while an owner is silent. [`ownership`] follows the members and the configuration; [`turn()`] runs
-//! whatever is due after an event.
+//! Requests wait at the entry, the instance that received them ([`queue`], [`entry`]). The owner of
+//! a pool ([`owner`]) only knows how many wait for each account, and grants slots one by one to the
+//! account that has received the least normalised service ([`schedule`]); the entry then sends its
+//! oldest request of that account directly to the server. [`cross_region`] selects the pools that an
+//! entry asks, and [`retained`] reuses its slots while an owner is unreachable. [`ownership`] tracks
+//! the owner of each pool; [`run_due()`] runs everything that is due after an event.
 
+pub mod cross_region;
 pub mod entry;
-pub mod kept;
 pub mod owner;
 pub mod ownership;
 pub mod queue;
-pub mod regions;
+pub mod retained;
 pub mod schedule;
 pub mod tick;
 
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-use crate::board::Board;
-use crate::fairness::standing;
+use crate::blackboard::Blackboard;
+use crate::fairness::counter_sync;
 use crate::ident::{Incarnation, InstanceId};
-use crate::membership::place;
+use crate::membership::placement;
 use crate::wire::message::Message;
 
-/// Rounds of messages to itself that one turn may take.
-const SELF_ROUNDS: usize = 64;
+/// Largest number of rounds of messages to itself in one call of [`run_due()`].
+const MAX_SELF_ROUNDS: usize = 64;
 
-/// Instances that need this one's heartbeats: its failure domain, and those it works with.
+/// Instances that need this one's heartbeats: its failure domain, and those it exchanges work with.
 ///
-/// A region's relay also tries the failure domains in which nobody is heard, one instance after
-/// another with each `round`: one that starts while the platform is down knows nobody, and a
-/// heartbeat brings it a first contact. One that leaves tells everybody: callers in any region may be
-/// given its address until the instance that they ask has heard of it.
-pub fn beat_targets(board: &Board, round: u32) -> BTreeSet<InstanceId> {
+/// A region's relay also contacts failure domains without a live member, one instance per `round`:
+/// an instance that starts while the platform is down knows no others until a heartbeat arrives. A
+/// leaving instance sends to all live ones, since any instance may give its address to callers until
+/// it knows.
+pub fn heartbeat_targets(board: &Blackboard, round: u32) -> BTreeSet<InstanceId> {
     let home = board.members.own().domain;
-    let mates = board.members.map.iter().filter(|(_, m)| m.domain == home);
+    let neighbours = board.members.map.iter().filter(|(_, m)| m.domain == home);
     let owners = board
-        .links
+        .sessions
         .values()
-        .filter(|link| !link.told.is_empty() || !link.held.is_empty())
-        .filter_map(|link| link.owner);
-    let owned = board.owned.values().filter(|owned| owned.active);
+        .filter(|s| !s.reported_wants.is_empty() || !s.held.is_empty())
+        .filter_map(|s| s.owner);
+    let owned = board.owned_pools.values().filter(|owned| owned.active);
     let entries = owned.flat_map(|owned| {
-        let wants = owned.accounts.values().flat_map(|q| q.entries.keys());
-        wants.chain(owned.held.keys().map(|(entry, _)| entry))
+        let waiting = owned.accounts.values().flat_map(|q| q.entries.keys());
+        waiting.chain(owned.held.keys().map(|(entry, _)| entry))
     });
-    let mut targets: BTreeSet<InstanceId> = mates.map(|(id, _)| *id).collect();
+    let mut targets: BTreeSet<InstanceId> = neighbours.map(|(id, _)| *id).collect();
     targets.extend(owners.map(|(id, _)| id));
     targets.extend(entries);
-    targets.extend(place::silent_guesses(&board.members, round));
+    targets.extend(placement::silent_domain_candidates(&board.members, round));
     if board.members.own().leaving {
         targets.extend(board.members.live().map(|(id, _)| id));
     }
@@ -58,19 +58,19 @@
     targets
 }
 
-/// Runs everything that recent events have made due, messages to itself included.
-pub fn turn(board: &mut Board, now: Instant) {
-    for _ in 0..SELF_ROUNDS {
-        ownership::refresh(board, now);
-        schedule::run(board, now);
-        entry::tell(board, now);
-        if !deliver_own(board, now) {
+/// Runs everything that is due after recent events, including messages to itself.
+pub fn run_due(board: &mut Blackboard, now: Instant) {
+    for _ in 0..MAX_SELF_ROUNDS {
+        ownership::update_owners(board, now);
+        schedule::grant_due(board, now);
+        entry::notify_owners(board, now);
+        if !deliver_to_self(board, now) {
             return;
         }
     }
 }
 
-fn deliver_own(board: &mut Board, now: Instant) -> bool {
+fn deliver_to_self(board: &mut Blackboard, now: Instant) -> bool {
     let me = board.me();
     let (own, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut board.outbox)
         .into_iter()
@@ -79,14 +79,14 @@
     let any = !own.is_empty();
     let incarnation = board.incarnation;
     for (_, message) in own {
-        receive(board, me, incarnation, message, now);
+        handle_message(board, me, incarnation, message, now);
     }
     any
 }
 
-/// Takes a pool message from an instance, this one included.
-pub fn receive(
-    board: &mut Board,
+/// Handles a pool message from an instance, including this one.
+pub fn handle_message(
+    board: &mut Blackboard,
     from: InstanceId,
     incarnation: Incarnation,
     message: Message,
@@ -104,8 +104,8 @@
         } => {
             entry::on_sync(board, from, incarnation, pool, last_seq, ready);
         }
-        Message::LedgerPull => standing::answer(board, from),
-        Message::LedgerSnapshot(told) => standing::take(board, &told),
+        Message::LedgerPull => counter_sync::respond(board, from),
+        Message::LedgerSnapshot(snapshot) => counter_sync::apply(board, &snapshot),
         _ => {}
     }
 }
--- a/crates/hawthornmill/src/usage/causes.rs
+++ b/crates/hawthornmill/src/usage/causes.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-use crate::board::Board;
+use crate::blackboard::Blackboard;
 use crate::codes::Code;
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, RegionId, ServiceId};
 
@@ -76,16 +76,16 @@
 
 impl Causes {
     /// Remembers what the board shows now.
-    pub fn look(&mut self, board: &Board, now: Instant) {
-        if board.stale.is_some() {
+    pub fn look(&mut self, board: &Blackboard, now: Instant) {
+        if board.stale_since.is_some() {
             self.stale = Some(now);
         }
         for region in cut_regions(board) {
             self.cut.insert(region, now);
         }
-        for (pool, link) in &board.links {
+        for (pool, link) in &board.sessions {
             let known = self.owners.get(pool).copied();
-            let silent = link.owner.is_none_or(|(id, _)| board.silent(id));
+            let silent = link.owner.is_none_or(|(id, _)| board.is_unreachable(id));
             // The first owner that a process hears of is no change.
             let changed = known.is_some() && known != link.owner;
             if silent || changed {
@@ -101,7 +101,7 @@
     /// Why a call of `account` that arrived at `arrived` waited until `now`.
     pub fn why(
         &self,
-        board: &Board,
+        board: &Blackboard,
         service: ServiceId,
         account: AccountId,
         arrived: Instant,
@@ -137,7 +137,7 @@
 }
 
 /// Other regions whose instances are known and none of them is heard.
-fn cut_regions(board: &Board) -> impl Iterator<Item = RegionId> {
+fn cut_regions(board: &Blackboard) -> impl Iterator<Item = RegionId> {
     let own = board.members.own().region;
     let mut heard = BTreeMap::new();
     for member in board.members.map.values().filter(|m| m.region != own) {
@@ -150,7 +150,7 @@
 }
 
 /// Tells whether slots idle in a pool that has servers closed to `account`.
-fn is_confined(board: &Board, service: ServiceId, account: AccountId) -> bool {
+fn is_confined(board: &Blackboard, service: ServiceId, account: AccountId) -> bool {
     let config = &board.config;
     let closed = |pool: &PoolId| {
         let servers = config.pools.get(pool).map(|p| &p.servers);
@@ -160,9 +160,9 @@
             .any(|s| config.share(account, *s).is_none())
     };
     let idle = |pool: &PoolId| {
-        let owner = board.links.get(pool).and_then(|l| l.owner);
+        let owner = board.sessions.get(pool).and_then(|l| l.owner);
         owner
-            .and_then(|(id, _)| board.reports.pool(*pool, id))
+            .and_then(|(id, _)| board.reports.pool_state(*pool, id))
             .is_some_and(|s| s.idle > 0)
     };
     let pools = config.pools_by_service.get(&service);
--- a/tests/testsuite/gateway/overload.rs
+++ b/tests/testsuite/gateway/overload.rs
@@ -3,7 +3,7 @@
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
 
-use hawthornmill::limits::strain::Strain;
+use hawthornmill::limits::load_shedding::LoadShedder;
 use nix::sys::signal::Signal;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -18,9 +18,9 @@
 const TICK_MS: u64 = 100;
 
 /// The lateness of a process whose timers fired `late` milliseconds late, and the time of the last one.
-fn measure_lateness(late: &[u64]) -> (Strain, Instant) {
+fn measure_lateness(late: &[u64]) -> (LoadShedder, Instant) {
     let mut now = Instant::now();
-    let mut strain = Strain::default();
+    let mut strain = LoadShedder::default();
     strain.tick(now, now + millis(TICK_MS));
     for late in late {
         now += millis(TICK_MS + late);
@@ -31,7 +31,7 @@
 
 fn rejection_share(late: &[u64]) -> f64 {
     let (strain, now) = measure_lateness(late);
-    strain.part(now)
+    strain.shed_ratio(now)
 }
 
 /// Failure: an overloaded process takes its own lateness for slow servers, and sends them nothing.
@@ -39,7 +39,7 @@
 fn own_lateness_is_not_taken_for_slow_servers() {
     let behind = |late: &[u64]| {
         let (strain, now) = measure_lateness(late);
-        strain.is_behind(now)
+        strain.is_overloaded(now)
     };
 
     assert!(behind(&[30]));
@@ -83,8 +83,8 @@
     let (strain, now) = measure_lateness(&[0]);
 
     let (due, overdue) = (
-        strain.part(now + millis(TICK_MS)),
-        strain.part(now + millis(1_000)),
+        strain.shed_ratio(now + millis(TICK_MS)),
+        strain.shed_ratio(now + millis(1_000)),
     );
 
     assert!(due <= 0.0, "{due}");
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::{Board, Tuning};
+use hawthornmill::blackboard::{Blackboard, Tuning};
 use hawthornmill::ident::{Incarnation, InstanceId, ServerId};
-use hawthornmill::membership::Sign;
+use hawthornmill::membership::LivenessUpdate;
 use hawthornmill::pools::{entry, owner};
 use hawthornmill::wire::message::RosterEntry;
 use hawthornmill_lab::demo::site::Site;
@@ -29,7 +29,7 @@
 /// Calls that `server` runs, as the entries see it.
 fn running(steps: &Steps, server: &str) -> usize {
     let id = ServerId::of(server);
-    let links = steps.boards.iter().flat_map(|b| b.links.values());
+    let links = steps.boards.iter().flat_map(|b| b.sessions.values());
     links
         .flat_map(|l| l.held.values())
         .filter(|slot| slot.busy && slot.server == id)
@@ -50,7 +50,7 @@
 fn entries_give_grants_for_a_leaving_server_back() {
     let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
     steps.run(6000, keep_waiting);
-    let pool = steps.boards[0].links.iter().find(|(id, _)| {
+    let pool = steps.boards[0].sessions.iter().find(|(id, _)| {
         let server = ServerId::of("draft-a");
         steps.boards[0].config.pools[id].servers.contains(&server)
     });
@@ -71,7 +71,7 @@
     let others = (0..PLACES.len()).filter(|n| *n != own);
     let id = ServerId::of("draft-a");
     let held = others
-        .flat_map(|n| steps.boards[n].links.values())
+        .flat_map(|n| steps.boards[n].sessions.values())
         .flat_map(|l| l.held.values())
         .filter(|s| s.server == id)
         .count();
@@ -92,13 +92,13 @@
 
         let now = steps.instant();
         for board in &mut steps.boards {
-            let pools: Vec<_> = board.owned.keys().copied().collect();
+            let pools: Vec<_> = board.owned_pools.keys().copied().collect();
             if by_answer {
                 entry::on_server_leaving(board, server, now);
                 continue;
             }
             for pool in pools {
-                owner::on_leaving(board, pool, server, true);
+                owner::on_leaving_reading(board, pool, server, true);
             }
         }
         steps.run(60, keep_waiting);
@@ -119,38 +119,38 @@
 fn the_word_that_an_instance_leaves_holds_until_it_is_replaced() {
     let now = Instant::now();
     let own = contact("i0", "a", "north");
-    let mut board = Board::new(own, Incarnation(1), Tuning::default(), now);
+    let mut board = Blackboard::new(own, Incarnation(1), Tuning::default(), now);
     let other = contact("i1", "a", "north");
     let id = InstanceId::of("i1");
-    let list = |leaving, board: &mut Board| {
+    let list = |leaving, board: &mut Blackboard| {
         let contact = other.clone();
         board.roster.replace(vec![RosterEntry { contact, leaving }]);
-        board.members.follow_roster(&board.roster, now);
+        board.members.apply_roster(&board.roster, now);
     };
-    let sign = |run, millis: u64| Sign {
+    let sign = |run, millis: u64| LivenessUpdate {
         from: id,
         incarnation: Incarnation(run),
         leaving: false,
         revision: 1,
         interval: Duration::from_millis(100),
-        steady: (millis / 100) as u8,
+        stable_tenths: (millis / 100) as u8,
         direct: true,
     };
     let at = |millis| now + Duration::from_millis(millis);
 
     list(false, &mut board);
-    board.members.hear(sign(1, 0), now);
-    let before = board.members.usable(id);
+    board.members.record_liveness(sign(1, 0), now);
+    let before = board.members.is_available(id);
     list(true, &mut board);
-    board.members.sweep(at(2000));
-    board.members.hear(sign(1, 2000), at(2000));
-    let returned = board.members.usable(id);
-    board.members.hear(sign(2, 0), at(3000));
-    let lagging = board.members.usable(id);
+    board.members.expire_silent(at(2000));
+    board.members.record_liveness(sign(1, 2000), at(2000));
+    let returned = board.members.is_available(id);
+    board.members.record_liveness(sign(2, 0), at(3000));
+    let lagging = board.members.is_available(id);
     list(false, &mut board);
 
     assert_eq!((before, returned, lagging), (true, false, false));
-    assert!(board.members.usable(id));
+    assert!(board.members.is_available(id));
 }
 
 /// Runs that a server was given so far.
--- a/tests/testsuite/one_fleet.rs
+++ b/tests/testsuite/one_fleet.rs
@@ -1,6 +1,6 @@
 //! Shares and slots over several instances, driven in a fixed order.
 
-use hawthornmill::board::Tuning;
+use hawthornmill::blackboard::Tuning;
 use hawthornmill_test_support::procs::small_fleet;
 use hawthornmill_test_support::steps::Steps;
 
@@ -48,7 +48,7 @@
     steps
         .boards
         .iter()
-        .flat_map(|b| b.owned.values())
+        .flat_map(|b| b.owned_pools.values())
         .filter(|o| o.active)
         .flat_map(|o| o.servers.values())
         .map(|s| u32::from(s.used))
--- a/tests/testsuite/starvation.rs
+++ b/tests/testsuite/starvation.rs
@@ -1,6 +1,6 @@
 //! No account starves: single callers, confined accounts, and callers of a small region.
 
-use hawthornmill::board::Tuning;
+use hawthornmill::blackboard::Tuning;
 use hawthornmill::ident::AccountId;
 use hawthornmill_test_support::loads::{
     Backlog, Drive, EIGHT, LARGEST_COST, MEAN_COST, WIDE_SLOTS, gap_bound, wide_fleet,
@@ -127,5 +127,9 @@
 }
 
 fn crossed(steps: &Steps) -> u64 {
-    steps.boards.iter().map(|b| b.crossing.bytes).sum()
+    steps
+        .boards
+        .iter()
+        .map(|b| b.cross_region.total_bytes)
+        .sum()
 }
