--- a/crates/hawthornmill-gateway/src/awaited.rs
+++ b/crates/hawthornmill-gateway/src/awaited.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 
-use hawthornmill::routing::parts::{Part, Reassembly};
+use hawthornmill::routing::fragments::{Fragment, Reassembly};
 use tokio::sync::Notify;
 
 /// The answer of one instance, as far as it has come.
@@ -22,9 +22,9 @@
     }
 
     /// Takes one part; one that nobody waits for is dropped.
-    pub fn take(&self, from: SocketAddr, part: Part) {
+    pub fn take(&self, from: SocketAddr, part: Fragment) {
         if self.from.get() == Some(from) {
-            self.answer.borrow_mut().take(part);
+            self.answer.borrow_mut().insert(part);
             self.came.notify_one();
         }
     }
--- a/crates/hawthornmill-gateway/src/catching_up.rs
+++ b/crates/hawthornmill-gateway/src/catching_up.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use hawthornmill::limits::patience::{self, Patience};
-use hawthornmill::routing::news::{Heard, Knowledge, Pull};
-use hawthornmill::routing::parts::{self, Outcome, Reassembly, Wanted};
+use hawthornmill::routing::fragments::{self, FragmentRequest, Outcome, Reassembly};
+use hawthornmill::routing::gossip::{PeerState, SyncRequest, SyncResponse};
 use hawthornmill::routing::registry::List;
 use hawthornmill::wire::{Message, Opener, Sealer};
 use hawthornmill_process::frames;
@@ -33,16 +33,21 @@
 const MOST_EMPTY: usize = 2;
 
 /// Sends the parts that `wanted` asks for.
-pub fn tell_parts(gateway: &Gateway, datagrams: &Datagrams, to: SocketAddr, wanted: &Wanted) {
+pub fn tell_parts(
+    gateway: &Gateway,
+    datagrams: &Datagrams,
+    to: SocketAddr,
+    wanted: &FragmentRequest,
+) {
     let newest = || {
-        let whole = postcard::to_allocvec(&knowledge(gateway, wanted.pull));
+        let whole = postcard::to_allocvec(&knowledge(gateway, wanted.sync));
         whole.unwrap_or_else(|error| {
             log::error!(target: "mates", "what is known can't be encoded: {error}");
             Vec::new()
         })
     };
     let now = gateway.now();
-    let parts = gateway.answers.borrow_mut().parts(wanted, newest, now);
+    let parts = gateway.answers.borrow_mut().fragments(wanted, newest, now);
     for part in parts {
         datagrams.send(&Message::Part(part), [to]);
     }
@@ -61,7 +66,7 @@
     gateway: &Gateway,
     datagrams: &Datagrams,
     mate: SocketAddr,
-    pull: Pull,
+    pull: SyncRequest,
 ) -> Result<(), Unanswered> {
     let began = gateway.now();
     let answer = answer_in_parts(gateway, datagrams, mate, pull).await;
@@ -75,28 +80,28 @@
     gateway: &Gateway,
     datagrams: &Datagrams,
     mate: SocketAddr,
-    pull: Pull,
-) -> Result<Knowledge, Unanswered> {
+    pull: SyncRequest,
+) -> Result<SyncResponse, Unanswered> {
     let awaited = &gateway.awaited;
     awaited.expect(mate);
     let mut empty = 0;
     while empty < MOST_EMPTY {
-        let (before, wanted) = awaited.look(|a| (a.count(), a.wanted(pull)));
+        let (before, wanted) = awaited.look(|a| (a.received(), a.request(pull)));
         datagrams.send(&Message::Wanted(wanted), [mate]);
-        let round = parts::round(gateway.strain.get().late(gateway.now()));
+        let round = fragments::round_timeout(gateway.strain.get().late(gateway.now()));
         let _over = tokio::time::timeout(round, awaited.ended()).await;
         match awaited.look(|a| a.outcome().cloned()) {
-            Some(Outcome::Whole(whole)) => return read(&whole),
+            Some(Outcome::Complete(whole)) => return read(&whole),
             Some(Outcome::TooLarge) => return Err(Unanswered::TooLarge),
             None => {}
         }
-        let came = awaited.look(Reassembly::count) > before;
+        let came = awaited.look(Reassembly::received) > before;
         empty = if came { 0 } else { empty + 1 };
     }
     Err(Unanswered::Silent)
 }
 
-fn read(whole: &[u8]) -> Result<Knowledge, Unanswered> {
+fn read(whole: &[u8]) -> Result<SyncResponse, Unanswered> {
     postcard::from_bytes(whole).map_err(|error| {
         log::warn!(target: "mates", "an answer can't be understood: {error}");
         Unanswered::Unreadable
@@ -112,8 +117,8 @@
         tokio::time::sleep(LOOK).await;
         let now = gateway.now();
         mute.retain(|(_, at)| now.duration_since(*at) < MUTE);
-        let pull = Pull {
-            version: gateway.version(),
+        let pull = SyncRequest {
+            catalog_version: gateway.version(),
             revision: gateway.scheduler.borrow().registry.latest(),
         };
         let ahead = ahead(&gateway, pull, &mute);
@@ -126,7 +131,7 @@
         }
         let mut answered = true;
         for mate in ahead {
-            let peer = mate.mate.peer;
+            let peer = mate.info.peer_addr;
             mute.push((peer, now));
             let told = match ask_in_datagrams(&gateway, &datagrams, peer, pull).await {
                 Ok(()) => true,
@@ -148,10 +153,14 @@
 }
 
 /// Whom to ask for more than `pull` says, those in `mute` left out.
-fn ahead(gateway: &Gateway, pull: Pull, mute: &[(SocketAddr, Instant)]) -> SmallVec<[Heard; 2]> {
+fn ahead(
+    gateway: &Gateway,
+    pull: SyncRequest,
+    mute: &[(SocketAddr, Instant)],
+) -> SmallVec<[PeerState; 2]> {
     let mute: Vec<SocketAddr> = mute.iter().map(|(mate, _)| *mate).collect();
     let mates = gateway.mates.borrow();
-    mates.ahead(pull.version, pull.revision, &mute, gateway.now())
+    mates.sync_candidates(pull.catalog_version, pull.revision, &mute, gateway.now())
 }
 
 /// How far a question over a connection is.
@@ -166,7 +175,7 @@
 async fn ask_by_connection(
     gateway: &Gateway,
     mate: SocketAddr,
-    pull: Pull,
+    pull: SyncRequest,
     patience: &mut Patience,
 ) -> bool {
     let (began, step) = (gateway.now(), Cell::new(Step::Connecting));
@@ -182,7 +191,7 @@
     let step = format!("{:?}", step.get());
     note_answer(gateway, mate, began, &step, why.as_deref());
     if why.is_some() {
-        patience.missed(gateway.mates.borrow().is_heard_since(mate, began));
+        patience.missed(gateway.mates.borrow().is_seen_since(mate, began));
     }
     why.is_none()
 }
@@ -195,15 +204,15 @@
     journal::belief("mate_asked", fields);
 }
 
-fn learn(gateway: &Gateway, knowledge: Knowledge, from: SocketAddr) {
+fn learn(gateway: &Gateway, knowledge: SyncResponse, from: SocketAddr) {
     let from = from.to_string();
     if let Some(catalog) = knowledge.catalog {
         gateway.accept(catalog, &from);
     }
-    if let Some(entries) = knowledge.servers {
+    if let Some(entries) = knowledge.registrations {
         let list = List {
             entries,
-            doubted: knowledge.doubted,
+            doubted: knowledge.unconfirmed,
             revision: knowledge.revision,
             away: false,
         };
@@ -216,9 +225,9 @@
 async fn ask(
     gateway: &Gateway,
     mate: SocketAddr,
-    pull: Pull,
+    pull: SyncRequest,
     step: &Cell<Step>,
-) -> std::io::Result<Knowledge> {
+) -> std::io::Result<SyncResponse> {
     let mut link = connect_within(mate, patience::MOST).await?;
     step.set(Step::Connected);
     let channel = link.read_u64_le().await?;
@@ -283,15 +292,15 @@
     .await
 }
 
-fn knowledge(gateway: &Gateway, pull: Pull) -> Knowledge {
+fn knowledge(gateway: &Gateway, pull: SyncRequest) -> SyncResponse {
     let table = gateway.table();
-    let newer = table.filter(|t| t.version() > pull.version);
+    let newer = table.filter(|t| t.version() > pull.catalog_version);
     let scheduler = gateway.scheduler.borrow();
     let latest = scheduler.registry.latest();
-    Knowledge {
+    SyncResponse {
         catalog: newer.map(|t| t.catalog().clone()),
-        servers: (latest > pull.revision).then(|| scheduler.registry.snapshot()),
-        doubted: scheduler.registry.doubted(gateway.now()),
+        registrations: (latest > pull.revision).then(|| scheduler.registry.snapshot()),
+        unconfirmed: scheduler.registry.doubted(gateway.now()),
         revision: latest,
     }
 }
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -14,10 +14,10 @@
 use hawthornmill::limits::strain::Strain;
 use hawthornmill::routing::budget::Budget;
 use hawthornmill::routing::catalog::Catalog;
+use hawthornmill::routing::departures::{Departure, RecentDepartures, Source};
+use hawthornmill::routing::fragments::ResponseCache;
+use hawthornmill::routing::gossip::{PeerTable, StoreRole};
 use hawthornmill::routing::lag::Lag;
-use hawthornmill::routing::leaving::{Leavers, Leaving, Source};
-use hawthornmill::routing::news::{Mates, Reading};
-use hawthornmill::routing::parts::RecentAnswers;
 use hawthornmill::routing::placement::{Location, Placement};
 use hawthornmill::routing::registry::{Change, List};
 use hawthornmill::routing::request::{Cause, Refusal, Request, Ticket, Verdict};
@@ -78,13 +78,13 @@
     /// Catalogs that others have and this instance has not.
     pub lag: RefCell<Lag>,
     /// Servers that leave, as heard lately.
-    pub leavers: RefCell<Leavers>,
+    pub leavers: RefCell<RecentDepartures>,
     /// What this instance told others lately of what it knows.
-    pub answers: RefCell<RecentAnswers>,
+    pub answers: RefCell<ResponseCache>,
     /// What another instance tells of what it knows.
     pub awaited: Awaited,
     /// The other instances.
-    pub mates: RefCell<Mates>,
+    pub mates: RefCell<PeerTable>,
     /// Connections to servers.
     pub pool: Pool,
     /// Counters.
@@ -104,7 +104,7 @@
     /// The catalog or the registrations came from the store or a mate since the start.
     pub listed: Cell<bool>,
     /// What this instance has to do with the store.
-    pub reading: Cell<Reading>,
+    pub reading: Cell<StoreRole>,
     /// A place came free, or something else that waiting requests depend on changed.
     pub nudge: Notify,
     /// Something that the others should hear at once changed.
@@ -142,7 +142,7 @@
             leavers: RefCell::default(),
             answers: RefCell::default(),
             awaited: Awaited::default(),
-            mates: RefCell::new(Mates::new(place.domain)),
+            mates: RefCell::new(PeerTable::new(place.domain)),
             pool: Pool::default(),
             meters: Meters::default(),
             connections: Cell::new(0),
@@ -152,7 +152,7 @@
             flying: Cell::new(0),
             bodies: Cell::new(0),
             listed: Cell::new(false),
-            reading: Cell::new(Reading::Answered),
+            reading: Cell::new(StoreRole::Connected),
             nudge: Notify::new(),
             hurry: Notify::new(),
             stir: Notify::new(),
@@ -215,7 +215,8 @@
     pub fn is_outdated(&self) -> bool {
         let now = self.now();
         let late = self.settings().promises.apply.mul_f64(OUTDATED);
-        self.lag.borrow().time(now) > late && self.mates.borrow().has_newer(self.version(), now)
+        self.lag.borrow().duration(now) > late
+            && self.mates.borrow().has_newer_catalog(self.version(), now)
     }
 
     /// Puts `catalog` in force unless an equal or newer one is; `from` is told in the log.
@@ -230,7 +231,7 @@
                 journal::belief("catalog_in_force", fields);
                 self.scheduler.borrow_mut().token_rate = table.limits().token_rate;
                 *self.table.borrow_mut() = Some(Rc::new(table));
-                self.lag.borrow_mut().reach(version);
+                self.lag.borrow_mut().catch_up(version);
                 self.nudge.notify_one();
                 self.hurry.notify_one();
             }
@@ -244,7 +245,7 @@
     /// Another instance decides by the catalog of `version`.
     pub fn hear_version(&self, version: u64) {
         let (own, now) = (self.version(), self.now());
-        self.lag.borrow_mut().hear(version, own, now);
+        self.lag.borrow_mut().observe(version, own, now);
     }
 
     /// Takes one change of the registrations.
@@ -260,7 +261,7 @@
     }
 
     /// Takes the word of another instance that servers leave.
-    pub fn hear_leaving(&self, all: &[Leaving]) {
+    pub fn hear_leaving(&self, all: &[Departure]) {
         for leaving in all {
             if self.scheduler.borrow_mut().registry.leaves(*leaving) {
                 let server = self.server_name(leaving.server);
@@ -271,8 +272,10 @@
         }
     }
 
-    fn tell_leaving(&self, leaving: Leaving, source: Source) {
-        self.leavers.borrow_mut().hear(leaving, source, self.now());
+    fn tell_leaving(&self, leaving: Departure, source: Source) {
+        self.leavers
+            .borrow_mut()
+            .record(leaving, source, self.now());
         self.hurry.notify_one();
     }
 
@@ -376,7 +379,7 @@
         let table = self.table();
         let bound = table.and_then(|t| Some(t.service(service)?.connections as usize));
         match bound {
-            Some(bound) if bound > 0 => (bound / 2 / self.mates.borrow().most().max(1)).max(1),
+            Some(bound) if bound > 0 => (bound / 2 / self.mates.borrow().max_seen().max(1)).max(1),
             _ => usize::MAX,
         }
     }
--- a/crates/hawthornmill-gateway/src/mates.rs
+++ b/crates/hawthornmill-gateway/src/mates.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use hawthornmill::ident::{Incarnation, InstanceId};
-use hawthornmill::routing::digest::{DomainWork, Member};
-use hawthornmill::routing::news::{Mate, News, Seen};
+use hawthornmill::routing::domain_summary::{DomainWork, Member};
+use hawthornmill::routing::gossip::{InstanceReport, PeerChange, PeerInfo};
 use hawthornmill::wire::frame::{Frame, FrameError};
 use hawthornmill::wire::{Message, Opener};
 use serde_json::json;
@@ -42,7 +42,7 @@
             () = gateway.hurry.notified() => tokio::time::sleep(LEAST_PAUSE).await,
             () = gateway.stir.notified() => {
                 tell_work(&gateway, &datagrams);
-                let large = gateway.mates.borrow().is_large();
+                let large = gateway.mates.borrow().is_large_fleet();
                 let pause = if large { WORK_PAUSE_LARGE } else { WORK_PAUSE };
                 tokio::time::sleep(pause).await;
                 continue;
@@ -55,8 +55,8 @@
         let targets = gateway
             .mates
             .borrow_mut()
-            .targets(&settings.seeds, round, now);
-        let most = gateway.mates.borrow().most();
+            .gossip_targets(&settings.seeds, round, now);
+        let most = gateway.mates.borrow().max_seen();
         gateway.scheduler.borrow_mut().budget.share_among(most);
         let news = news(&gateway, round, now);
         let others = targets.iter().filter(|t| **t != settings.listen.peer);
@@ -68,9 +68,9 @@
 
 /// Tells those nearby which servers leave, as the store told this instance.
 fn tell_leaving(gateway: &Gateway, datagrams: &Datagrams, now: Instant) {
-    let leaving = gateway.leavers.borrow().near(now);
+    let leaving = gateway.leavers.borrow().for_domain(now);
     if !leaving.is_empty() {
-        let near = gateway.mates.borrow().near(now);
+        let near = gateway.mates.borrow().broadcast_targets(now);
         datagrams.send(&Message::Leaving(leaving), near);
     }
 }
@@ -81,11 +81,11 @@
     let Some(rank) = gateway.mates.borrow().relay_rank(gateway.me, now) else {
         return;
     };
-    let targets = gateway.mates.borrow().relays(rank, round, now);
+    let targets = gateway.mates.borrow().relay_targets(rank, round, now);
     if targets.is_empty() {
         return;
     }
-    let leaving = gateway.leavers.borrow().far(now);
+    let leaving = gateway.leavers.borrow().for_other_domains(now);
     let leaving = (!leaving.is_empty()).then_some(Message::Leaving(leaving));
     for message in leaving.into_iter().chain(domain_news(gateway, now)) {
         datagrams.send(&message, targets.iter().copied());
@@ -97,27 +97,27 @@
     let mates = gateway.mates.borrow();
     let mut scheduler = gateway.scheduler.borrow_mut();
     let mut members: Vec<Member> = mates
-        .domain_mates(now)
+        .domain_peers(now)
         .map(|(id, h)| Member {
             id,
-            run: h.incarnation,
-            mate: h.mate,
+            incarnation: h.incarnation,
+            info: h.info,
             ready: h.ready,
             leaving: h.leaving,
-            reading: h.reading,
-            version: h.version,
+            store_role: h.store_role,
+            catalog_version: h.catalog_version,
             revision: h.revision,
         })
         .collect();
     let ids: Vec<InstanceId> = members.iter().map(|m| m.id).collect();
     members.push(Member {
         id: gateway.me,
-        run: gateway.incarnation,
-        mate: mate(gateway),
+        incarnation: gateway.incarnation,
+        info: mate(gateway),
         ready: gateway.is_ready(),
         leaving: gateway.phase() > Phase::Serving,
-        reading: gateway.reading.get(),
-        version: gateway.version(),
+        store_role: gateway.reading.get(),
+        catalog_version: gateway.version(),
         revision: scheduler.registry.latest(),
     });
     let work = scheduler.loads.domain_sum(&ids);
@@ -132,11 +132,11 @@
         .collect()
 }
 
-fn mate(gateway: &Gateway) -> Mate {
+fn mate(gateway: &Gateway) -> PeerInfo {
     let settings = gateway.settings();
-    Mate {
-        front: settings.listen.front,
-        peer: settings.listen.peer,
+    PeerInfo {
+        client_addr: settings.listen.front,
+        peer_addr: settings.listen.peer,
         domain: settings.domain,
     }
 }
@@ -150,29 +150,29 @@
         work.truncate(MOST_TOLD);
         work
     };
-    let near = gateway.mates.borrow().near(gateway.now());
+    let near = gateway.mates.borrow().broadcast_targets(gateway.now());
     datagrams.send(&Message::Work(work), near);
 }
 
-fn news(gateway: &Gateway, round: u64, now: Instant) -> News {
+fn news(gateway: &Gateway, round: u64, now: Instant) -> InstanceReport {
     let mut scheduler = gateway.scheduler.borrow_mut();
     let mut work = scheduler.loads.local();
     work.truncate(MOST_TOLD);
     let mut usage = scheduler.usage.own(now);
     usage.sort_by(|a, b| b.1.asked.total_cmp(&a.1.asked));
     usage.truncate(MOST_TOLD);
-    News {
-        mate: mate(gateway),
+    InstanceReport {
+        info: mate(gateway),
         ready: gateway.is_ready(),
         leaving: gateway.phase() > Phase::Serving,
-        reading: gateway.reading.get(),
-        version: gateway.version(),
+        store_role: gateway.reading.get(),
+        catalog_version: gateway.version(),
         revision: scheduler.registry.latest(),
         work,
         usage,
-        strays: scheduler.spilled_prefixes(now),
-        short: scheduler.told_short(now),
-        others: gateway.mates.borrow().named(round, now),
+        spilled: scheduler.spilled_prefixes(now),
+        unmet: scheduler.told_short(now),
+        known_peers: gateway.mates.borrow().peer_sample(round, now),
     }
 }
 
@@ -221,10 +221,10 @@
 fn pass_on(gateway: &Gateway, datagrams: &Datagrams, frame: &[u8], from: SocketAddr) {
     let now = gateway.now();
     let mates = gateway.mates.borrow();
-    if mates.relay_rank(gateway.me, now).is_none() || mates.is_domain_mate(from) {
+    if mates.relay_rank(gateway.me, now).is_none() || mates.is_domain_peer(from) {
         return;
     }
-    let near = mates.domain_mates(now).map(|(_, mate)| mate.mate.peer);
+    let near = mates.domain_peers(now).map(|(_, mate)| mate.info.peer_addr);
     datagrams.send_frame(frame, near);
 }
 
@@ -242,10 +242,10 @@
             .apply_peer_report(sender, work, now),
         Message::Members(told) if told.domain != own => {
             for member in told.members.iter().filter(|m| m.id != gateway.me) {
-                gateway.hear_version(member.version);
+                gateway.hear_version(member.catalog_version);
                 let mut mates = gateway.mates.borrow_mut();
-                if let Some(change) = mates.hear_member(member, now) {
-                    note(change, member.mate.peer, mates.live(now).count());
+                if let Some(change) = mates.apply_member(member, now) {
+                    note(change, member.info.peer_addr, mates.live(now).count());
                 }
             }
             gateway
@@ -263,15 +263,15 @@
     }
 }
 
-fn take_news(gateway: &Gateway, sender: InstanceId, run: Incarnation, news: &News) {
+fn take_news(gateway: &Gateway, sender: InstanceId, run: Incarnation, news: &InstanceReport) {
     let now = gateway.now();
-    gateway.hear_version(news.version);
+    gateway.hear_version(news.catalog_version);
     let mut mates = gateway.mates.borrow_mut();
-    if let Some(change) = mates.hear(sender, run, news, now) {
-        note(change, news.mate.peer, mates.live(now).count());
+    if let Some(change) = mates.apply_report(sender, run, news, now) {
+        note(change, news.info.peer_addr, mates.live(now).count());
     }
     let own = gateway.settings().domain;
-    if mates.is_large() && news.mate.domain != own {
+    if mates.is_large_fleet() && news.info.domain != own {
         // Its domain's sums hold the same; counted here too, its work would count twice.
         return;
     }
@@ -282,7 +282,7 @@
     }
 }
 
-fn note(change: Seen, mate: SocketAddr, live: usize) {
+fn note(change: PeerChange, mate: SocketAddr, live: usize) {
     let fields = json!({"mate": mate.to_string(), "how": format!("{change:?}"), "live": live});
     journal::belief("mate", fields);
 }
--- a/crates/hawthornmill-gateway/src/side.rs
+++ b/crates/hawthornmill-gateway/src/side.rs
@@ -145,8 +145,9 @@
     let now = gateway.now();
     let mates = gateway.mates.borrow();
     let live = mates.live(now).filter(|(_, h)| h.ready && !h.leaving);
-    let mut all: Vec<(DomainId, SocketAddr)> =
-        live.map(|(_, h)| (h.mate.domain, h.mate.front)).collect();
+    let mut all: Vec<(DomainId, SocketAddr)> = live
+        .map(|(_, h)| (h.info.domain, h.info.client_addr))
+        .collect();
     if gateway.is_ready() {
         all.push((settings.domain, settings.listen.front));
     }
--- a/crates/hawthornmill-gateway/src/store.rs
+++ b/crates/hawthornmill-gateway/src/store.rs
@@ -10,7 +10,7 @@
 
 use bytes::BytesMut;
 use hawthornmill::ident::ServerId;
-use hawthornmill::routing::news::Reading;
+use hawthornmill::routing::gossip::StoreRole;
 use hawthornmill::routing::registry::{Change, List};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -112,13 +112,13 @@
         loop {
             let known = gateway.listed.get() && gateway.version() > 0;
             let now = gateway.now();
-            if !known || gateway.mates.borrow().should_read(gateway.me, now) {
-                if gateway.reading.get() == Reading::Idle {
-                    gateway.reading.set(Reading::Answered);
+            if !known || gateway.mates.borrow().should_follow_store(gateway.me, now) {
+                if gateway.reading.get() == StoreRole::Idle {
+                    gateway.reading.set(StoreRole::Connected);
                 }
                 return;
             }
-            gateway.reading.set(Reading::Idle);
+            gateway.reading.set(StoreRole::Idle);
             tokio::time::sleep(LOOK).await;
         }
     }
@@ -250,7 +250,7 @@
                 }
                 self.answered = now;
                 self.failures = 0;
-                self.gateway.reading.set(Reading::Answered);
+                self.gateway.reading.set(StoreRole::Connected);
             }
             Err(Failure::HistoryLost) => {
                 journal::belief("store_history_lost", json!({"topic": topic}));
@@ -261,11 +261,11 @@
                     let fields = json!({"topic": topic, "how": format!("{failure:?}")});
                     journal::belief("store_lost", fields);
                 }
-                self.gateway.reading.set(Reading::Lost);
+                self.gateway.reading.set(StoreRole::Disconnected);
                 if now.duration_since(self.answered) > AWAY {
                     self.returning = Some(now + RETURN);
                 }
-                let large = self.gateway.mates.borrow().is_large() && self.gateway.is_ready();
+                let large = self.gateway.mates.borrow().is_large_fleet() && self.gateway.is_ready();
                 let most = if large { AGAIN_LARGE } else { AGAIN.1 };
                 let pause = (AGAIN.0 * 2_u32.saturating_pow(self.failures)).min(most);
                 self.failures = (self.failures + 1).min(8);
--- a/crates/hawthornmill-gateway/src/trip/admit.rs
+++ b/crates/hawthornmill-gateway/src/trip/admit.rs
@@ -104,7 +104,7 @@
 ///
 /// Only the newest catalog can say so for good.
 fn unknown(gateway: &Gateway, code: Code) -> Reply {
-    if gateway.lag.borrow().is_some() {
+    if gateway.lag.borrow().is_behind() {
         Reply::again(Code::NotReady, UNKNOWN_AGAIN)
     } else {
         Reply::new(code)
--- a/crates/hawthornmill-gateway/src/trip/settle.rs
+++ b/crates/hawthornmill-gateway/src/trip/settle.rs
@@ -36,7 +36,7 @@
 /// How long this instance has known of a newer catalog than its own.
 fn lag_ms(gateway: &Gateway) -> u64 {
     let lag = gateway.lag.borrow();
-    lag.time(gateway.now()).as_millis() as u64
+    lag.duration(gateway.now()).as_millis() as u64
 }
 
 /// What is known of one request on its way.
--- a/crates/hawthornmill/src/routing/leaving.rs
+++ b/crates/hawthornmill/src/routing/departures.rs
@@ -16,7 +16,7 @@
 
 /// A server that leaves or is gone, for sure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Leaving {
+pub struct Departure {
     /// The server.
     pub server: ServerId,
     /// The store's revision of its word, or of its entry's removal.
@@ -34,29 +34,29 @@
 
 /// Servers that leave, as heard lately.
 #[derive(Debug, Clone, Default)]
-pub struct Leavers {
-    heard: Vec<(Leaving, Source, Instant)>,
+pub struct RecentDepartures {
+    heard: Vec<(Departure, Source, Instant)>,
 }
 
-impl Leavers {
+impl RecentDepartures {
     /// `leaving` was heard from `source`.
-    pub fn hear(&mut self, leaving: Leaving, source: Source, now: Instant) {
+    pub fn record(&mut self, leaving: Departure, source: Source, now: Instant) {
         self.heard
             .retain(|(_, _, at)| now.duration_since(*at) < TOLD);
         self.heard.push((leaving, source, now));
     }
 
     /// What to tell those nearby: what the store told here, since they hear from each other.
-    pub fn near(&self, now: Instant) -> Vec<Leaving> {
+    pub fn for_domain(&self, now: Instant) -> Vec<Departure> {
         self.told(now, |source| source == Source::Store)
     }
 
     /// What to tell the other failure domains: all of it, in the name of those nearby.
-    pub fn far(&self, now: Instant) -> Vec<Leaving> {
+    pub fn for_other_domains(&self, now: Instant) -> Vec<Departure> {
         self.told(now, |_| true)
     }
 
-    fn told(&self, now: Instant, from: impl Fn(Source) -> bool) -> Vec<Leaving> {
+    fn told(&self, now: Instant, from: impl Fn(Source) -> bool) -> Vec<Departure> {
         let fresh = self.heard.iter().rev();
         let fresh = fresh.filter(|(_, s, at)| from(*s) && now.duration_since(*at) < TOLD);
         fresh.take(MOST).map(|(leaving, _, _)| *leaving).collect()
--- a/crates/hawthornmill/src/routing/digest.rs
+++ b/crates/hawthornmill/src/routing/domain_summary.rs
@@ -8,8 +8,8 @@
 
 use serde::{Deserialize, Serialize};
 
+use super::gossip::{PeerInfo, StoreRole, UnmetDemand};
 use super::loads::Work;
-use super::news::{Lack, Mate, Reading};
 use super::shape::PrefixKey;
 use super::usage::{Standing, Sums};
 use crate::ident::{AccountId, DomainId, Incarnation, InstanceId, ServerId, ServiceId, mix};
@@ -17,7 +17,7 @@
 /// Servers in one datagram, each of up to 22 bytes.
 const MOST_SERVERS: usize = 56;
 /// Prefixes sent astray that are told at once, by an instance and by a domain: they fit a packet.
-pub const MOST_STRAYS: usize = 24;
+pub const MAX_SPILLED: usize = 24;
 
 /// One live instance of a domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,32 +25,32 @@
     /// The instance.
     pub id: InstanceId,
     /// Its process run.
-    pub run: Incarnation,
+    pub incarnation: Incarnation,
     /// How to reach it.
-    pub mate: Mate,
+    pub info: PeerInfo,
     /// It takes requests of callers.
     pub ready: bool,
     /// It is about to stop.
     pub leaving: bool,
     /// What it has to do with the store.
-    pub reading: Reading,
+    pub store_role: StoreRole,
     /// Version of its catalog.
-    pub version: u64,
+    pub catalog_version: u64,
     /// Revision of its registrations.
     pub revision: u64,
 }
 
 /// Who is in a domain, and what is scarce there.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Members {
+pub struct DomainMembers {
     /// The domain.
     pub domain: DomainId,
     /// Its live instances.
     pub members: Vec<Member>,
     /// What found no room lately, by service and standing.
-    pub short: Vec<(ServiceId, Standing, Lack)>,
+    pub unmet: Vec<(ServiceId, Standing, UnmetDemand)>,
     /// Shared prefixes that were sent to other servers than their homes lately.
-    pub strays: Vec<(PrefixKey, ServerId)>,
+    pub spilled: Vec<(PrefixKey, ServerId)>,
 }
 
 /// What a domain has under way, or a part of it.
@@ -59,7 +59,7 @@
     /// The domain.
     pub domain: DomainId,
     /// Number of the part.
-    pub part: u8,
+    pub number: u8,
     /// Work by server.
     pub work: Vec<(ServerId, Work)>,
     /// What accounts asked for and got; in the first part only.
@@ -75,13 +75,13 @@
     ) -> Vec<Self> {
         let accounts = Self {
             domain,
-            part: 0,
+            number: 0,
             work: Vec::new(),
             usage: usage.to_vec(),
         };
         let servers = work.chunks(MOST_SERVERS).zip(1..).map(|(some, part)| Self {
             domain,
-            part,
+            number: part,
             work: some.to_vec(),
             usage: Vec::new(),
         });
@@ -89,12 +89,12 @@
     }
 
     /// The key under which this part is counted, as if one instance had told it.
-    pub fn teller(&self) -> InstanceId {
-        teller(self.domain, self.part)
+    pub fn source_id(&self) -> InstanceId {
+        source_id(self.domain, self.number)
     }
 }
 
 /// The key under which part `part` of what `domain` tells is counted.
-pub fn teller(domain: DomainId, part: u8) -> InstanceId {
+pub fn source_id(domain: DomainId, part: u8) -> InstanceId {
     InstanceId(mix(domain.0 ^ u64::from(part)))
 }
--- a/crates/hawthornmill/src/routing/parts.rs
+++ b/crates/hawthornmill/src/routing/fragments.rs
@@ -1,7 +1,7 @@
 //! What an instance knows, in parts that fit datagrams.
 //!
 //! Load pattern: callers fill the link of an instance that is behind. Whatever comes over a connection waits behind
-//! what they send: an answer after three round trips came after more than four seconds, or never. Datagrams don't
+//! what they send: an answer after three round_timeout trips came after more than four seconds, or never. Datagrams don't
 //! wait for those before them, and only those that were lost are sent again.
 
 use std::collections::VecDeque;
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::news::Pull;
+use super::gossip::SyncRequest;
 
 /// Bytes of one part; with its frame it fits a datagram.
 const PART_BYTES: usize = 1_200;
@@ -20,36 +20,36 @@
 const KEPT: Duration = Duration::from_millis(800);
 /// Answers that are kept at most, each of [`MOST_PARTS`] at most.
 const MOST_KEPT: usize = 8;
-/// Time for the parts of one round; several round trips between regions.
+/// Time for the parts of one round_timeout; several round_timeout trips between regions.
 const ROUND: Duration = Duration::from_millis(200);
 
-/// Time for the parts of one round, where the asker is `late` with all that it does.
+/// Time for the parts of one round_timeout, where the asker is `late` with all that it does.
 ///
 /// It reads what came only after what came before, in the turn that hears the question's timer too.
-pub fn round(late: Duration) -> Duration {
+pub fn round_timeout(late: Duration) -> Duration {
     ROUND + late * 2
 }
 
 /// Asks for what a peer knows beyond a version and a revision, in parts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wanted {
+pub struct FragmentRequest {
     /// What the asker has.
-    pub pull: Pull,
+    pub sync: SyncRequest,
     /// Digest of what the missing parts belong to; 0 for all parts of whatever is newest.
     pub digest: u64,
     /// Numbers of the missing parts.
     pub missing: Vec<u16>,
 }
 
-/// One part of an answer to [`Wanted`].
+/// One part of an answer to [`FragmentRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct Fragment {
     /// Digest of the whole.
     pub digest: u64,
     /// Number of the part, from 0.
-    pub number: u16,
+    pub index: u16,
     /// Number of parts; 0 when the whole is too large for datagrams.
-    pub parts: u16,
+    pub count: u16,
     /// Its bytes.
     pub bytes: Vec<u8>,
 }
@@ -59,35 +59,35 @@
 /// What is known changes between two rounds, many times a second while servers are replaced. Answered from what
 /// is known by then, an asker that lost one part would begin anew each time.
 #[derive(Debug, Clone, Default)]
-pub struct RecentAnswers {
-    kept: VecDeque<RecentAnswer>,
+pub struct ResponseCache {
+    kept: VecDeque<CachedResponse>,
 }
 
 #[derive(Debug, Clone)]
-struct RecentAnswer {
+struct CachedResponse {
     digest: u64,
     whole: Vec<u8>,
     at: Instant,
 }
 
-impl RecentAnswers {
+impl ResponseCache {
     /// The parts that `wanted` asks for, of the answer that it names or else of `newest`.
-    pub fn parts(
+    pub fn fragments(
         &mut self,
-        wanted: &Wanted,
+        wanted: &FragmentRequest,
         newest: impl FnOnce() -> Vec<u8>,
         now: Instant,
-    ) -> Vec<Part> {
+    ) -> Vec<Fragment> {
         self.kept.retain(|a| now.duration_since(a.at) < KEPT);
         if let Some(answer) = self.kept.iter().find(|a| a.digest == wanted.digest) {
-            return split(&answer.whole, wanted);
+            return split_fragments(&answer.whole, wanted);
         }
         let whole = newest();
-        let parts = split(&whole, wanted);
+        let parts = split_fragments(&whole, wanted);
         if self.kept.len() >= MOST_KEPT {
             self.kept.pop_front();
         }
-        self.kept.push_back(RecentAnswer {
+        self.kept.push_back(CachedResponse {
             digest: digest(&whole),
             whole,
             at: now,
@@ -97,14 +97,14 @@
 }
 
 /// The parts of `whole` that `wanted` asks for, or the word that there are too many.
-pub fn split(whole: &[u8], wanted: &Wanted) -> Vec<Part> {
+pub fn split_fragments(whole: &[u8], wanted: &FragmentRequest) -> Vec<Fragment> {
     let digest = digest(whole);
     let parts = whole.len().div_ceil(PART_BYTES);
     if parts > MOST_PARTS {
-        let too_large = Part {
+        let too_large = Fragment {
             digest,
-            number: 0,
-            parts: 0,
+            index: 0,
+            count: 0,
             bytes: Vec::new(),
         };
         return vec![too_large];
@@ -112,10 +112,10 @@
     let all = wanted.digest != digest;
     let chunks = whole.chunks(PART_BYTES).zip(0..);
     let chosen = chunks.filter(|(_, number)| all || wanted.missing.contains(number));
-    let part = |(bytes, number): (&[u8], u16)| Part {
+    let part = |(bytes, number): (&[u8], u16)| Fragment {
         digest,
-        number,
-        parts: parts as u16,
+        index: number,
+        count: parts as u16,
         bytes: bytes.to_vec(),
     };
     chosen.map(part).collect()
@@ -141,26 +141,26 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// All of it is here.
-    Whole(Vec<u8>),
+    Complete(Vec<u8>),
     /// It doesn't fit datagrams.
     TooLarge,
 }
 
 impl Reassembly {
     /// Takes one part; those of an older answer are dropped when one of another comes.
-    pub fn take(&mut self, part: Part) {
-        if part.parts == 0 {
+    pub fn insert(&mut self, part: Fragment) {
+        if part.count == 0 {
             self.outcome = Some(Outcome::TooLarge);
             return;
         }
-        if usize::from(part.parts) > MOST_PARTS {
+        if usize::from(part.count) > MOST_PARTS {
             return;
         }
-        if part.digest != self.digest || self.parts.len() != usize::from(part.parts) {
+        if part.digest != self.digest || self.parts.len() != usize::from(part.count) {
             self.digest = part.digest;
-            self.parts = vec![None; usize::from(part.parts)];
+            self.parts = vec![None; usize::from(part.count)];
         }
-        if let Some(place) = self.parts.get_mut(usize::from(part.number)) {
+        if let Some(place) = self.parts.get_mut(usize::from(part.index)) {
             *place = Some(part.bytes);
         }
         self.join();
@@ -173,7 +173,7 @@
             return;
         };
         if digest(&whole) == self.digest {
-            self.outcome = Some(Outcome::Whole(whole));
+            self.outcome = Some(Outcome::Complete(whole));
         } else {
             *self = Self::default();
         }
@@ -185,15 +185,15 @@
     }
 
     /// Parts that have come.
-    pub fn count(&self) -> usize {
+    pub fn received(&self) -> usize {
         self.parts.iter().flatten().count()
     }
 
     /// What is still to be asked for by one that has what `pull` says.
-    pub fn wanted(&self, pull: Pull) -> Wanted {
+    pub fn request(&self, pull: SyncRequest) -> FragmentRequest {
         let missing = self.parts.iter().zip(0..).filter(|(p, _)| p.is_none());
-        Wanted {
-            pull,
+        FragmentRequest {
+            sync: pull,
             digest: self.digest,
             missing: missing.map(|(_, number)| number).collect(),
         }
--- a/crates/hawthornmill/src/routing/news.rs
+++ b/crates/hawthornmill/src/routing/gossip.rs
@@ -12,7 +12,7 @@
 use smallvec::SmallVec;
 
 use super::catalog::Catalog;
-use super::digest::Member;
+use super::domain_summary::Member;
 use super::loads::Work;
 use super::registry::{Change, Doubt};
 use super::shape::PrefixKey;
@@ -45,57 +45,57 @@
 
 /// How to reach an instance of the gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mate {
+pub struct PeerInfo {
     /// Where callers connect.
-    pub front: SocketAddr,
+    pub client_addr: SocketAddr,
     /// Where other instances send news and ask.
-    pub peer: SocketAddr,
+    pub peer_addr: SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
 }
 
 /// What an instance has to do with the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub enum Reading {
+pub enum StoreRole {
     /// Others read for it.
     #[default]
     Idle,
     /// It reads, and the store answers it.
-    Answered,
+    Connected,
     /// It reads, and the store does not answer it.
-    Lost,
+    Disconnected,
 }
 
 /// How much work of one standing found no room lately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Lack {
+pub struct UnmetDemand {
     /// Instances at which it found none.
-    pub places: u16,
+    pub instances: u16,
     /// Its cost in tokens, as it counts now.
     pub cost: u32,
 }
 
-impl Lack {
+impl UnmetDemand {
     /// Counts `other` too.
     pub const fn add(&mut self, other: Self) {
-        self.places = self.places.saturating_add(other.places);
+        self.instances = self.instances.saturating_add(other.instances);
         self.cost = self.cost.saturating_add(other.cost);
     }
 }
 
 /// One instance's news.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct InstanceReport {
     /// How to reach the teller.
-    pub mate: Mate,
+    pub info: PeerInfo,
     /// It takes requests of callers.
     pub ready: bool,
     /// It is about to stop.
     pub leaving: bool,
     /// What it has to do with the store.
-    pub reading: Reading,
+    pub store_role: StoreRole,
     /// Version of its catalog; 0 when it has none.
-    pub version: u64,
+    pub catalog_version: u64,
     /// The store's revision up to which it knows registrations.
     pub revision: u64,
     /// Work that it has under way.
@@ -103,40 +103,40 @@
     /// What accounts asked of it and got.
     pub usage: Vec<(AccountId, Sums)>,
     /// Shared prefixes that it sent to other servers than their homes since its last news.
-    pub strays: Vec<(PrefixKey, ServerId)>,
+    pub spilled: Vec<(PrefixKey, ServerId)>,
     /// Services for which requests of the told rank found no room lately, and how much work that was.
-    pub short: Vec<(ServiceId, Standing, Lack)>,
+    pub unmet: Vec<(ServiceId, Standing, UnmetDemand)>,
     /// Peer addresses of others that it hears.
-    pub others: Vec<SocketAddr>,
+    pub known_peers: Vec<SocketAddr>,
 }
 
 /// Asks a mate for what it knows beyond a version and a revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pull {
+pub struct SyncRequest {
     /// Version of the asker's catalog.
-    pub version: u64,
+    pub catalog_version: u64,
     /// Revision of the asker's registrations.
     pub revision: u64,
 }
 
-/// Answers a [`Pull`].
+/// Answers a [`SyncRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Knowledge {
+pub struct SyncResponse {
     /// The catalog, if it is newer than the asker's.
     pub catalog: Option<Catalog>,
     /// All registrations, if they are newer than the asker's.
-    pub servers: Option<Vec<Change>>,
+    pub registrations: Option<Vec<Change>>,
     /// Those of them that were removed while the store was away, and count for a grace only.
-    pub doubted: Vec<Doubt>,
+    pub unconfirmed: Vec<Doubt>,
     /// Revision of the registrations.
     pub revision: u64,
 }
 
 /// Another instance as this one hears it.
 #[derive(Debug, Clone, Copy)]
-pub struct Heard {
+pub struct PeerState {
     /// How to reach it.
-    pub mate: Mate,
+    pub info: PeerInfo,
     /// Its process run.
     pub incarnation: Incarnation,
     /// It takes requests of callers.
@@ -144,22 +144,22 @@
     /// It is about to stop; never taken back within a run.
     pub leaving: bool,
     /// What it has to do with the store.
-    pub reading: Reading,
+    pub store_role: StoreRole,
     /// Version of its catalog.
-    pub version: u64,
+    pub catalog_version: u64,
     /// Revision of its registrations.
     pub revision: u64,
     /// When it was last heard, itself or by a relay.
-    pub at: Instant,
+    pub last_seen: Instant,
     /// When it was last heard itself.
-    pub direct: Option<Instant>,
+    pub last_direct: Option<Instant>,
     /// Silence after which it counts as gone.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// What an instance's news change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seen {
+pub enum PeerChange {
     /// It was not known in this run.
     Started,
     /// It was silent for a while.
@@ -170,105 +170,105 @@
 
 /// The other instances.
 #[derive(Debug, Clone)]
-pub struct Mates {
+pub struct PeerTable {
     domain: DomainId,
-    heard: BTreeMap<InstanceId, Heard>,
+    heard: BTreeMap<InstanceId, PeerState>,
     contacts: BTreeMap<SocketAddr, Instant>,
-    most: usize,
+    max_seen: usize,
 }
 
-impl Mates {
+impl PeerTable {
     /// Nobody is heard yet by this instance of `domain`.
     pub const fn new(domain: DomainId) -> Self {
         Self {
             domain,
             heard: BTreeMap::new(),
             contacts: BTreeMap::new(),
-            most: 0,
+            max_seen: 0,
         }
     }
 
     /// Takes the news of `from`; tells what they change.
-    pub fn hear(
+    pub fn apply_report(
         &mut self,
         from: InstanceId,
         run: Incarnation,
-        news: &News,
+        news: &InstanceReport,
         now: Instant,
-    ) -> Option<Seen> {
-        let far = self.is_large() && news.mate.domain != self.domain;
-        let heard = Heard {
-            mate: news.mate,
+    ) -> Option<PeerChange> {
+        let far = self.is_large_fleet() && news.info.domain != self.domain;
+        let heard = PeerState {
+            info: news.info,
             incarnation: run,
             ready: news.ready,
             leaving: news.leaving,
-            reading: news.reading,
-            version: news.version,
+            store_role: news.store_role,
+            catalog_version: news.catalog_version,
             revision: news.revision,
-            at: now,
-            direct: Some(now),
-            patience: if far { FAR_SILENT } else { SILENT },
+            last_seen: now,
+            last_direct: Some(now),
+            timeout: if far { FAR_SILENT } else { SILENT },
         };
-        for address in &news.others {
+        for address in &news.known_peers {
             self.contacts.insert(*address, now);
         }
         self.put(from, heard, now)
     }
 
     /// Takes what a relay of another failure domain tells of one of its instances; tells what it changes.
-    pub fn hear_member(&mut self, member: &Member, now: Instant) -> Option<Seen> {
-        let heard = Heard {
-            mate: member.mate,
-            incarnation: member.run,
+    pub fn apply_member(&mut self, member: &Member, now: Instant) -> Option<PeerChange> {
+        let heard = PeerState {
+            info: member.info,
+            incarnation: member.incarnation,
             ready: member.ready,
             leaving: member.leaving,
-            reading: member.reading,
-            version: member.version,
+            store_role: member.store_role,
+            catalog_version: member.catalog_version,
             revision: member.revision,
-            at: now,
-            direct: self.heard.get(&member.id).and_then(|h| h.direct),
-            patience: FAR_SILENT,
+            last_seen: now,
+            last_direct: self.heard.get(&member.id).and_then(|h| h.last_direct),
+            timeout: FAR_SILENT,
         };
         self.put(member.id, heard, now)
     }
 
     /// Replaces what was known of `from`; a run that was leaving stays so.
-    fn put(&mut self, from: InstanceId, mut heard: Heard, now: Instant) -> Option<Seen> {
+    fn put(&mut self, from: InstanceId, mut heard: PeerState, now: Instant) -> Option<PeerChange> {
         let known = self.heard.get(&from);
         let before = known.filter(|h| h.incarnation == heard.incarnation);
         heard.leaving |= before.is_some_and(|h| h.leaving);
         let seen = match before {
-            None => Some(Seen::Started),
-            Some(before) if now.duration_since(before.at) >= before.patience => {
-                Some(Seen::Returned)
+            None => Some(PeerChange::Started),
+            Some(before) if now.duration_since(before.last_seen) >= before.timeout => {
+                Some(PeerChange::Returned)
             }
-            Some(before) if heard.leaving && !before.leaving => Some(Seen::Leaving),
+            Some(before) if heard.leaving && !before.leaving => Some(PeerChange::Leaving),
             Some(_) => None,
         };
-        self.contacts.remove(&heard.mate.peer);
+        self.contacts.remove(&heard.info.peer_addr);
         self.heard.insert(from, heard);
         let live = self.live(now).count() + 1;
-        self.most = self.most.max(live);
+        self.max_seen = self.max_seen.max(live);
         seen
     }
 
     /// Tells whether the fleet is so large that failure domains tell each other sums.
-    pub fn is_large(&self) -> bool {
+    pub fn is_large_fleet(&self) -> bool {
         self.heard.len() >= SMALL_FLEET
     }
 
     /// Live instances of the own failure domain besides this one.
-    pub fn domain_mates(&self, now: Instant) -> impl Iterator<Item = (InstanceId, &Heard)> {
-        self.live(now).filter(|(_, h)| h.mate.domain == self.domain)
+    pub fn domain_peers(&self, now: Instant) -> impl Iterator<Item = (InstanceId, &PeerState)> {
+        self.live(now).filter(|(_, h)| h.info.domain == self.domain)
     }
 
     /// Place of instance `me` among the relays of its domain; none when it is no relay.
     pub fn relay_rank(&self, me: InstanceId, now: Instant) -> Option<usize> {
-        if !self.is_large() {
+        if !self.is_large_fleet() {
             return None;
         }
         let mine = mix(self.domain.0 ^ me.0);
-        let others = self.domain_mates(now).filter(|(_, h)| !h.leaving);
+        let others = self.domain_peers(now).filter(|(_, h)| !h.leaving);
         let before = others
             .filter(|(id, _)| mix(self.domain.0 ^ id.0) > mine)
             .count();
@@ -277,7 +277,7 @@
 
     /// Whom the relay of `rank` tells in `round`: one relay of each other failure domain, by turns, so that
     /// one that is cut off hides nothing for longer than two tellings.
-    pub fn relays(&self, rank: usize, round: u64, now: Instant) -> Vec<SocketAddr> {
+    pub fn relay_targets(&self, rank: usize, round: u64, now: Instant) -> Vec<SocketAddr> {
         if !(rank as u64 * RELAY_ROUNDS / 2 + round).is_multiple_of(RELAY_ROUNDS) {
             return Vec::new();
         }
@@ -285,11 +285,11 @@
         let mut domains: BTreeMap<DomainId, SmallVec<[(u64, SocketAddr); 16]>> = BTreeMap::new();
         let far = self
             .live(now)
-            .filter(|(_, h)| h.mate.domain != self.domain && !h.leaving);
+            .filter(|(_, h)| h.info.domain != self.domain && !h.leaving);
         for (id, heard) in far {
-            let domain = heard.mate.domain;
+            let domain = heard.info.domain;
             let ranked = domains.entry(domain).or_default();
-            ranked.push((mix(domain.0 ^ id.0), heard.mate.peer));
+            ranked.push((mix(domain.0 ^ id.0), heard.info.peer_addr));
         }
         let chosen = |mut ranked: SmallVec<[(u64, SocketAddr); 16]>| {
             ranked.sort_unstable_by(|a, b| b.cmp(a));
@@ -299,33 +299,33 @@
     }
 
     /// Tells whether `address` is that of an instance of the own failure domain.
-    pub fn is_domain_mate(&self, address: SocketAddr) -> bool {
+    pub fn is_domain_peer(&self, address: SocketAddr) -> bool {
         let mut all = self.heard.values();
-        all.any(|h| h.mate.domain == self.domain && h.mate.peer == address)
+        all.any(|h| h.info.domain == self.domain && h.info.peer_addr == address)
     }
 
     /// Tells whether an instance that lives and takes requests has a newer catalog than `version`.
-    pub fn has_newer(&self, version: u64, now: Instant) -> bool {
+    pub fn has_newer_catalog(&self, version: u64, now: Instant) -> bool {
         let mut all = self.live(now).map(|(_, h)| h);
-        all.any(|h| h.version > version && h.ready && !h.leaving)
+        all.any(|h| h.catalog_version > version && h.ready && !h.leaving)
     }
 
     /// Tells whether the instance at `address` was heard, itself or by a relay, after `since`.
-    pub fn is_heard_since(&self, address: SocketAddr, since: Instant) -> bool {
+    pub fn is_seen_since(&self, address: SocketAddr, since: Instant) -> bool {
         let mut all = self.heard.values();
-        all.any(|h| h.mate.peer == address && h.at > since)
+        all.any(|h| h.info.peer_addr == address && h.last_seen > since)
     }
 
     /// The greatest number of instances that were heard at once, this one included.
-    pub const fn most(&self) -> usize {
-        self.most
+    pub const fn max_seen(&self) -> usize {
+        self.max_seen
     }
 
     /// Instances heard lately.
-    pub fn live(&self, now: Instant) -> impl Iterator<Item = (InstanceId, &Heard)> {
+    pub fn live(&self, now: Instant) -> impl Iterator<Item = (InstanceId, &PeerState)> {
         self.heard
             .iter()
-            .filter(move |(_, h)| now.duration_since(h.at) < h.patience)
+            .filter(move |(_, h)| now.duration_since(h.last_seen) < h.timeout)
             .map(|(id, h)| (*id, h))
     }
 
@@ -340,30 +340,30 @@
     ///
     /// Those in `mute` did not answer lately: one that was stopped right after it had told of a change
     /// counts as live for a second more, and would be asked again and again.
-    pub fn ahead(
+    pub fn sync_candidates(
         &self,
         version: u64,
         revision: u64,
         mute: &[SocketAddr],
         now: Instant,
-    ) -> SmallVec<[Heard; 2]> {
+    ) -> SmallVec<[PeerState; 2]> {
         let live = || {
             let all = self.live(now).map(|(_, h)| h);
-            all.filter(|h| !mute.contains(&h.mate.peer))
+            all.filter(|h| !mute.contains(&h.info.peer_addr))
         };
-        let near = |h: &Heard| h.mate.domain == self.domain;
-        let catalog = live().filter(|h| h.version > version);
+        let near = |h: &PeerState| h.info.domain == self.domain;
+        let catalog = live().filter(|h| h.catalog_version > version);
         let servers = live().filter(|h| h.revision > revision);
-        let mut ask: SmallVec<[Heard; 2]> = SmallVec::new();
+        let mut ask: SmallVec<[PeerState; 2]> = SmallVec::new();
         ask.extend(
             servers
-                .max_by_key(|h| (near(h), h.revision, h.version))
+                .max_by_key(|h| (near(h), h.revision, h.catalog_version))
                 .copied(),
         );
-        if ask.first().is_none_or(|h| h.version <= version) {
+        if ask.first().is_none_or(|h| h.catalog_version <= version) {
             ask.extend(
                 catalog
-                    .max_by_key(|h| (near(h), h.version, h.revision))
+                    .max_by_key(|h| (near(h), h.catalog_version, h.revision))
                     .copied(),
             );
         }
@@ -375,21 +375,23 @@
     /// In a small fleet every instance does: they are few, and each hears of a change at once. In a
     /// larger one some of each failure domain do, and the others hear from them; an instance that the
     /// store does not answer is not counted, so another one takes its part.
-    pub fn should_read(&self, me: InstanceId, now: Instant) -> bool {
+    pub fn should_follow_store(&self, me: InstanceId, now: Instant) -> bool {
         let others = || self.live(now).filter(|(_, h)| !h.leaving);
-        if others().count() < SMALL_FLEET || others().all(|(_, h)| h.reading != Reading::Answered) {
+        if others().count() < SMALL_FLEET
+            || others().all(|(_, h)| h.store_role != StoreRole::Connected)
+        {
             return true;
         }
         let domain = self.domain;
         let mine = mix(domain.0 ^ me.0);
-        let rivals =
-            others().filter(|(_, h)| h.mate.domain == domain && h.reading != Reading::Lost);
+        let rivals = others()
+            .filter(|(_, h)| h.info.domain == domain && h.store_role != StoreRole::Disconnected);
         rivals.filter(|(id, _)| mix(domain.0 ^ id.0) > mine).count() < READERS
     }
 
     /// Some instances to name to others, another part each `round`.
-    pub fn named(&self, round: u64, now: Instant) -> Vec<SocketAddr> {
-        let all: Vec<SocketAddr> = self.live(now).map(|(_, h)| h.mate.peer).collect();
+    pub fn peer_sample(&self, round: u64, now: Instant) -> Vec<SocketAddr> {
+        let all: Vec<SocketAddr> = self.live(now).map(|(_, h)| h.info.peer_addr).collect();
         let first = (round as usize * NAMED) % all.len().max(1);
         all.iter()
             .cycle()
@@ -400,32 +402,39 @@
     }
 
     /// Whom to tell of work at once: everybody in a small fleet, the own failure domain in a larger one.
-    pub fn near(&self, now: Instant) -> Vec<SocketAddr> {
-        let large = self.is_large();
+    pub fn broadcast_targets(&self, now: Instant) -> Vec<SocketAddr> {
+        let large = self.is_large_fleet();
         let near = self
             .live(now)
-            .filter(|(_, h)| !large || h.mate.domain == self.domain);
-        near.map(|(_, h)| h.mate.peer).collect()
+            .filter(|(_, h)| !large || h.info.domain == self.domain);
+        near.map(|(_, h)| h.info.peer_addr).collect()
     }
 
     /// Where to send news in `round`: everybody heard, everybody named by others, and `seeds`.
     ///
     /// In a large fleet, the other failure domains hear from relays, and only those of their instances
     /// that tell us themselves, as one does that starts, get news now and then.
-    pub fn targets(&mut self, seeds: &[SocketAddr], round: u64, now: Instant) -> Vec<SocketAddr> {
+    pub fn gossip_targets(
+        &mut self,
+        seeds: &[SocketAddr],
+        round: u64,
+        now: Instant,
+    ) -> Vec<SocketAddr> {
         self.heard
-            .retain(|_, h| now.duration_since(h.at) < FORGOTTEN);
+            .retain(|_, h| now.duration_since(h.last_seen) < FORGOTTEN);
         self.contacts
             .retain(|_, at| now.duration_since(*at) < FORGOTTEN);
-        let large = self.is_large();
-        let due = |id: &InstanceId, h: &Heard| {
-            let direct = h.direct.is_some_and(|at| now.duration_since(at) < DIRECT);
+        let large = self.is_large_fleet();
+        let due = |id: &InstanceId, h: &PeerState| {
+            let direct = h
+                .last_direct
+                .is_some_and(|at| now.duration_since(at) < DIRECT);
             !large
-                || h.mate.domain == self.domain
+                || h.info.domain == self.domain
                 || (direct && (id.0 ^ round).is_multiple_of(FAR_ROUNDS))
         };
         let heard = self.heard.iter().filter(|(id, h)| due(id, h));
-        let mut all: Vec<SocketAddr> = heard.map(|(_, h)| h.mate.peer).collect();
+        let mut all: Vec<SocketAddr> = heard.map(|(_, h)| h.info.peer_addr).collect();
         if !large || round.is_multiple_of(FAR_ROUNDS) {
             all.extend(self.contacts.keys());
             all.extend(seeds);
--- a/crates/hawthornmill/src/routing/lag.rs
+++ b/crates/hawthornmill/src/routing/lag.rs
@@ -18,7 +18,7 @@
 
 impl Lag {
     /// Somebody has `number`; this instance has `own`.
-    pub fn hear(&mut self, number: u64, own: u64, now: Instant) {
+    pub fn observe(&mut self, number: u64, own: u64, now: Instant) {
         let known = self.newer.last().map_or(own, |(last, _)| *last);
         if number > known.max(own) && self.newer.len() < MOST {
             self.newer.push((number, now));
@@ -26,17 +26,17 @@
     }
 
     /// This instance has `own` now.
-    pub fn reach(&mut self, own: u64) {
+    pub fn catch_up(&mut self, own: u64) {
         self.newer.retain(|(number, _)| *number > own);
     }
 
     /// Tells whether anything newer is known to exist.
-    pub fn is_some(&self) -> bool {
+    pub fn is_behind(&self) -> bool {
         !self.newer.is_empty()
     }
 
     /// How long it has been known that something newer exists; zero when nothing does.
-    pub fn time(&self, now: Instant) -> Duration {
+    pub fn duration(&self, now: Instant) -> Duration {
         let first = self.newer.first();
         first.map_or(Duration::ZERO, |(_, at)| now.duration_since(*at))
     }
--- a/crates/hawthornmill/src/routing/mod.rs
+++ b/crates/hawthornmill/src/routing/mod.rs
@@ -8,7 +8,7 @@
 //! |---|---|
 //! | [`catalog`], [`table`] | what operators publish, and looking it up |
 //! | [`registry`] | servers as they registered themselves |
-//! | [`leaving`] | servers that leave, told at once |
+//! | [`departures`] | servers that leave, told at once |
 //! | [`shape`] | what a request will cost an engine |
 //! | [`loads`], [`prefix_index`] | what is under way at each server, and what it has read |
 //! | [`ttft`] | how long engines take to a first token |
@@ -19,20 +19,20 @@
 //! | [`budget`] | second sends over the fleet |
 //! | [`shortage`] | what found no room lately |
 //! | [`scheduler`] | letting in, waiting, turning away |
-//! | [`news`] | what instances tell each other |
+//! | [`gossip`] | what instances tell each other |
 //! | [`lag`] | how long it is known that others decide by something newer |
-//! | [`parts`] | what an instance knows, in parts that fit datagrams |
-//! | [`digest`] | what failure domains tell each other in a large fleet |
+//! | [`fragments`] | what an instance knows, in parts that fit datagrams |
+//! | [`domain_summary`] | what failure domains tell each other in a large fleet |
 
 pub mod allowance;
 pub mod budget;
 pub mod catalog;
-pub mod digest;
+pub mod departures;
+pub mod domain_summary;
+pub mod fragments;
+pub mod gossip;
 pub mod lag;
-pub mod leaving;
 pub mod loads;
-pub mod news;
-pub mod parts;
 pub mod placement;
 pub mod prefix_index;
 pub mod registry;
--- a/crates/hawthornmill/src/routing/registry.rs
+++ b/crates/hawthornmill/src/routing/registry.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::leaving::Leaving;
+use super::departures::Departure;
 use crate::ident::{DomainId, ServerId, ServiceId};
 
 /// Time for which an entry that was lost while the store was away still counts.
@@ -53,9 +53,9 @@
 
 impl Change {
     /// The word that the server leaves, if the change says so.
-    pub fn leaving(&self) -> Option<Leaving> {
+    pub fn leaving(&self) -> Option<Departure> {
         let leaves = self.entry.as_ref().is_none_or(|e| e.draining);
-        leaves.then_some(Leaving {
+        leaves.then_some(Departure {
             server: self.server,
             revision: self.revision,
         })
@@ -160,7 +160,7 @@
     /// Another instance knows that a server leaves: it takes no new work; false when that, or newer, is known here.
     ///
     /// The entry stays as it is known otherwise, until its own change comes.
-    pub fn leaves(&mut self, leaving: Leaving) -> bool {
+    pub fn leaves(&mut self, leaving: Departure) -> bool {
         let known = self.known.get_mut(&leaving.server);
         let Some(known) = known.filter(|k| k.revision < leaving.revision) else {
             return false;
--- a/crates/hawthornmill/src/routing/scheduler.rs
+++ b/crates/hawthornmill/src/routing/scheduler.rs
@@ -14,9 +14,9 @@
 
 use super::allowance;
 use super::budget::Budget;
-use super::digest::{self, DomainWork, Member, Members};
+use super::domain_summary::{self, DomainMembers, DomainWork, Member};
+use super::gossip::{InstanceReport, UnmetDemand};
 use super::loads::{LoadTracker, Work};
-use super::news::{Lack, News};
 use super::placement::{
     HomeServers, Location, Placement, PlacementError, PlacementRequest, PlacementView,
     choose_server, is_prefill_bound,
@@ -280,7 +280,7 @@
             share: self.share_of(request),
             sums: self.sums_of(request),
             waiting: self.line.len(),
-            short: lack.places.into(),
+            short: lack.instances.into(),
             lack: lack.cost,
             ..Outlook::default()
         };
@@ -309,7 +309,7 @@
         kept: &[ServerId],
         now: Instant,
     ) -> Result<Placement, PlacementError> {
-        let calm = self.better(request, now).places == 0;
+        let calm = self.better(request, now).instances == 0;
         let share = self.share_of(request);
         let view = PlacementView {
             registry: &self.registry,
@@ -406,7 +406,7 @@
     }
 
     /// What found no room lately, here or elsewhere, of accounts that are not beyond their share.
-    fn better(&self, request: &Request, now: Instant) -> Lack {
+    fn better(&self, request: &Request, now: Instant) -> UnmetDemand {
         self.shortages.before(request.service, Standing::Above, now)
     }
 
@@ -421,7 +421,7 @@
     }
 
     /// Work that found no room lately, for the others.
-    pub fn told_short(&self, now: Instant) -> Vec<(ServiceId, Standing, Lack)> {
+    pub fn told_short(&self, now: Instant) -> Vec<(ServiceId, Standing, UnmetDemand)> {
         self.shortages.told(now)
     }
 
@@ -433,14 +433,14 @@
     }
 
     /// Takes what another instance tells.
-    pub fn apply_report(&mut self, from: InstanceId, news: &News, now: Instant) {
+    pub fn apply_report(&mut self, from: InstanceId, news: &InstanceReport, now: Instant) {
         self.loads.apply_peer_report(from, news.work.clone(), now);
         self.usage.hear(from, news.usage.clone(), now);
-        for (family, server) in &news.strays {
+        for (family, server) in &news.spilled {
             self.prefix_index.record_remote(*server, *family, now);
         }
-        self.shortages.hear(from, &news.short, now);
-        for (family, server) in &news.strays {
+        self.shortages.hear(from, &news.unmet, now);
+        for (family, server) in &news.spilled {
             push_stray(&mut self.heard_strays, *family, *server, now);
         }
     }
@@ -451,37 +451,37 @@
         domain: DomainId,
         members: Vec<Member>,
         now: Instant,
-    ) -> Members {
+    ) -> DomainMembers {
         let ids: Vec<InstanceId> = members.iter().map(|m| m.id).collect();
         let short = self.shortages.sum(&ids, now);
         let fresh = |at: &Instant| now.duration_since(*at) < TOLD;
         self.heard_strays.retain(|(_, _, at)| fresh(at));
         let all = self.strays.iter().chain(&self.heard_strays).rev();
         let strays = all.filter(|(_, _, at)| fresh(at));
-        Members {
+        DomainMembers {
             domain,
             members,
-            short,
-            strays: strays
-                .take(digest::MOST_STRAYS)
+            unmet: short,
+            spilled: strays
+                .take(domain_summary::MAX_SPILLED)
                 .map(|(f, s, _)| (*f, *s))
                 .collect(),
         }
     }
 
     /// Takes what another failure domain tells of itself.
-    pub fn apply_domain_members(&mut self, members: &Members, now: Instant) {
-        let teller = digest::teller(members.domain, 0);
-        self.shortages.hear(teller, &members.short, now);
-        for (family, server) in &members.strays {
+    pub fn apply_domain_members(&mut self, members: &DomainMembers, now: Instant) {
+        let teller = domain_summary::source_id(members.domain, 0);
+        self.shortages.hear(teller, &members.unmet, now);
+        for (family, server) in &members.spilled {
             self.prefix_index.record_remote(*server, *family, now);
         }
     }
 
     /// Takes what another failure domain has under way.
     pub fn apply_domain_work(&mut self, told: DomainWork, now: Instant) {
-        let teller = told.teller();
-        if told.part == 0 {
+        let teller = told.source_id();
+        if told.number == 0 {
             self.usage.hear(teller, told.usage, now);
         }
         self.loads.apply_peer_report(teller, told.work, now);
@@ -548,7 +548,7 @@
     server: ServerId,
     now: Instant,
 ) {
-    if strays.len() >= digest::MOST_STRAYS {
+    if strays.len() >= domain_summary::MAX_SPILLED {
         strays.pop_front();
     }
     strays.push_back((family, server, now));
--- a/crates/hawthornmill/src/routing/shortage.rs
+++ b/crates/hawthornmill/src/routing/shortage.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use super::news::Lack;
+use super::gossip::UnmetDemand;
 use super::usage::{FADE, Standing};
 use crate::ident::{InstanceId, ServiceId};
 
@@ -22,11 +22,11 @@
 }
 
 impl Own {
-    fn lack(&self, now: Instant) -> Lack {
+    fn lack(&self, now: Instant) -> UnmetDemand {
         let age = now.saturating_duration_since(self.at);
         let left = (-age.as_secs_f64() / FADE.as_secs_f64()).exp();
-        Lack {
-            places: 1,
+        UnmetDemand {
+            instances: 1,
             cost: (self.cost * left) as u32,
         }
     }
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Shortages {
     own: BTreeMap<(ServiceId, Standing), Own>,
-    heard: BTreeMap<(ServiceId, Standing, InstanceId), (Instant, Lack)>,
+    heard: BTreeMap<(ServiceId, Standing, InstanceId), (Instant, UnmetDemand)>,
 }
 
 impl Shortages {
@@ -49,18 +49,18 @@
     }
 
     /// What of a better standing than `standing` found no room lately, here and elsewhere.
-    pub fn before(&self, service: ServiceId, standing: Standing, now: Instant) -> Lack {
+    pub fn before(&self, service: ServiceId, standing: Standing, now: Instant) -> UnmetDemand {
         let counts = |s: ServiceId, better: Standing, at: Instant| {
             s == service && better < standing && now.duration_since(at) < SHORT
         };
-        let mut all = Lack::default();
+        let mut all = UnmetDemand::default();
         for ((s, better), own) in &self.own {
             if counts(*s, *better, own.at) {
                 all.add(own.lack(now));
             }
         }
         // Several standings that found no room here are one place all the same.
-        all.places = all.places.min(1);
+        all.instances = all.instances.min(1);
         for ((s, better, _), (at, lack)) in &self.heard {
             if counts(*s, *better, *at) {
                 all.add(*lack);
@@ -70,7 +70,7 @@
     }
 
     /// What found no room here, for the others.
-    pub fn told(&self, now: Instant) -> Vec<(ServiceId, Standing, Lack)> {
+    pub fn told(&self, now: Instant) -> Vec<(ServiceId, Standing, UnmetDemand)> {
         let recent = |o: &Own| now.duration_since(o.at) < TOLD;
         let own = self.own.iter();
         let told = own.filter(|((_, s), o)| *s < Standing::Above && recent(o));
@@ -79,8 +79,12 @@
     }
 
     /// What found no room here and at the `members` of the own failure domain, in sum.
-    pub fn sum(&self, members: &[InstanceId], now: Instant) -> Vec<(ServiceId, Standing, Lack)> {
-        let mut all: BTreeMap<(ServiceId, Standing), Lack> = BTreeMap::new();
+    pub fn sum(
+        &self,
+        members: &[InstanceId],
+        now: Instant,
+    ) -> Vec<(ServiceId, Standing, UnmetDemand)> {
+        let mut all: BTreeMap<(ServiceId, Standing), UnmetDemand> = BTreeMap::new();
         for (service, standing, lack) in self.told(now) {
             all.entry((service, standing)).or_default().add(lack);
         }
@@ -93,7 +97,12 @@
     }
 
     /// Takes what `from` tells, an instance or a failure domain.
-    pub fn hear(&mut self, from: InstanceId, told: &[(ServiceId, Standing, Lack)], now: Instant) {
+    pub fn hear(
+        &mut self,
+        from: InstanceId,
+        told: &[(ServiceId, Standing, UnmetDemand)],
+        now: Instant,
+    ) {
         for (service, standing, lack) in told {
             self.heard.insert((*service, *standing, from), (now, *lack));
         }
@@ -103,6 +112,6 @@
 /// Tells whether `lack` shuts others out, where engines yield `rate` tokens a second.
 ///
 /// Single requests find no room at any time, in a large fleet at several instances at once; so much work must lack it.
-pub fn shuts_out(lack: Lack, rate: f64) -> bool {
+pub fn shuts_out(lack: UnmetDemand, rate: f64) -> bool {
     lack.cost > 0 && f64::from(lack.cost) >= LACK_PART * rate * FADE.as_secs_f64()
 }
--- a/crates/hawthornmill/src/wire/message.rs
+++ b/crates/hawthornmill/src/wire/message.rs
@@ -6,11 +6,11 @@
 use crate::config::Manifest;
 use crate::fairness::CostKey;
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId};
-use crate::routing::digest::{DomainWork, Members};
-use crate::routing::leaving::Leaving;
+use crate::routing::departures::Departure;
+use crate::routing::domain_summary::{DomainMembers, DomainWork};
+use crate::routing::fragments::{Fragment, FragmentRequest};
+use crate::routing::gossip::{InstanceReport, SyncRequest, SyncResponse};
 use crate::routing::loads::Work;
-use crate::routing::news::{Knowledge, News, Pull};
-use crate::routing::parts::{Part, Wanted};
 
 /// Names one grant: the owner that made it and its number there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -313,21 +313,21 @@
     /// Old owner to new owner.
     Handover(Handover),
     /// What an instance of the gateway tells the others, over UDP.
-    News(Box<News>),
+    News(Box<InstanceReport>),
     /// Work that an instance of the gateway has under way, between two pieces of news, over UDP.
     Work(Vec<(ServerId, Work)>),
     /// Who is in a failure domain of a large fleet, over UDP.
-    Members(Box<Members>),
+    Members(Box<DomainMembers>),
     /// What such a domain has under way, over UDP.
     DomainWork(Box<DomainWork>),
     /// Asks an instance of the gateway for newer knowledge.
-    Pull(Pull),
+    Pull(SyncRequest),
     /// Answers with it.
-    Knowledge(Box<Knowledge>),
+    Knowledge(Box<SyncResponse>),
     /// Servers that leave, as an instance of the gateway knows for sure, over UDP.
-    Leaving(Vec<Leaving>),
+    Leaving(Vec<Departure>),
     /// Asks an instance of the gateway for newer knowledge in parts, over UDP.
-    Wanted(Wanted),
+    Wanted(FragmentRequest),
     /// Answers with one part of it.
-    Part(Part),
+    Part(Fragment),
 }
--- a/tests/testsuite/gateway/catching_up.rs
+++ b/tests/testsuite/gateway/catching_up.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use hawthornmill::ident::{DomainId, Incarnation, InstanceId, ServerId};
-use hawthornmill::routing::leaving::Leaving;
-use hawthornmill::routing::news::{Knowledge, Mate, News};
-use hawthornmill::routing::parts::split;
+use hawthornmill::routing::departures::Departure;
+use hawthornmill::routing::fragments::split_fragments;
+use hawthornmill::routing::gossip::{InstanceReport, PeerInfo, SyncResponse};
 use hawthornmill::wire::{Message, Opener, Sealer};
 use hawthornmill_test_support::news::news_of;
 
@@ -62,13 +62,13 @@
     /// Says that callers reach it at `port` and that it has the catalog of `version`.
     async fn tell(&self, port: u16, version: u64) {
         let own = self.socket.local_addr().expect("the socket has an address");
-        let mate = Mate {
-            front: std::net::SocketAddr::new(own.ip(), port),
-            peer: own,
+        let mate = PeerInfo {
+            client_addr: std::net::SocketAddr::new(own.ip(), port),
+            peer_addr: own,
             domain: DomainId::of("a"),
         };
-        let news = News {
-            version,
+        let news = InstanceReport {
+            catalog_version: version,
             revision: 0,
             ..news_of(mate)
         };
@@ -78,7 +78,7 @@
     }
 
     /// Answers each question for its knowledge with `knowledge`, but loses the first part each time.
-    async fn answer(&self, knowledge: &Knowledge) {
+    async fn answer(&self, knowledge: &SyncResponse) {
         let whole = postcard::to_allocvec(knowledge).expect("it can be encoded");
         let mut opener = Opener::new(key(), 0);
         let mut buffer = vec![0; 2_048];
@@ -86,7 +86,7 @@
             let (length, _) = self.socket.recv_from(&mut buffer).await.expect("it comes");
             let frame = opener.open(&buffer[..length]);
             if let Ok(Message::Wanted(wanted)) = frame.map(|f| f.message) {
-                let parts = split(&whole, &wanted);
+                let parts = split_fragments(&whole, &wanted);
                 let lost = usize::from(parts.len() > 1);
                 for part in parts.into_iter().skip(lost) {
                     self.send(&Message::Part(part)).await;
@@ -284,7 +284,7 @@
         let fleet = Fleet::start(1, 2).await;
         let front = fleet.gateways[0].front();
         let peer = Peer::bind(&fleet, 1).await;
-        let leaving = Leaving {
+        let leaving = Departure {
             server: ServerId::of("i-0"),
             revision: 1_000,
         };
@@ -311,10 +311,10 @@
         let front = fleet.gateways[0].front();
         let ahead = Peer::bind(&fleet, 1).await;
         let catalog = hawthornmill_platform::catalog::read(with_many_routes(2).as_bytes());
-        let knowledge = Knowledge {
+        let knowledge = SyncResponse {
             catalog: Some(catalog.expect("the catalog is sound")),
-            servers: None,
-            doubted: Vec::new(),
+            registrations: None,
+            unconfirmed: Vec::new(),
             revision: 0,
         };
         ahead.tell(1_001, 2).await;
--- a/tests/testsuite/routing/leaving.rs
+++ b/tests/testsuite/routing/departures.rs
@@ -3,13 +3,13 @@
 use std::time::Instant;
 
 use hawthornmill::ident::ServerId;
-use hawthornmill::routing::leaving::{Leavers, Leaving, Source};
+use hawthornmill::routing::departures::{Departure, RecentDepartures, Source};
 use hawthornmill::routing::request::Verdict;
 
 use super::{change, entry, millis, request, scheduler, sent, shape};
 
-fn leaving(server: &str, revision: u64) -> Leaving {
-    Leaving {
+fn leaving(server: &str, revision: u64) -> Departure {
+    Departure {
         server: ServerId::of(server),
         revision,
     }
@@ -51,12 +51,15 @@
 #[test]
 fn what_a_peer_told_is_told_to_other_domains_only() {
     let now = Instant::now();
-    let mut leavers = Leavers::default();
+    let mut leavers = RecentDepartures::default();
 
-    leavers.hear(leaving("a1", 50), Source::Store, now);
-    leavers.hear(leaving("a2", 51), Source::Peer, now);
+    leavers.record(leaving("a1", 50), Source::Store, now);
+    leavers.record(leaving("a2", 51), Source::Peer, now);
 
-    assert_eq!(leavers.near(now), [leaving("a1", 50)]);
-    assert_eq!(leavers.far(now), [leaving("a2", 51), leaving("a1", 50)]);
-    assert!(leavers.far(now + millis(1_000)).is_empty());
+    assert_eq!(leavers.for_domain(now), [leaving("a1", 50)]);
+    assert_eq!(
+        leavers.for_other_domains(now),
+        [leaving("a2", 51), leaving("a1", 50)]
+    );
+    assert!(leavers.for_other_domains(now + millis(1_000)).is_empty());
 }
--- a/tests/testsuite/routing/digest.rs
+++ b/tests/testsuite/routing/domain_summary.rs
@@ -4,9 +4,9 @@
 use std::time::Instant;
 
 use hawthornmill::ident::{AccountId, DomainId, Incarnation, InstanceId, ServerId};
-use hawthornmill::routing::digest::{DomainWork, Member};
+use hawthornmill::routing::domain_summary::{DomainWork, Member};
+use hawthornmill::routing::gossip::{InstanceReport, PeerInfo, PeerTable, StoreRole};
 use hawthornmill::routing::loads::{LoadTracker, Work};
-use hawthornmill::routing::news::{Mate, Mates, News, Reading};
 use hawthornmill::routing::usage::Sums;
 use hawthornmill::wire::frame::DATAGRAM_LIMIT;
 use hawthornmill::wire::{Message, Sealer};
@@ -34,39 +34,39 @@
     DomainId::of(["a", "b", "c"][usize::from(number / 6)])
 }
 
-fn mate(number: u16) -> Mate {
-    Mate {
-        front: address(2 * number + 1_000),
-        peer: address(2 * number + 1_001),
+fn mate(number: u16) -> PeerInfo {
+    PeerInfo {
+        client_addr: address(2 * number + 1_000),
+        peer_addr: address(2 * number + 1_001),
         domain: domain(number),
     }
 }
 
-fn news(number: u16) -> News {
+fn news(number: u16) -> InstanceReport {
     news_of(mate(number))
 }
 
 fn member(number: u16) -> Member {
     Member {
         id: name(number),
-        run: Incarnation(1),
-        mate: mate(number),
+        incarnation: Incarnation(1),
+        info: mate(number),
         ready: true,
         leaving: false,
-        reading: Reading::Answered,
-        version: 1,
+        store_role: StoreRole::Connected,
+        catalog_version: 1,
         revision: 1,
     }
 }
 
 /// What instance `me` of a fleet of 18 knows, the own domain by news and the others by their relays.
-fn mates(me: u16, now: Instant) -> Mates {
-    let mut mates = Mates::new(domain(me));
+fn mates(me: u16, now: Instant) -> PeerTable {
+    let mut mates = PeerTable::new(domain(me));
     for number in (0..18).filter(|n| *n != me) {
         if domain(number) == domain(me) {
-            mates.hear(name(number), Incarnation(1), &news(number), now);
+            mates.apply_report(name(number), Incarnation(1), &news(number), now);
         } else {
-            mates.hear_member(&member(number), now);
+            mates.apply_member(&member(number), now);
         }
     }
     mates
@@ -82,7 +82,7 @@
         let mut mates = mates(me, now);
         let later = now + millis(1_500);
         for number in (0..6).filter(|n| !relays.contains(n) && *n != me) {
-            mates.hear(name(number), Incarnation(1), &news(number), later);
+            mates.apply_report(name(number), Incarnation(1), &news(number), later);
         }
         mates.relay_rank(name(me), later).is_some()
     };
@@ -101,10 +101,10 @@
     let mates = mates(0, now);
 
     let (first, pause, second, third) = (
-        mates.relays(0, 0, now),
-        mates.relays(0, 1, now),
-        mates.relays(0, 2, now),
-        mates.relays(0, 4, now),
+        mates.relay_targets(0, 0, now),
+        mates.relay_targets(0, 1, now),
+        mates.relay_targets(0, 2, now),
+        mates.relay_targets(0, 4, now),
     );
 
     assert_eq!(first.len(), 2, "one of each other domain");
@@ -119,10 +119,10 @@
     let now = Instant::now();
     let mut mates = mates(0, now);
 
-    let targets = mates.targets(&[], 1, now);
+    let targets = mates.gossip_targets(&[], 1, now);
 
     assert_eq!(targets.len(), 5);
-    assert!(targets.iter().all(|a| mates.is_domain_mate(*a)));
+    assert!(targets.iter().all(|a| mates.is_domain_peer(*a)));
 }
 
 /// An instance starts in a large fleet and knows only a seed, in another domain. The seed must tell it
@@ -132,11 +132,17 @@
     let now = Instant::now();
     let mut mates = mates(0, now);
 
-    mates.hear(name(7), Incarnation(2), &news(7), now);
-    let told = (0..4).any(|round| mates.targets(&[], round, now).contains(&mate(7).peer));
+    mates.apply_report(name(7), Incarnation(2), &news(7), now);
+    let told = (0..4).any(|round| {
+        mates
+            .gossip_targets(&[], round, now)
+            .contains(&mate(7).peer_addr)
+    });
     let later = (0..4).any(|round| {
         let at = now + millis(2_100);
-        mates.targets(&[], round, at).contains(&mate(7).peer)
+        mates
+            .gossip_targets(&[], round, at)
+            .contains(&mate(7).peer_addr)
     });
 
     assert!(told);
@@ -150,17 +156,17 @@
     let now = Instant::now();
     let mut mates = mates(0, now);
     let mut far = member(8);
-    (far.version, far.revision) = (9, 9);
-    mates.hear_member(&far, now);
+    (far.catalog_version, far.revision) = (9, 9);
+    mates.apply_member(&far, now);
 
-    let first = mates.ahead(1, 1, &[], now);
+    let first = mates.sync_candidates(1, 1, &[], now);
     let mut near = news(3);
-    (near.version, near.revision) = (5, 5);
-    mates.hear(name(3), Incarnation(1), &near, now);
-    let second = mates.ahead(1, 1, &[], now);
-    let third = mates.ahead(5, 5, &[], now);
+    (near.catalog_version, near.revision) = (5, 5);
+    mates.apply_report(name(3), Incarnation(1), &near, now);
+    let second = mates.sync_candidates(1, 1, &[], now);
+    let third = mates.sync_candidates(5, 5, &[], now);
 
-    let asked = [first, second, third].map(|a| a.iter().map(|h| h.mate).collect::<Vec<_>>());
+    let asked = [first, second, third].map(|a| a.iter().map(|h| h.info).collect::<Vec<_>>());
     assert_eq!(asked, [vec![mate(8)], vec![mate(3)], vec![mate(8)]]);
 }
 
@@ -172,15 +178,15 @@
     let mut mates = mates(0, now);
     for (number, version) in [(2, 9), (3, 5)] {
         let mut news = news(number);
-        news.version = version;
-        mates.hear(name(number), Incarnation(1), &news, now);
+        news.catalog_version = version;
+        mates.apply_report(name(number), Incarnation(1), &news, now);
     }
 
-    let first = mates.ahead(1, 1, &[], now);
-    let then = mates.ahead(1, 1, &[mate(2).peer], now);
+    let first = mates.sync_candidates(1, 1, &[], now);
+    let then = mates.sync_candidates(1, 1, &[mate(2).peer_addr], now);
 
-    assert_eq!(first[0].mate, mate(2));
-    assert_eq!(then[0].mate, mate(3));
+    assert_eq!(first[0].info, mate(2));
+    assert_eq!(then[0].info, mate(3));
 }
 
 /// A domain's sums replace what it told before, whichever of its relays tells them, and count once.
--- a/tests/testsuite/routing/mates.rs
+++ b/tests/testsuite/routing/gossip.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use hawthornmill::ident::{DomainId, Incarnation, InstanceId};
-use hawthornmill::routing::news::{Mate, Mates, News, Reading};
+use hawthornmill::routing::gossip::{InstanceReport, PeerInfo, PeerTable, StoreRole};
 use hawthornmill_test_support::news::news_of;
 
 use super::millis;
@@ -13,16 +13,16 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn news(port: u16, version: u64, others: Vec<SocketAddr>) -> News {
-    let mate = Mate {
-        front: address(port),
-        peer: address(port + 1),
+fn news(port: u16, version: u64, others: Vec<SocketAddr>) -> InstanceReport {
+    let mate = PeerInfo {
+        client_addr: address(port),
+        peer_addr: address(port + 1),
         domain: DomainId::of("a"),
     };
-    News {
-        version,
+    InstanceReport {
+        catalog_version: version,
         revision: 0,
-        others,
+        known_peers: others,
         ..news_of(mate)
     }
 }
@@ -31,15 +31,15 @@
 #[test]
 fn instances_that_others_name_are_told_news_too() {
     let now = Instant::now();
-    let mut mates = Mates::new(DomainId::of("a"));
+    let mut mates = PeerTable::new(DomainId::of("a"));
 
-    mates.hear(
+    mates.apply_report(
         InstanceId::of("r2"),
         Incarnation(1),
         &news(20, 1, vec![address(31)]),
         now,
     );
-    let targets = mates.targets(&[address(99)], 1, now);
+    let targets = mates.gossip_targets(&[address(99)], 1, now);
 
     assert_eq!(targets, [address(21), address(31), address(99)]);
 }
@@ -49,20 +49,20 @@
 #[test]
 fn work_is_told_to_all_in_a_small_fleet_and_to_the_own_domain_in_a_large_one() {
     let now = Instant::now();
-    let mut mates = Mates::new(DomainId::of("a"));
-    let hear = |mates: &mut Mates, number: u16| {
+    let mut mates = PeerTable::new(DomainId::of("a"));
+    let hear = |mates: &mut PeerTable, number: u16| {
         let mut news = news(1_000 + 2 * number, 1, Vec::new());
         if number % 2 == 1 {
-            news.mate.domain = DomainId::of("b");
+            news.info.domain = DomainId::of("b");
         }
         let name = format!("r{number}");
-        mates.hear(InstanceId::of(&name), Incarnation(1), &news, now);
+        mates.apply_report(InstanceId::of(&name), Incarnation(1), &news, now);
     };
 
     (0..6).for_each(|n| hear(&mut mates, n));
-    let small = mates.near(now).len();
+    let small = mates.broadcast_targets(now).len();
     (6..20).for_each(|n| hear(&mut mates, n));
-    let large = mates.near(now).len();
+    let large = mates.broadcast_targets(now).len();
 
     assert_eq!((small, large), (6, 10));
 }
@@ -71,19 +71,19 @@
 #[test]
 fn leaving_is_not_taken_back_within_a_run() {
     let now = Instant::now();
-    let mut mates = Mates::new(DomainId::of("a"));
+    let mut mates = PeerTable::new(DomainId::of("a"));
     let mut leaving = news(20, 1, Vec::new());
     leaving.leaving = true;
 
-    mates.hear(InstanceId::of("r2"), Incarnation(1), &leaving, now);
-    mates.hear(
+    mates.apply_report(InstanceId::of("r2"), Incarnation(1), &leaving, now);
+    mates.apply_report(
         InstanceId::of("r2"),
         Incarnation(1),
         &news(20, 1, Vec::new()),
         now,
     );
     let same = mates.live(now).next().expect("the mate is heard").1.leaving;
-    mates.hear(
+    mates.apply_report(
         InstanceId::of("r2"),
         Incarnation(2),
         &news(20, 1, Vec::new()),
@@ -97,21 +97,21 @@
 #[test]
 fn a_silent_instance_is_not_named_and_the_newest_is_asked() {
     let now = Instant::now();
-    let mut mates = Mates::new(DomainId::of("a"));
-    mates.hear(
+    let mut mates = PeerTable::new(DomainId::of("a"));
+    mates.apply_report(
         InstanceId::of("old"),
         Incarnation(1),
         &news(20, 9, Vec::new()),
         now,
     );
     let later = now + millis(2_000);
-    mates.hear(
+    mates.apply_report(
         InstanceId::of("r2"),
         Incarnation(1),
         &news(30, 3, Vec::new()),
         later,
     );
-    mates.hear(
+    mates.apply_report(
         InstanceId::of("r3"),
         Incarnation(1),
         &news(40, 5, Vec::new()),
@@ -120,11 +120,11 @@
 
     let live: Vec<u16> = mates
         .live(later)
-        .map(|(_, h)| h.mate.front.port())
+        .map(|(_, h)| h.info.client_addr.port())
         .collect();
     let versions = |have| -> Vec<u64> {
-        let ahead = mates.ahead(have, 0, &[], later);
-        ahead.iter().map(|h| h.version).collect()
+        let ahead = mates.sync_candidates(have, 0, &[], later);
+        ahead.iter().map(|h| h.catalog_version).collect()
     };
 
     assert_eq!(live.len(), 2);
@@ -134,13 +134,13 @@
 }
 
 /// A fleet of `count` instances in two failure domains, as instance `r0` of domain `a` hears it.
-fn large(count: u16, now: Instant) -> Mates {
-    let mut mates = Mates::new(DomainId::of("a"));
+fn large(count: u16, now: Instant) -> PeerTable {
+    let mut mates = PeerTable::new(DomainId::of("a"));
     for number in 1..count {
         let mut news = news(1_000 + 2 * number, 1, Vec::new());
-        news.mate.domain = DomainId::of(if number % 2 == 0 { "a" } else { "b" });
+        news.info.domain = DomainId::of(if number % 2 == 0 { "a" } else { "b" });
         let from = InstanceId::of(&format!("r{number}"));
-        mates.hear(from, Incarnation(1), &news, now);
+        mates.apply_report(from, Incarnation(1), &news, now);
     }
     mates
 }
@@ -153,9 +153,9 @@
     let mut mates = large(41, now);
 
     let rounds: Vec<usize> = (0..4)
-        .map(|round| mates.targets(&[], round, now).len())
+        .map(|round| mates.gossip_targets(&[], round, now).len())
         .collect();
-    let small = large(9, now).targets(&[], 1, now).len();
+    let small = large(9, now).gossip_targets(&[], 1, now).len();
 
     assert_eq!(rounds.iter().sum::<usize>(), 4 * 20 + 20, "{rounds:?}");
     assert_eq!(small, 8);
@@ -167,21 +167,23 @@
 fn a_few_of_a_large_fleet_read_and_others_take_the_part_of_those_that_can_not() {
     let now = Instant::now();
     let mut mates = large(41, now);
-    let readers = |mates: &Mates| -> usize {
+    let readers = |mates: &PeerTable| -> usize {
         let names = (0..41)
             .filter(|n| n % 2 == 0)
             .map(|n| InstanceId::of(&format!("r{n}")));
-        names.filter(|id| mates.should_read(*id, now)).count()
+        names
+            .filter(|id| mates.should_follow_store(*id, now))
+            .count()
     };
     let calm = readers(&mates);
 
     let lost: Vec<u16> = (1..41)
-        .filter(|n| n % 2 == 0 && mates.should_read(InstanceId::of(&format!("r{n}")), now))
+        .filter(|n| n % 2 == 0 && mates.should_follow_store(InstanceId::of(&format!("r{n}")), now))
         .collect();
     for number in &lost {
         let mut news = news(1_000 + 2 * number, 1, Vec::new());
-        news.reading = Reading::Lost;
-        mates.hear(
+        news.store_role = StoreRole::Disconnected;
+        mates.apply_report(
             InstanceId::of(&format!("r{number}")),
             Incarnation(1),
             &news,
@@ -190,13 +192,13 @@
     }
     let instead: Vec<u16> = (1..41)
         .filter(|n| n % 2 == 0 && !lost.contains(n))
-        .filter(|n| mates.should_read(InstanceId::of(&format!("r{n}")), now))
+        .filter(|n| mates.should_follow_store(InstanceId::of(&format!("r{n}")), now))
         .collect();
 
     assert!((1..=3).contains(&calm), "{calm}");
     assert!(!instead.is_empty());
     assert!(
-        large(9, now).should_read(InstanceId::of("r2"), now),
+        large(9, now).should_follow_store(InstanceId::of("r2"), now),
         "in a small fleet all read"
     );
 }
@@ -207,25 +209,25 @@
 #[test]
 fn the_newest_catalog_does_not_hide_the_newest_registrations() {
     let now = Instant::now();
-    let mut mates = Mates::new(DomainId::of("a"));
+    let mut mates = PeerTable::new(DomainId::of("a"));
     let mut servers = news(20, 3, Vec::new());
     servers.revision = 9;
     let mut both = news(40, 6, Vec::new());
     both.revision = 9;
-    mates.hear(
+    mates.apply_report(
         InstanceId::of("catalog"),
         Incarnation(1),
         &news(30, 5, Vec::new()),
         now,
     );
-    mates.hear(InstanceId::of("servers"), Incarnation(1), &servers, now);
-    let ask = |mates: &Mates| -> Vec<u16> {
-        let ahead = mates.ahead(3, 8, &[], now);
-        ahead.iter().map(|h| h.mate.front.port()).collect()
+    mates.apply_report(InstanceId::of("servers"), Incarnation(1), &servers, now);
+    let ask = |mates: &PeerTable| -> Vec<u16> {
+        let ahead = mates.sync_candidates(3, 8, &[], now);
+        ahead.iter().map(|h| h.info.client_addr.port()).collect()
     };
 
     let apart = ask(&mates);
-    mates.hear(InstanceId::of("both"), Incarnation(1), &both, now);
+    mates.apply_report(InstanceId::of("both"), Incarnation(1), &both, now);
     let together = ask(&mates);
 
     assert_eq!(apart, [20, 30]);
@@ -235,15 +237,15 @@
 #[test]
 fn an_instance_is_heard_since_a_moment_only_if_it_told_something_after_it() {
     let now = Instant::now();
-    let mut mates = Mates::new(DomainId::of("a"));
+    let mut mates = PeerTable::new(DomainId::of("a"));
     let told = news(20, 1, Vec::new());
     let id = InstanceId::of("r2");
-    mates.hear(id, Incarnation(1), &told, now);
+    mates.apply_report(id, Incarnation(1), &told, now);
 
-    let before = mates.is_heard_since(address(21), now);
-    mates.hear(id, Incarnation(1), &told, now + millis(5));
-    let after = mates.is_heard_since(address(21), now);
-    let other = mates.is_heard_since(address(31), now);
+    let before = mates.is_seen_since(address(21), now);
+    mates.apply_report(id, Incarnation(1), &told, now + millis(5));
+    let after = mates.is_seen_since(address(21), now);
+    let other = mates.is_seen_since(address(31), now);
 
     assert_eq!((before, after, other), (false, true, false));
 }
--- a/tests/testsuite/routing/lag.rs
+++ b/tests/testsuite/routing/lag.rs
@@ -11,10 +11,10 @@
     let now = Instant::now();
     let mut lag = Lag::default();
 
-    lag.hear(20, 16, now);
-    lag.hear(20, 16, now + millis(500));
+    lag.observe(20, 16, now);
+    lag.observe(20, 16, now + millis(500));
 
-    assert_eq!(lag.time(now + millis(2_000)), millis(2_000));
+    assert_eq!(lag.duration(now + millis(2_000)), millis(2_000));
 }
 
 /// Failure: while versions follow each other, one that takes each a little late counts as long behind.
@@ -24,15 +24,15 @@
     let mut lag = Lag::default();
     for step in 1..=100 {
         let heard = now + millis(100) * step;
-        lag.hear(u64::from(step), u64::from(step) - 1, heard);
+        lag.observe(u64::from(step), u64::from(step) - 1, heard);
 
-        assert_eq!(lag.time(heard + millis(90)), millis(90));
+        assert_eq!(lag.duration(heard + millis(90)), millis(90));
 
-        lag.reach(u64::from(step));
+        lag.catch_up(u64::from(step));
     }
 
-    assert!(!lag.is_some());
-    assert_eq!(lag.time(now + millis(20_000)), Duration::ZERO);
+    assert!(!lag.is_behind());
+    assert_eq!(lag.duration(now + millis(20_000)), Duration::ZERO);
 }
 
 /// Failure: an older version comes over, and the time since the newest was heard of starts anew.
@@ -41,10 +41,10 @@
     let now = Instant::now();
     let mut lag = Lag::default();
 
-    lag.hear(20, 16, now);
-    lag.reach(18);
+    lag.observe(20, 16, now);
+    lag.catch_up(18);
 
-    assert_eq!(lag.time(now + millis(700)), millis(700));
+    assert_eq!(lag.duration(now + millis(700)), millis(700));
 }
 
 #[test]
@@ -52,8 +52,8 @@
     let now = Instant::now();
     let mut lag = Lag::default();
 
-    lag.hear(16, 16, now);
-    lag.hear(3, 16, now);
+    lag.observe(16, 16, now);
+    lag.observe(3, 16, now);
 
-    assert!(!lag.is_some());
+    assert!(!lag.is_behind());
 }
--- a/tests/testsuite/routing/many.rs
+++ b/tests/testsuite/routing/many.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use hawthornmill::ident::{DomainId, InstanceId, ServerId};
-use hawthornmill::routing::news::{Mate, News};
+use hawthornmill::routing::gossip::{InstanceReport, PeerInfo};
 use hawthornmill::routing::placement::Placement;
 use hawthornmill::routing::request::{Decided, Request, Ticket, Verdict};
 use hawthornmill::routing::scheduler::Scheduler;
@@ -126,19 +126,19 @@
 
     fn tell(&mut self, now: Instant) {
         let address = "127.0.0.1:1".parse().expect("the address is well-formed");
-        let mate = Mate {
-            front: address,
-            peer: address,
+        let mate = PeerInfo {
+            client_addr: address,
+            peer_addr: address,
             domain: DomainId::of("a"),
         };
-        let news = |scheduler: &mut Scheduler| News {
+        let news = |scheduler: &mut Scheduler| InstanceReport {
             work: scheduler.loads.local(),
             usage: scheduler.usage.own(now),
-            strays: scheduler.spilled_prefixes(now),
-            short: scheduler.told_short(now),
+            spilled: scheduler.spilled_prefixes(now),
+            unmet: scheduler.told_short(now),
             ..news_of(mate)
         };
-        let all: Vec<News> = self.desks.iter_mut().map(news).collect();
+        let all: Vec<InstanceReport> = self.desks.iter_mut().map(news).collect();
         for (from, told) in all.iter().enumerate() {
             let id = InstanceId::of(&format!("i{from}"));
             let others = self.desks.iter_mut().enumerate();
--- a/tests/testsuite/routing/mod.rs
+++ b/tests/testsuite/routing/mod.rs
@@ -1,14 +1,14 @@
 //! Decisions of the gateway in a fixed order, with a clock moved by hand and no socket.
 
 mod budget;
-mod digest;
+mod departures;
+mod domain_summary;
+mod fragments;
+mod gossip;
 mod lag;
-mod leaving;
 mod link;
 mod loads;
 mod many;
-mod mates;
-mod parts;
 mod patience;
 mod placement;
 mod registry;
--- a/tests/testsuite/routing/scheduler.rs
+++ b/tests/testsuite/routing/scheduler.rs
@@ -4,7 +4,7 @@
 
 use hawthornmill::codes::Code;
 use hawthornmill::ident::{AccountId, InstanceId};
-use hawthornmill::routing::news::{Lack, Mate, News};
+use hawthornmill::routing::gossip::{InstanceReport, PeerInfo, UnmetDemand};
 use hawthornmill::routing::request::Verdict;
 use hawthornmill::routing::scheduler::Scheduler;
 use hawthornmill::routing::usage::{Standing, Sums};
@@ -15,10 +15,13 @@
 pub const ONE: &[(&str, &str)] = &[("a1", "a")];
 
 /// A single request that found no room, of next to no cost.
-pub const ODD: Lack = Lack { places: 1, cost: 0 };
+pub const ODD: UnmetDemand = UnmetDemand {
+    instances: 1,
+    cost: 0,
+};
 /// Work that is much for the fleets here.
-pub const MUCH: Lack = Lack {
-    places: 1,
+pub const MUCH: UnmetDemand = UnmetDemand {
+    instances: 1,
     cost: 1_000,
 };
 
@@ -38,16 +41,16 @@
     vec![(AccountId::of("flood"), sums)]
 }
 
-pub fn news(short: Vec<(Standing, Lack)>, usage: Vec<(AccountId, Sums)>) -> News {
+pub fn news(short: Vec<(Standing, UnmetDemand)>, usage: Vec<(AccountId, Sums)>) -> InstanceReport {
     let address = "127.0.0.1:1".parse().expect("the address is well-formed");
-    let mate = Mate {
-        front: address,
-        peer: address,
+    let mate = PeerInfo {
+        client_addr: address,
+        peer_addr: address,
         domain: hawthornmill::ident::DomainId::of("b"),
     };
-    News {
+    InstanceReport {
         usage,
-        short: short.into_iter().map(|(s, l)| (drafter(), s, l)).collect(),
+        unmet: short.into_iter().map(|(s, l)| (drafter(), s, l)).collect(),
         ..news_of(mate)
     }
 }
@@ -217,7 +220,7 @@
 
 /// Requests of `account` that find room at once of eight, where one account is far ahead of two others and one just
 /// has an even part, all ask for more, and `short` found no room elsewhere.
-fn placed_of_eight(account: &str, short: Vec<(Standing, Lack)>) -> usize {
+fn placed_of_eight(account: &str, short: Vec<(Standing, UnmetDemand)>) -> usize {
     let now = Instant::now();
     let got = |name, got| {
         let asked = 1e6;
--- a/tests/testsuite/routing/shortage.rs
+++ b/tests/testsuite/routing/shortage.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use hawthornmill::ident::InstanceId;
-use hawthornmill::routing::news::Lack;
+use hawthornmill::routing::gossip::UnmetDemand;
 use hawthornmill::routing::request::Verdict;
 use hawthornmill::routing::usage::Standing;
 
@@ -62,7 +62,7 @@
     let asks = |cost: u32| {
         let mut scheduler = scheduler(ONE, now);
         scheduler.token_rate = 10_000.0;
-        let lack = Lack { places: 1, cost };
+        let lack = UnmetDemand { instances: 1, cost };
         let told = news(vec![(Standing::Owed, lack)], flooding());
         scheduler.apply_report(InstanceId::of("other"), &told, now);
         scheduler.submit(&request("flood", shape(1, 10, 10), now), now)
