--- a/crates/hawthornmill-gateway/src/catching_up.rs
+++ b/crates/hawthornmill-gateway/src/catching_up.rs
@@ -10,7 +10,7 @@
 use hawthornmill::limits::patience::{self, Patience};
 use hawthornmill::routing::fragments::{self, FragmentRequest, Outcome, Reassembly};
 use hawthornmill::routing::gossip::{PeerState, SyncRequest, SyncResponse};
-use hawthornmill::routing::registry::List;
+use hawthornmill::routing::registry::RegistrationList;
 use hawthornmill::wire::{Message, Opener, Sealer};
 use hawthornmill_process::frames;
 use serde_json::json;
@@ -119,7 +119,7 @@
         mute.retain(|(_, at)| now.duration_since(*at) < MUTE);
         let pull = SyncRequest {
             catalog_version: gateway.version(),
-            revision: gateway.scheduler.borrow().registry.latest(),
+            revision: gateway.scheduler.borrow().registry.latest_revision(),
         };
         let ahead = ahead(&gateway, pull, &mute);
         if ahead.is_empty() {
@@ -210,15 +210,15 @@
         gateway.accept(catalog, &from);
     }
     if let Some(entries) = knowledge.registrations {
-        let list = List {
+        let list = RegistrationList {
             entries,
-            doubted: knowledge.unconfirmed,
+            unconfirmed: knowledge.unconfirmed,
             revision: knowledge.revision,
-            away: false,
+            after_outage: false,
         };
         gateway.list(list, &from);
         let registry = &mut gateway.scheduler.borrow_mut().registry;
-        registry.caught_up(knowledge.revision);
+        registry.advance_latest(knowledge.revision);
     }
 }
 
@@ -296,11 +296,11 @@
     let table = gateway.table();
     let newer = table.filter(|t| t.version() > pull.catalog_version);
     let scheduler = gateway.scheduler.borrow();
-    let latest = scheduler.registry.latest();
+    let latest = scheduler.registry.latest_revision();
     SyncResponse {
         catalog: newer.map(|t| t.catalog().clone()),
         registrations: (latest > pull.revision).then(|| scheduler.registry.snapshot()),
-        unconfirmed: scheduler.registry.doubted(gateway.now()),
+        unconfirmed: scheduler.registry.unconfirmed(gateway.now()),
         revision: latest,
     }
 }
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -19,10 +19,10 @@
 use hawthornmill::routing::gossip::{PeerTable, StoreRole};
 use hawthornmill::routing::lag::Lag;
 use hawthornmill::routing::placement::{Location, Placement};
-use hawthornmill::routing::registry::{Change, List};
+use hawthornmill::routing::registry::{Change, RegistrationList};
 use hawthornmill::routing::request::{Cause, Refusal, Request, Ticket, Verdict};
+use hawthornmill::routing::route_table::RouteTable;
 use hawthornmill::routing::scheduler::Scheduler;
-use hawthornmill::routing::table::Table;
 use serde_json::json;
 use slotmap::SecondaryMap;
 use tokio::sync::{Notify, oneshot, watch};
@@ -74,7 +74,7 @@
     /// Decisions.
     pub scheduler: RefCell<Scheduler>,
     /// Catalog in force.
-    pub table: RefCell<Option<Rc<Table>>>,
+    pub table: RefCell<Option<Rc<RouteTable>>>,
     /// Catalogs that others have and this instance has not.
     pub lag: RefCell<Lag>,
     /// Servers that leave, as heard lately.
@@ -178,7 +178,7 @@
     }
 
     /// Catalog in force.
-    pub fn table(&self) -> Option<Rc<Table>> {
+    pub fn table(&self) -> Option<Rc<RouteTable>> {
         self.table.borrow().clone()
     }
 
@@ -225,7 +225,7 @@
         if version <= before {
             return;
         }
-        match Table::new(catalog) {
+        match RouteTable::new(catalog) {
             Ok(table) => {
                 let fields = json!({"version": version, "before": before, "from": from});
                 journal::belief("catalog_in_force", fields);
@@ -250,7 +250,7 @@
 
     /// Takes one change of the registrations.
     pub fn register(&self, change: Change, from: &str) {
-        let (told, leaving) = (describe(&change, from), change.leaving());
+        let (told, leaving) = (describe(&change, from), change.departure());
         if self.scheduler.borrow_mut().apply_change(change, self.now()) {
             journal::belief("registration", told);
             self.nudge.notify_one();
@@ -263,7 +263,7 @@
     /// Takes the word of another instance that servers leave.
     pub fn hear_leaving(&self, all: &[Departure]) {
         for leaving in all {
-            if self.scheduler.borrow_mut().registry.leaves(*leaving) {
+            if self.scheduler.borrow_mut().registry.mark_draining(*leaving) {
                 let server = self.server_name(leaving.server);
                 let fields = json!({"server": server, "revision": leaving.revision});
                 journal::belief("registration_leaving", fields);
@@ -283,17 +283,17 @@
     pub fn doubt(&self, server: ServerId, revision: u64) {
         let registry = &mut self.scheduler.borrow_mut().registry;
         if let Some(known) = registry.get(server) {
-            let fields = json!({"server": known.entry.name, "revision": revision});
+            let fields = json!({"server": known.registration.name, "revision": revision});
             journal::belief("registration_doubted", fields);
         }
-        registry.doubt_anew(server, revision, self.now());
+        registry.mark_unconfirmed(server, revision, self.now());
     }
 
     /// Takes a whole list of registrations.
-    pub fn list(&self, list: List, from: &str) {
+    pub fn list(&self, list: RegistrationList, from: &str) {
         let fields = json!({
-            "servers": list.entries.len(), "doubted": list.doubted.len(), "revision": list.revision,
-            "store_was_away": list.away, "from": from,
+            "servers": list.entries.len(), "doubted": list.unconfirmed.len(), "revision": list.revision,
+            "store_was_away": list.after_outage, "from": from,
         });
         journal::belief("registrations_listed", fields);
         self.scheduler
@@ -372,12 +372,12 @@
             .borrow()
             .registry
             .get(server)
-            .map(|k| k.entry.service)
+            .map(|k| k.registration.service)
         else {
             return 0;
         };
         let table = self.table();
-        let bound = table.and_then(|t| Some(t.service(service)?.connections as usize));
+        let bound = table.and_then(|t| Some(t.service(service)?.max_connections as usize));
         match bound {
             Some(bound) if bound > 0 => (bound / 2 / self.mates.borrow().max_seen().max(1)).max(1),
             _ => usize::MAX,
@@ -388,12 +388,12 @@
     pub fn server_name(&self, server: ServerId) -> Box<str> {
         let scheduler = self.scheduler.borrow();
         let known = scheduler.registry.get(server);
-        known.map_or_else(|| "gone".into(), |k| k.entry.name.clone())
+        known.map_or_else(|| "gone".into(), |k| k.registration.name.clone())
     }
 }
 
 fn describe(change: &Change, from: &str) -> serde_json::Value {
-    match &change.entry {
+    match &change.registration {
         Some(entry) => json!({
             "server": entry.name, "address": entry.address.to_string(), "draining": entry.draining,
             "revision": change.revision, "from": from,
--- a/crates/hawthornmill-gateway/src/mates.rs
+++ b/crates/hawthornmill-gateway/src/mates.rs
@@ -118,7 +118,7 @@
         leaving: gateway.phase() > Phase::Serving,
         store_role: gateway.reading.get(),
         catalog_version: gateway.version(),
-        revision: scheduler.registry.latest(),
+        revision: scheduler.registry.latest_revision(),
     });
     let work = scheduler.loads.domain_sum(&ids);
     let mut usage = scheduler.usage.sum(&ids, now);
@@ -167,7 +167,7 @@
         leaving: gateway.phase() > Phase::Serving,
         store_role: gateway.reading.get(),
         catalog_version: gateway.version(),
-        revision: scheduler.registry.latest(),
+        revision: scheduler.registry.latest_revision(),
         work,
         usage,
         spilled: scheduler.spilled_prefixes(now),
--- a/crates/hawthornmill-gateway/src/side.rs
+++ b/crates/hawthornmill-gateway/src/side.rs
@@ -188,7 +188,7 @@
         (
             "registrations_revision",
             "Newest change known",
-            number(scheduler.registry.latest()),
+            number(scheduler.registry.latest_revision()),
         ),
         (
             "registrations",
--- a/crates/hawthornmill-gateway/src/store.rs
+++ b/crates/hawthornmill-gateway/src/store.rs
@@ -11,7 +11,7 @@
 use bytes::BytesMut;
 use hawthornmill::ident::ServerId;
 use hawthornmill::routing::gossip::StoreRole;
-use hawthornmill::routing::registry::{Change, List};
+use hawthornmill::routing::registry::{Change, RegistrationList};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -150,11 +150,11 @@
         match self.topic {
             Topic::Catalog => items.iter().for_each(|i| self.take(i)),
             Topic::Servers => {
-                let list = List {
+                let list = RegistrationList {
                     entries: items.iter().map(|i| self.change(i)).collect(),
-                    doubted: Vec::new(),
+                    unconfirmed: Vec::new(),
                     revision,
-                    away,
+                    after_outage: away,
                 };
                 self.gateway.list(list, "store");
             }
@@ -227,7 +227,7 @@
         Change {
             server: ServerId::of(name),
             revision: item.revision,
-            entry,
+            registration: entry,
         }
     }
 
--- a/crates/hawthornmill-gateway/src/trip/admit.rs
+++ b/crates/hawthornmill-gateway/src/trip/admit.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use hawthornmill::codes::Code;
-use hawthornmill::routing::catalog::Repeat;
+use hawthornmill::routing::catalog::RetryPolicy;
 use hawthornmill::routing::request::Request;
-use hawthornmill::routing::table::{Caller, split};
+use hawthornmill::routing::route_table::{Caller, pick_service};
 use smallvec::SmallVec;
 
 use super::read::Call;
@@ -23,7 +23,7 @@
     /// What the scheduler decides on.
     pub request: Request,
     /// How often it may run.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
     /// Its answer is a stream of events.
     pub streams: bool,
     /// Servers to which it may be sent at most.
@@ -67,15 +67,15 @@
         .get(names.token)
         .and_then(|v| bearer(v, names.scheme));
     let caller = table
-        .caller(route, token)
+        .authenticate(route, token)
         .ok_or_else(|| unknown(gateway, Code::BadToken))?;
     let left = time_left(fields.get(names.deadline))?;
     let shape = (gateway.dialect.shape)(fields).map_err(|_why| Reply::new(Code::BadHeader))?;
-    let service = split(route, rand::random());
+    let service = pick_service(route, rand::random());
     let known = table.service(service);
     let account = match caller {
-        Caller::Known(account) => Some(account),
-        Caller::Anyone => None,
+        Caller::Account(account) => Some(account),
+        Caller::Anonymous => None,
     };
     let request = Request {
         account: account.map(|a| a.id),
@@ -90,9 +90,9 @@
     };
     Ok(Admitted {
         request,
-        repeat: route.repeat,
-        streams: route.streams,
-        attempts: route.attempts.max(1),
+        repeat: route.retry_policy,
+        streams: route.streaming,
+        attempts: route.max_attempts.max(1),
         account: account.map(|a| a.name.clone()),
         hide_token: table.has_accounts(),
         route: route.name.clone(),
--- a/crates/hawthornmill-gateway/src/trip/again.rs
+++ b/crates/hawthornmill-gateway/src/trip/again.rs
@@ -46,12 +46,12 @@
 
 /// Takes a second send for a request that may have run.
 pub fn may(gateway: &Gateway, admitted: &Admitted, trip: &mut Trip) -> bool {
-    admitted.repeat.allowed() && take(gateway, admitted, trip)
+    admitted.repeat.allows_retry() && take(gateway, admitted, trip)
 }
 
 /// Tells whether the request may go to another server after one that may have run it.
 pub fn is_left(admitted: &Admitted, trip: &Trip) -> bool {
-    admitted.repeat.allowed() && trip.arrivals < admitted.attempts
+    admitted.repeat.allows_retry() && trip.arrivals < admitted.attempts
 }
 
 fn take(gateway: &Gateway, admitted: &Admitted, trip: &mut Trip) -> bool {
--- a/crates/hawthornmill-gateway/src/trip/read.rs
+++ b/crates/hawthornmill-gateway/src/trip/read.rs
@@ -56,10 +56,13 @@
     let limits = gateway
         .table()
         .map_or_else(Limits::default, |t| *t.limits());
-    if reader.buffer.is_empty() && !first_byte(gateway, reader, limits.idle_time).await {
+    if reader.buffer.is_empty() && !first_byte(gateway, reader, limits.idle_timeout).await {
         return Next::Closed;
     }
-    let head = tokio::time::timeout(limits.header_time, whole_head(reader, limits.header_bytes));
+    let head = tokio::time::timeout(
+        limits.header_timeout,
+        whole_head(reader, limits.header_bytes),
+    );
     let head = match head.await {
         Ok(Ok(Some(head))) => head,
         Ok(Ok(None)) => return Next::Closed,
@@ -86,7 +89,7 @@
         }
     }
     let began = gateway.now();
-    let body = whole_body(reader, framing, limits.body_bytes, limits.idle_time).await;
+    let body = whole_body(reader, framing, limits.body_bytes, limits.idle_timeout).await;
     match body {
         Ok(Some(body)) => Next::Call(call(gateway, head, body, began)),
         Ok(None) => Next::Closed,
--- a/crates/hawthornmill-gateway/src/trip/send.rs
+++ b/crates/hawthornmill-gateway/src/trip/send.rs
@@ -9,7 +9,7 @@
 
 use bytes::BytesMut;
 use hawthornmill::ident::ServerId;
-use hawthornmill::routing::catalog::Repeat;
+use hawthornmill::routing::catalog::RetryPolicy;
 use hawthornmill::routing::placement::Placement;
 use tokio::net::TcpStream;
 
@@ -79,13 +79,13 @@
     let target = {
         let scheduler = gateway.scheduler.borrow();
         let known = scheduler.registry.get(server);
-        known.map(|k| (k.entry.address, k.entry.name.clone()))
+        known.map(|k| (k.registration.address, k.registration.name.clone()))
     };
     let Some((address, name)) = target else {
         return Sent::Unreached("server is gone".into());
     };
     let now = gateway.now();
-    let once = admitted.repeat == Repeat::Never;
+    let once = admitted.repeat == RetryPolicy::AtMostOnce;
     let taken = gateway.pool.take(server, address, once, now).await;
     if !taken.as_ref().is_ok_and(|u| u.reused) {
         let after = gateway.now();
--- a/crates/hawthornmill-gateway/src/trip/settle.rs
+++ b/crates/hawthornmill-gateway/src/trip/settle.rs
@@ -26,7 +26,7 @@
         "servers": outlook.servers, "draining": outlook.draining, "down": outlook.down,
         "full": outlook.full, "waiting": outlook.waiting, "short_at": outlook.short,
         "lack": outlook.lack, "standing": format!("{:?}", outlook.share.standing), "lead": outlook.share.lead,
-        "asked": outlook.sums.asked, "got": outlook.sums.got, "registrations": scheduler.registry.latest(),
+        "asked": outlook.sums.asked, "got": outlook.sums.got, "registrations": scheduler.registry.latest_revision(),
         "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
         "link_wait_ms": gateway.link.borrow().wait(now).as_millis() as u64,
     });
@@ -81,7 +81,7 @@
         let fields = json!({
             "server": name, "waited_ms": waited.as_millis() as u64, "send": self.arrivals + 1,
             "tokens_before_first": choice.queued_prefill, "tokens_again": choice.duplicate_prefill, "stray": choice.spilled, "expected_ms": choice.expected_ttft.as_millis() as u64,
-            "catalog": gateway.version(), "lag_ms": lag_ms(gateway), "registrations": gateway.scheduler.borrow().registry.latest(),
+            "catalog": gateway.version(), "lag_ms": lag_ms(gateway), "registrations": gateway.scheduler.borrow().registry.latest_revision(),
         });
         journal::step("sent", &call.attempt, fields);
         self.servers.push(name);
--- a/crates/hawthornmill-tools/src/check/catalog.rs
+++ b/crates/hawthornmill-tools/src/check/catalog.rs
@@ -6,7 +6,7 @@
 
 use hawthornmill::codes::Code;
 use hawthornmill::ini::Fault;
-use hawthornmill::routing::catalog::{Account, Catalog, Route, check};
+use hawthornmill::routing::catalog::{Account, Catalog, Route, validate};
 
 /// Reads and checks the catalog in `file`.
 ///
@@ -23,7 +23,7 @@
     };
     let catalog =
         hawthornmill_platform::catalog::read(&bytes).map_err(|what| fault(Code::BadValue, what))?;
-    check(&catalog).map_err(|(code, what)| fault(code, what))?;
+    validate(&catalog).map_err(|(code, what)| fault(code, what))?;
     Ok(catalog)
 }
 
--- a/crates/hawthornmill/src/routing/catalog.rs
+++ b/crates/hawthornmill/src/routing/catalog.rs
@@ -1,6 +1,6 @@
 //! What operators publish for the gateway: routes, services, accounts and limits.
 //!
-//! The types hold data only. [`check`] says whether a catalog may come into force.
+//! The types hold data only. [`validate`] says whether a catalog may come into force.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,19 +13,19 @@
 
 /// How often a request of a route may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// Any number of times.
-    Free,
+    Idempotent,
     /// Once at most.
-    Never,
+    AtMostOnce,
     /// Once at most, but another server may go on after the last event that the caller has.
-    Resume,
+    Resumable,
 }
 
-impl Repeat {
+impl RetryPolicy {
     /// Tells whether a request that may have run can be sent again.
-    pub const fn allowed(self) -> bool {
-        !matches!(self, Self::Never)
+    pub const fn allows_retry(self) -> bool {
+        !matches!(self, Self::AtMostOnce)
     }
 }
 
@@ -50,9 +50,9 @@
     /// Services that serve it; at least one with a weight above 0.
     pub targets: SmallVec<[Target; 2]>,
     /// How often a request may run.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// The answer is a stream of events.
-    pub streams: bool,
+    pub streaming: bool,
     /// Longest time for which a request may stay unanswered.
     pub timeout: Duration,
     /// Time to the answer, or to the first event of a stream, that callers are promised.
@@ -60,7 +60,7 @@
     /// Rank; 0 is served first.
     pub priority: u32,
     /// Servers to which one request may be sent at most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Needs no account.
     pub public: bool,
 }
@@ -71,7 +71,7 @@
     /// Requests that one server runs at once.
     pub slots: u32,
     /// Tokens that one server's memory holds.
-    pub memory: u32,
+    pub kv_capacity: u32,
 }
 
 /// A group of servers under one name.
@@ -82,7 +82,7 @@
     /// Name for logs.
     pub name: Box<str>,
     /// Connections that one server accepts from all callers together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Set where the servers are model engines.
     pub engine: Option<Engine>,
 }
@@ -119,9 +119,9 @@
     /// Bytes of a request's body.
     pub body_bytes: usize,
     /// Time from the first byte of a head to its end.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
     /// Time for which a connection may stay without a request.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
     /// Tokens a second that all engines yield together, a token generated counted twice; 0: unknown.
     pub token_rate: f64,
 }
@@ -131,8 +131,8 @@
         Self {
             header_bytes: 16 << 10,
             body_bytes: 4 << 20,
-            header_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
             token_rate: 0.0,
         }
     }
@@ -157,7 +157,7 @@
 ///
 /// # Errors
 /// The code and the words for the first fault; nothing of the catalog may come into force then.
-pub fn check(catalog: &Catalog) -> Result<(), (Code, Box<str>)> {
+pub fn validate(catalog: &Catalog) -> Result<(), (Code, Box<str>)> {
     let services: BTreeSet<ServiceId> = catalog.services.iter().map(|s| s.id).collect();
     let mut seen = BTreeSet::new();
     for route in &catalog.routes {
--- a/crates/hawthornmill/src/routing/gossip.rs
+++ b/crates/hawthornmill/src/routing/gossip.rs
@@ -14,7 +14,7 @@
 use super::catalog::Catalog;
 use super::domain_summary::Member;
 use super::loads::Work;
-use super::registry::{Change, Doubt};
+use super::registry::{Change, Unconfirmed};
 use super::shape::PrefixKey;
 use super::usage::{Standing, Sums};
 use crate::ident::{AccountId, DomainId, Incarnation, InstanceId, ServerId, ServiceId, mix};
@@ -127,7 +127,7 @@
     /// All registrations, if they are newer than the asker's.
     pub registrations: Option<Vec<Change>>,
     /// Those of them that were removed while the store was away, and count for a grace only.
-    pub unconfirmed: Vec<Doubt>,
+    pub unconfirmed: Vec<Unconfirmed>,
     /// Revision of the registrations.
     pub revision: u64,
 }
--- a/crates/hawthornmill/src/routing/mod.rs
+++ b/crates/hawthornmill/src/routing/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`catalog`], [`table`] | what operators publish, and looking it up |
+//! | [`catalog`], [`route_table`] | what operators publish, and looking it up |
 //! | [`registry`] | servers as they registered themselves |
 //! | [`departures`] | servers that leave, told at once |
 //! | [`shape`] | what a request will cost an engine |
@@ -37,9 +37,9 @@
 pub mod prefix_index;
 pub mod registry;
 pub mod request;
+pub mod route_table;
 pub mod scheduler;
 pub mod shape;
 pub mod shortage;
-pub mod table;
 pub mod ttft;
 pub mod usage;
--- a/crates/hawthornmill/src/routing/placement.rs
+++ b/crates/hawthornmill/src/routing/placement.rs
@@ -205,12 +205,12 @@
     view.registry
         .entries()
         .filter(|(id, known)| {
-            known.entry.service == ask.service && !known.entry.draining && usable(id)
+            known.registration.service == ask.service && !known.registration.draining && usable(id)
         })
         .map(|(server, known)| Candidate {
             server,
-            tier: tier(view, known.entry.domain),
-            slots: known.entry.slots,
+            tier: tier(view, known.registration.domain),
+            slots: known.registration.slots,
         })
         .collect()
 }
@@ -292,7 +292,7 @@
     if let Some(engine) = ask.engine
         && total.running > 0
         && f64::from(total.kv_tokens + held)
-            > f64::from(engine.memory) * MEMORY_PART * ask.capacity_fraction
+            > f64::from(engine.kv_capacity) * MEMORY_PART * ask.capacity_fraction
     {
         return Err(Unfit::Full);
     }
--- a/crates/hawthornmill/src/routing/table.rs
+++ b/crates/hawthornmill/src/routing/route_table.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use super::catalog::{Account, Catalog, Limits, Route, Service, TokenDigest, check};
+use super::catalog::{Account, Catalog, Limits, Route, Service, TokenDigest, validate};
 use crate::codes::Code;
 use crate::ident::ServiceId;
 
 /// A catalog in force, indexed.
 #[derive(Debug, Clone)]
-pub struct Table {
+pub struct RouteTable {
     catalog: Catalog,
     /// Indexes of routes by host, the longest prefix first.
     hosts: BTreeMap<Box<str>, Vec<usize>>,
@@ -20,18 +20,18 @@
 #[derive(Debug, Clone, Copy)]
 pub enum Caller<'a> {
     /// A token that belongs to an account.
-    Known(&'a Account),
+    Account(&'a Account),
     /// The route needs no token, and none that is known came.
-    Anyone,
+    Anonymous,
 }
 
-impl Table {
+impl RouteTable {
     /// Indexes `catalog`.
     ///
     /// # Errors
     /// As [`check`].
     pub fn new(catalog: Catalog) -> Result<Self, (Code, Box<str>)> {
-        check(&catalog)?;
+        validate(&catalog)?;
         let mut hosts: BTreeMap<Box<str>, Vec<usize>> = BTreeMap::new();
         for (index, route) in catalog.routes.iter().enumerate() {
             hosts.entry(route.host.clone()).or_default().push(index);
@@ -82,14 +82,14 @@
     }
 
     /// For whom a request with `token` is made; none when it must be refused.
-    pub fn caller(&self, route: &Route, token: Option<&[u8]>) -> Option<Caller<'_>> {
+    pub fn authenticate(&self, route: &Route, token: Option<&[u8]>) -> Option<Caller<'_>> {
         if self.catalog.accounts.is_empty() {
-            return Some(Caller::Anyone);
+            return Some(Caller::Anonymous);
         }
         let known = token.and_then(|t| self.tokens.get(&TokenDigest::of(t)));
         match known {
-            Some(index) => Some(Caller::Known(&self.catalog.accounts[*index])),
-            None if route.public => Some(Caller::Anyone),
+            Some(index) => Some(Caller::Account(&self.catalog.accounts[*index])),
+            None if route.public => Some(Caller::Anonymous),
             None => None,
         }
     }
@@ -101,7 +101,7 @@
 }
 
 /// The service of `route` for a draw between 0 and 1, by weight.
-pub fn split(route: &Route, draw: f64) -> ServiceId {
+pub fn pick_service(route: &Route, draw: f64) -> ServiceId {
     let total: u32 = route.targets.iter().map(|t| t.weight).sum();
     let mut left = draw * f64::from(total);
     for target in &route.targets {
--- a/crates/hawthornmill/src/routing/scheduler.rs
+++ b/crates/hawthornmill/src/routing/scheduler.rs
@@ -22,7 +22,7 @@
     choose_server, is_prefill_bound,
 };
 use super::prefix_index::PrefixIndex;
-use super::registry::{Change, List, Registry};
+use super::registry::{Change, RegistrationList, Registry};
 use super::request::{Cause, Decided, Outlook, Refusal, Request, Ticket, Verdict};
 use super::shape::PrefixKey;
 use super::shortage::{Shortages, TOLD, shuts_out};
@@ -216,14 +216,14 @@
 
     /// Takes one change of a registration; false when it is older than what is known.
     pub fn apply_change(&mut self, change: Change, now: Instant) -> bool {
-        let taken = self.registry.take(change, now);
+        let taken = self.registry.apply(change, now);
         self.forget_lost();
         taken
     }
 
-    /// Takes a whole list of registrations, as [`Registry::replace`] does.
-    pub fn replace_registrations(&mut self, list: List, now: Instant) {
-        self.registry.replace(list, now);
+    /// Takes a whole list of registrations, as [`Registry::replace_all`] does.
+    pub fn replace_registrations(&mut self, list: RegistrationList, now: Instant) {
+        self.registry.replace_all(list, now);
         self.forget_lost();
     }
 
@@ -231,7 +231,7 @@
     ///
     /// Taken for the run before, such a server would draw prompts whose beginnings it no longer keeps.
     fn forget_lost(&mut self) {
-        for server in self.registry.take_lost() {
+        for server in self.registry.take_lost_caches() {
             self.prefix_index.remove_server(server);
         }
     }
@@ -284,19 +284,19 @@
             lack: lack.cost,
             ..Outlook::default()
         };
-        for (id, known) in entries.filter(|(_, k)| k.entry.service == request.service) {
+        for (id, known) in entries.filter(|(_, k)| k.registration.service == request.service) {
             outlook.servers += 1;
-            outlook.draining += usize::from(known.entry.draining);
+            outlook.draining += usize::from(known.registration.draining);
             outlook.down += usize::from(self.loads.is_down(id, now));
             let running = self.loads.total(id, now).running;
-            outlook.full += usize::from(running >= known.entry.slots);
+            outlook.full += usize::from(running >= known.registration.slots);
         }
         outlook
     }
 
     /// Drops what no longer counts and returns the servers that are gone.
     pub fn sweep(&mut self, now: Instant) -> Vec<ServerId> {
-        let gone = self.registry.sweep(now);
+        let gone = self.registry.expire(now);
         self.forget_lost();
         let registry = &self.registry;
         self.loads.sweep(|id| registry.get(id).is_some(), now);
--- a/tests/testsuite/gateway/translation.rs
+++ b/tests/testsuite/gateway/translation.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hawthornmill::ident::ServiceId;
-use hawthornmill::routing::catalog::Repeat;
+use hawthornmill::routing::catalog::RetryPolicy;
 use hawthornmill_gateway::http::head;
 use hawthornmill_platform::{catalog, directory, registration, request, store};
 use proptest::prelude::*;
@@ -26,8 +26,13 @@
         panic!("two routes")
     };
     assert_eq!(
-        (catalog.version, &*first.host, first.repeat, first.streams),
-        (7, "h.example", Repeat::Resume, true)
+        (
+            catalog.version,
+            &*first.host,
+            first.retry_policy,
+            first.streaming
+        ),
+        (7, "h.example", RetryPolicy::Resumable, true)
     );
     assert_eq!(first.targets[1].service, ServiceId::of("s2"));
     assert_eq!(
@@ -35,15 +40,15 @@
         (90_000, 500)
     );
     assert_eq!(
-        (second.repeat, second.attempts, second.timeout),
-        (Repeat::Never, 1, Duration::from_millis(800))
+        (second.retry_policy, second.max_attempts, second.timeout),
+        (RetryPolicy::AtMostOnce, 1, Duration::from_millis(800))
     );
     assert_eq!(
-        catalog.services[0].engine.map(|e| (e.slots, e.memory)),
+        catalog.services[0].engine.map(|e| (e.slots, e.kv_capacity)),
         Some((64, 432_367))
     );
     assert_eq!(catalog.accounts[0].tokens.len(), 2);
-    assert_eq!(catalog.limits.idle_time, Duration::from_secs(15));
+    assert_eq!(catalog.limits.idle_timeout, Duration::from_secs(15));
 }
 
 #[test]
@@ -52,7 +57,7 @@
 
     let catalog = catalog::read(text.as_bytes()).expect("the configuration can be read");
 
-    assert_eq!(catalog.routes[0].repeat, Repeat::Never);
+    assert_eq!(catalog.routes[0].retry_policy, RetryPolicy::AtMostOnce);
 }
 
 /// Entries of another writer: each names no server and says why; none of them ends the reading.
@@ -76,7 +81,7 @@
     let entry = registration::read("i-1", sound.as_bytes()).expect("the entry can be read");
 
     assert_eq!(
-        (&*entry.name, entry.slots, entry.draining, entry.born),
+        (&*entry.name, entry.slots, entry.draining, entry.start_ms),
         ("i-1", 6, false, 5)
     );
     for text in faulty {
--- a/tests/testsuite/routing/departures.rs
+++ b/tests/testsuite/routing/departures.rs
@@ -20,10 +20,12 @@
 fn a_server_that_others_know_to_leave_gets_no_work_though_it_is_doubted_here() {
     let now = Instant::now();
     let mut scheduler = scheduler(&[("a1", "a"), ("a2", "a")], now);
-    scheduler.registry.doubt_anew(ServerId::of("a1"), 50, now);
+    scheduler
+        .registry
+        .mark_unconfirmed(ServerId::of("a1"), 50, now);
 
-    let new = scheduler.registry.leaves(leaving("a1", 50));
-    let again = scheduler.registry.leaves(leaving("a1", 50));
+    let new = scheduler.registry.mark_draining(leaving("a1", 50));
+    let again = scheduler.registry.mark_draining(leaving("a1", 50));
 
     assert!(new && !again);
     for _ in 0..8 {
@@ -38,9 +40,9 @@
     let now = Instant::now();
     let mut scheduler = scheduler(&[("a1", "a")], now);
 
-    scheduler.registry.leaves(leaving("a1", 50));
+    scheduler.registry.mark_draining(leaving("a1", 50));
     scheduler.apply_change(change("a1", 60, Some(entry("a1", "a"))), now);
-    let late = scheduler.registry.leaves(leaving("a1", 50));
+    let late = scheduler.registry.mark_draining(leaving("a1", 50));
 
     assert!(!late);
     let verdict = scheduler.submit(&request("lab", shape(1, 10, 10), now), now);
--- a/tests/testsuite/routing/mod.rs
+++ b/tests/testsuite/routing/mod.rs
@@ -12,10 +12,10 @@
 mod patience;
 mod placement;
 mod registry;
+mod route_table;
 mod scheduler;
 mod shares;
 mod shortage;
-mod table;
 mod ttft;
 
 use std::time::{Duration, Instant};
@@ -23,10 +23,10 @@
 use hawthornmill::ident::{AccountId, DomainId, RegionId, ServerId, ServiceId};
 use hawthornmill::routing::budget::{Budget, Terms};
 use hawthornmill::routing::catalog::{
-    Account, Catalog, Engine, Limits, Repeat, Route, Service, Target, TokenDigest,
+    Account, Catalog, Engine, Limits, RetryPolicy, Route, Service, Target, TokenDigest,
 };
 use hawthornmill::routing::placement::{Location, Placement};
-use hawthornmill::routing::registry::{Change, List, Registration};
+use hawthornmill::routing::registry::{Change, Registration, RegistrationList};
 use hawthornmill::routing::request::{Request, Verdict};
 use hawthornmill::routing::scheduler::Scheduler;
 use hawthornmill::routing::shape::{PromptPart, Shape};
@@ -34,7 +34,7 @@
 
 const ENGINE: Engine = Engine {
     slots: 8,
-    memory: 100_000,
+    kv_capacity: 100_000,
 };
 
 fn drafter() -> ServiceId {
@@ -54,12 +54,12 @@
             service: drafter(),
             weight: 1
         }],
-        repeat: Repeat::Free,
-        streams: false,
+        retry_policy: RetryPolicy::Idempotent,
+        streaming: false,
         timeout: millis(2_000),
         objective: millis(500),
         priority: 1,
-        attempts: 2,
+        max_attempts: 2,
         public: false,
     }
 }
@@ -80,7 +80,7 @@
         services: vec![Service {
             id: drafter(),
             name: "drafter".into(),
-            connections: 100,
+            max_connections: 100,
             engine: Some(ENGINE),
         }],
         accounts,
@@ -96,7 +96,7 @@
         domain: DomainId::of(domain),
         slots: 8,
         draining: false,
-        born: 0,
+        start_ms: 0,
     }
 }
 
@@ -104,17 +104,17 @@
     Change {
         server: ServerId::of(name),
         revision,
-        entry,
+        registration: entry,
     }
 }
 
 /// A list that holds `entries`, of which none is doubted.
-fn list(entries: Vec<Change>, revision: u64, away: bool) -> List {
-    List {
+fn list(entries: Vec<Change>, revision: u64, away: bool) -> RegistrationList {
+    RegistrationList {
         entries,
-        doubted: Vec::new(),
+        unconfirmed: Vec::new(),
         revision,
-        away,
+        after_outage: away,
     }
 }
 
@@ -136,7 +136,7 @@
         .to_vec();
     for (number, (name, domain)) in servers.iter().enumerate() {
         let change = change(name, number as u64 + 1, Some(entry(name, domain)));
-        assert!(scheduler.registry.take(change, now));
+        assert!(scheduler.registry.apply(change, now));
     }
     scheduler
 }
--- a/tests/testsuite/routing/placement.rs
+++ b/tests/testsuite/routing/placement.rs
@@ -137,7 +137,7 @@
     leaving.draining = true;
     scheduler
         .registry
-        .take(change("a1", 50, Some(leaving)), now);
+        .apply(change("a1", 50, Some(leaving)), now);
     let mut again = request("lab", shape(1, 300, 200), now);
     again.tried.push(ServerId::of("a2"));
 
--- a/tests/testsuite/routing/table.rs
+++ b/tests/testsuite/routing/route_table.rs
@@ -3,7 +3,7 @@
 use hawthornmill::codes::Code;
 use hawthornmill::ident::ServiceId;
 use hawthornmill::routing::catalog::Target;
-use hawthornmill::routing::table::{Caller, Table, split};
+use hawthornmill::routing::route_table::{Caller, RouteTable, pick_service};
 use smallvec::smallvec;
 
 use super::{account, catalog, route};
@@ -15,7 +15,7 @@
         route("h.example", "/a/b/"),
         route("g.example", "/"),
     ];
-    let table = Table::new(catalog(1, routes, Vec::new())).expect("the catalog is sound");
+    let table = RouteTable::new(catalog(1, routes, Vec::new())).expect("the catalog is sound");
 
     let name = |host, path| table.route(host, path).map(|r| r.prefix.clone());
 
@@ -33,17 +33,17 @@
     open.public = true;
     let closed = route("h.example", "/closed/");
     let accounts = vec![account("lab", "secret")];
-    let table = Table::new(catalog(1, vec![open.clone(), closed.clone()], accounts))
+    let table = RouteTable::new(catalog(1, vec![open.clone(), closed.clone()], accounts))
         .expect("the catalog is sound");
 
-    let known = table.caller(&closed, Some(b"secret"));
-    let unknown = table.caller(&closed, Some(b"other"));
-    let missing = table.caller(&closed, None);
-    let anyone = table.caller(&open, None);
+    let known = table.authenticate(&closed, Some(b"secret"));
+    let unknown = table.authenticate(&closed, Some(b"other"));
+    let missing = table.authenticate(&closed, None);
+    let anyone = table.authenticate(&open, None);
 
-    assert!(matches!(known, Some(Caller::Known(a)) if &*a.name == "lab"));
+    assert!(matches!(known, Some(Caller::Account(a)) if &*a.name == "lab"));
     assert!(unknown.is_none() && missing.is_none());
-    assert!(matches!(anyone, Some(Caller::Anyone)));
+    assert!(matches!(anyone, Some(Caller::Anonymous)));
 }
 
 #[test]
@@ -65,11 +65,11 @@
         },
     ];
 
-    let draws = (0..=1_000).map(|d| split(&route, f64::from(d) / 1_000.0));
+    let draws = (0..=1_000).map(|d| pick_service(&route, f64::from(d) / 1_000.0));
     let seconds = draws.filter(|s| *s == second).count();
 
-    assert_eq!(split(&route, 0.0), first);
-    assert_eq!(split(&route, 1.0), second);
+    assert_eq!(pick_service(&route, 0.0), first);
+    assert_eq!(pick_service(&route, 1.0), second);
     assert_eq!(seconds, 101);
 }
 
@@ -84,7 +84,7 @@
     weightless.targets[0].weight = 0;
 
     let code = |routes| {
-        Table::new(catalog(1, routes, Vec::new()))
+        RouteTable::new(catalog(1, routes, Vec::new()))
             .map(drop)
             .map_err(|f| f.0)
     };
--- a/tests/testsuite/routing/scheduler.rs
+++ b/tests/testsuite/routing/scheduler.rs
@@ -320,7 +320,7 @@
     let known = sent(scheduler.submit(&request("lab", shape(1, 300, 200), now), now));
     scheduler.finish(&known, true);
     let mut anew = super::entry("a1", "a");
-    anew.born = 7;
+    anew.start_ms = 7;
 
     scheduler.apply_change(super::change("a1", 90, Some(anew)), now);
     let unknown = sent(scheduler.submit(&request("lab", shape(1, 300, 200), now), now));
@@ -341,7 +341,7 @@
     let first = sent(scheduler.submit(&request("lab", shape(1, 300, 200), now), now));
     scheduler.finish(&first, true);
     let mut anew = super::entry("a1", "a");
-    anew.born = 7;
+    anew.start_ms = 7;
 
     let anew = vec![super::change("a1", 90, Some(anew))];
     scheduler.replace_registrations(super::list(anew, 90, false), now);
