--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -12,7 +12,6 @@
 use hawthornmill::ident::{Incarnation, InstanceId, ServerId};
 use hawthornmill::limits::link::Link;
 use hawthornmill::limits::strain::Strain;
-use hawthornmill::routing::budget::Budget;
 use hawthornmill::routing::catalog::Catalog;
 use hawthornmill::routing::departures::{Departure, RecentDepartures, Source};
 use hawthornmill::routing::fragments::ResponseCache;
@@ -20,7 +19,8 @@
 use hawthornmill::routing::lag::Lag;
 use hawthornmill::routing::placement::{Location, Placement};
 use hawthornmill::routing::registry::{Change, RegistrationList};
-use hawthornmill::routing::request::{Cause, Refusal, Request, Ticket, Verdict};
+use hawthornmill::routing::request::{Admission, Cause, Refusal, Request, Ticket};
+use hawthornmill::routing::retry_budget::RetryBudget;
 use hawthornmill::routing::route_table::RouteTable;
 use hawthornmill::routing::scheduler::Scheduler;
 use serde_json::json;
@@ -128,7 +128,7 @@
             domain: settings.domain,
             region: settings.region,
         };
-        let mut scheduler = Scheduler::new(place, Budget::new(settings.promises.resends, now));
+        let mut scheduler = Scheduler::new(place, RetryBudget::new(settings.promises.resends, now));
         scheduler.regions.clone_from(&settings.regions);
         Rc::new(Self {
             me: InstanceId::of(&settings.name),
@@ -311,14 +311,14 @@
         let verdict = self.scheduler.borrow_mut().submit(request, self.now());
         self.tell_work();
         let decided = match verdict {
-            Verdict::Decided(decided) => return decided,
-            Verdict::Wait(ticket) => self.wait(ticket).await,
+            Admission::Decided(decided) => return decided,
+            Admission::Queued(ticket) => self.wait(ticket).await,
         };
         // The other end is dropped only together with the gateway, and nobody is served then.
         decided.unwrap_or(Err(Refusal {
             code: Code::NotReady,
             cause: Cause::NoServer,
-            again: request.objective,
+            retry_after: request.objective,
         }))
     }
 
--- a/crates/hawthornmill-gateway/src/mates.rs
+++ b/crates/hawthornmill-gateway/src/mates.rs
@@ -57,7 +57,11 @@
             .borrow_mut()
             .gossip_targets(&settings.seeds, round, now);
         let most = gateway.mates.borrow().max_seen();
-        gateway.scheduler.borrow_mut().budget.share_among(most);
+        gateway
+            .scheduler
+            .borrow_mut()
+            .retry_budget
+            .observe_instances(most);
         let news = news(&gateway, round, now);
         let others = targets.iter().filter(|t| **t != settings.listen.peer);
         datagrams.send(&Message::News(Box::new(news)), others.copied());
@@ -121,8 +125,8 @@
         revision: scheduler.registry.latest_revision(),
     });
     let work = scheduler.loads.domain_sum(&ids);
-    let mut usage = scheduler.usage.sum(&ids, now);
-    usage.sort_by(|a, b| b.1.asked.total_cmp(&a.1.asked));
+    let mut usage = scheduler.account_usage.domain_sum(&ids, now);
+    usage.sort_by(|a, b| b.1.requested.total_cmp(&a.1.requested));
     usage.truncate(MOST_TOLD);
     let members = scheduler.domain_members(settings.domain, members, now);
     let parts = DomainWork::parts(settings.domain, &work, &usage);
@@ -158,8 +162,8 @@
     let mut scheduler = gateway.scheduler.borrow_mut();
     let mut work = scheduler.loads.local();
     work.truncate(MOST_TOLD);
-    let mut usage = scheduler.usage.own(now);
-    usage.sort_by(|a, b| b.1.asked.total_cmp(&a.1.asked));
+    let mut usage = scheduler.account_usage.local(now);
+    usage.sort_by(|a, b| b.1.requested.total_cmp(&a.1.requested));
     usage.truncate(MOST_TOLD);
     InstanceReport {
         info: mate(gateway),
@@ -171,7 +175,7 @@
         work,
         usage,
         spilled: scheduler.spilled_prefixes(now),
-        unmet: scheduler.told_short(now),
+        unmet: scheduler.unmet_demand(now),
         known_peers: gateway.mates.borrow().peer_sample(round, now),
     }
 }
--- a/crates/hawthornmill-gateway/src/settings.rs
+++ b/crates/hawthornmill-gateway/src/settings.rs
@@ -7,7 +7,7 @@
 use hawthornmill::codes::Code;
 use hawthornmill::ident::{DomainId, RegionId};
 use hawthornmill::ini::{Fault, Reader, Section};
-use hawthornmill::routing::budget::Terms;
+use hawthornmill::routing::retry_budget::RetryBudgetConfig;
 
 const SECTIONS: &[&str] = &[
     "instance",
@@ -44,7 +44,7 @@
     /// Time for which callers may use a directory's answer.
     pub ttl: Duration,
     /// Second sends over the fleet.
-    pub resends: Terms,
+    pub resends: RetryBudgetConfig,
 }
 
 /// Settings of one gateway process.
@@ -195,7 +195,7 @@
         apply: reader.millis(section, "apply_ms", 3_000.0),
         grace: seconds(reader, section, "grace_s", 8.0),
         ttl: seconds(reader, section, "ttl_s", 1.0),
-        resends: Terms {
+        resends: RetryBudgetConfig {
             ratio: reader.bounded(section, "resend_ratio", 0.1, 0.0..=1.0),
             extra: reader.bounded(section, "resend_extra", 20.0, 0.0..=1e6),
             window: seconds(reader, section, "resend_window_s", 10.0),
--- a/crates/hawthornmill-gateway/src/trip/admit.rs
+++ b/crates/hawthornmill-gateway/src/trip/admit.rs
@@ -84,8 +84,8 @@
         shape,
         priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
         objective: route.objective,
-        came: call.came,
-        ends: call.came + left.map_or(route.timeout, |l| l.min(route.timeout)),
+        arrival: call.came,
+        deadline: call.came + left.map_or(route.timeout, |l| l.min(route.timeout)),
         tried: SmallVec::new(),
     };
     Ok(Admitted {
--- a/crates/hawthornmill-gateway/src/trip/again.rs
+++ b/crates/hawthornmill-gateway/src/trip/again.rs
@@ -62,8 +62,8 @@
     let taken = gateway
         .scheduler
         .borrow_mut()
-        .budget
-        .take(service, gateway.now());
+        .retry_budget
+        .try_acquire(service, gateway.now());
     if taken {
         gateway.meters.resent(&admitted.service_name);
     }
--- a/crates/hawthornmill-gateway/src/trip/mod.rs
+++ b/crates/hawthornmill-gateway/src/trip/mod.rs
@@ -78,7 +78,7 @@
         Err(reply) => return answer_self(way, trip, &reply, out).await,
     };
     trip.admitted(way.call, &admitted);
-    let ends = tokio::time::Instant::from_std(admitted.request.ends);
+    let ends = tokio::time::Instant::from_std(admitted.request.deadline);
     let journey = journey(way, &admitted, trip, out);
     if let Ok(end) = tokio::time::timeout_at(ends, journey).await {
         return end;
@@ -142,7 +142,7 @@
             now,
         );
         self.gateway.tell_work();
-        let whole = now.duration_since(request.came);
+        let whole = now.duration_since(request.arrival);
         self.gateway
             .meters
             .began(&self.admitted.service_name, whole);
@@ -177,7 +177,7 @@
                 let refusal = Refusal {
                     code: Code::UpstreamUnreachable,
                     cause: Cause::NoServer,
-                    again: admitted.request.objective / 2,
+                    retry_after: admitted.request.objective / 2,
                 };
                 return no_server(way, trip, fallback, refusal, out).await;
             }
@@ -263,7 +263,7 @@
     let reply = if trip.may_have_run() {
         Reply::new(Code::UpstreamFailed)
     } else {
-        Reply::again(refusal.code, refusal.again)
+        Reply::again(refusal.code, refusal.retry_after)
     };
     answer_self(way, trip, &reply, out).await
 }
--- a/crates/hawthornmill-gateway/src/trip/send.rs
+++ b/crates/hawthornmill-gateway/src/trip/send.rs
@@ -142,7 +142,7 @@
     bytes.fields(&call.head.fields, &not);
     let left = admitted
         .request
-        .ends
+        .deadline
         .saturating_duration_since(gateway.now());
     bytes.field(names.deadline, left.as_millis().to_string());
     bytes.field(names.expect, server);
--- a/crates/hawthornmill-gateway/src/trip/settle.rs
+++ b/crates/hawthornmill-gateway/src/trip/settle.rs
@@ -20,13 +20,13 @@
     let scheduler = gateway.scheduler.borrow();
     let outlook = scheduler.decision_context(request, now);
     let fields = json!({
-        "code": refusal.code.number(), "cause": format!("{:?}", refusal.cause),
-        "again_ms": refusal.again.as_millis() as u64,
-        "waited_ms": now.duration_since(request.came).as_millis() as u64,
+        "code": refusal.code.number(), "cause": refusal.cause.log_name(),
+        "again_ms": refusal.retry_after.as_millis() as u64,
+        "waited_ms": now.duration_since(request.arrival).as_millis() as u64,
         "servers": outlook.servers, "draining": outlook.draining, "down": outlook.down,
-        "full": outlook.full, "waiting": outlook.waiting, "short_at": outlook.short,
-        "lack": outlook.lack, "standing": format!("{:?}", outlook.share.standing), "lead": outlook.share.lead,
-        "asked": outlook.sums.asked, "got": outlook.sums.got, "registrations": scheduler.registry.latest_revision(),
+        "full": outlook.full, "waiting": outlook.queue_len, "short_at": outlook.unmet_instances,
+        "lack": outlook.unmet_cost, "standing": outlook.share.status.log_name(), "lead": outlook.share.usage_ratio,
+        "asked": outlook.usage.requested, "got": outlook.usage.served, "registrations": scheduler.registry.latest_revision(),
         "catalog": gateway.version(), "lag_ms": lag_ms(gateway),
         "link_wait_ms": gateway.link.borrow().wait(now).as_millis() as u64,
     });
@@ -69,7 +69,7 @@
             "route": admitted.route, "service": admitted.service_name, "account": admitted.account,
             "prompt_tokens": admitted.request.shape.prompt_tokens, "body_bytes": call.body.len(),
             "body_ms": call.came.duration_since(call.began).as_millis() as u64,
-            "time_left_ms": admitted.request.ends.duration_since(call.came).as_millis() as u64,
+            "time_left_ms": admitted.request.deadline.duration_since(call.came).as_millis() as u64,
         });
         journal::step("admitted", &call.attempt, fields);
     }
--- a/crates/hawthornmill/src/routing/domain_summary.rs
+++ b/crates/hawthornmill/src/routing/domain_summary.rs
@@ -11,7 +11,7 @@
 use super::gossip::{PeerInfo, StoreRole, UnmetDemand};
 use super::loads::Work;
 use super::shape::PrefixKey;
-use super::usage::{Standing, Sums};
+use super::usage::{AccountUsage, ShareStatus};
 use crate::ident::{AccountId, DomainId, Incarnation, InstanceId, ServerId, ServiceId, mix};
 
 /// Servers in one datagram, each of up to 22 bytes.
@@ -48,7 +48,7 @@
     /// Its live instances.
     pub members: Vec<Member>,
     /// What found no room lately, by service and standing.
-    pub unmet: Vec<(ServiceId, Standing, UnmetDemand)>,
+    pub unmet: Vec<(ServiceId, ShareStatus, UnmetDemand)>,
     /// Shared prefixes that were sent to other servers than their homes lately.
     pub spilled: Vec<(PrefixKey, ServerId)>,
 }
@@ -63,7 +63,7 @@
     /// Work by server.
     pub work: Vec<(ServerId, Work)>,
     /// What accounts asked for and got; in the first part only.
-    pub usage: Vec<(AccountId, Sums)>,
+    pub usage: Vec<(AccountId, AccountUsage)>,
 }
 
 impl DomainWork {
@@ -71,7 +71,7 @@
     pub fn parts(
         domain: DomainId,
         work: &[(ServerId, Work)],
-        usage: &[(AccountId, Sums)],
+        usage: &[(AccountId, AccountUsage)],
     ) -> Vec<Self> {
         let accounts = Self {
             domain,
--- a/crates/hawthornmill/src/routing/gossip.rs
+++ b/crates/hawthornmill/src/routing/gossip.rs
@@ -16,7 +16,7 @@
 use super::loads::Work;
 use super::registry::{Change, Unconfirmed};
 use super::shape::PrefixKey;
-use super::usage::{Standing, Sums};
+use super::usage::{AccountUsage, ShareStatus};
 use crate::ident::{AccountId, DomainId, Incarnation, InstanceId, ServerId, ServiceId, mix};
 
 /// Silence after which an instance is no longer named to callers; about six lost news.
@@ -101,11 +101,11 @@
     /// Work that it has under way.
     pub work: Vec<(ServerId, Work)>,
     /// What accounts asked of it and got.
-    pub usage: Vec<(AccountId, Sums)>,
+    pub usage: Vec<(AccountId, AccountUsage)>,
     /// Shared prefixes that it sent to other servers than their homes since its last news.
     pub spilled: Vec<(PrefixKey, ServerId)>,
     /// Services for which requests of the told rank found no room lately, and how much work that was.
-    pub unmet: Vec<(ServiceId, Standing, UnmetDemand)>,
+    pub unmet: Vec<(ServiceId, ShareStatus, UnmetDemand)>,
     /// Peer addresses of others that it hears.
     pub known_peers: Vec<SocketAddr>,
 }
--- a/crates/hawthornmill/src/routing/mod.rs
+++ b/crates/hawthornmill/src/routing/mod.rs
@@ -16,8 +16,8 @@
 //! | [`placement`] | the server for a request |
 //! | [`usage`] | what accounts asked for and got, and their max-min shares |
 //! | [`allowance`] | how much of a server an account's requests may take |
-//! | [`budget`] | second sends over the fleet |
-//! | [`shortage`] | what found no room lately |
+//! | [`retry_budget`] | second sends over the fleet |
+//! | [`unmet_demand`] | what found no room lately |
 //! | [`scheduler`] | letting in, waiting, turning away |
 //! | [`gossip`] | what instances tell each other |
 //! | [`lag`] | how long it is known that others decide by something newer |
@@ -25,7 +25,6 @@
 //! | [`domain_summary`] | what failure domains tell each other in a large fleet |
 
 pub mod allowance;
-pub mod budget;
 pub mod catalog;
 pub mod departures;
 pub mod domain_summary;
@@ -37,9 +36,10 @@
 pub mod prefix_index;
 pub mod registry;
 pub mod request;
+pub mod retry_budget;
 pub mod route_table;
 pub mod scheduler;
 pub mod shape;
-pub mod shortage;
 pub mod ttft;
+pub mod unmet_demand;
 pub mod usage;
--- a/crates/hawthornmill/src/routing/request.rs
+++ b/crates/hawthornmill/src/routing/request.rs
@@ -8,7 +8,7 @@
 use super::catalog::Engine;
 use super::placement::Placement;
 use super::shape::Shape;
-use super::usage::{Share, Sums};
+use super::usage::{AccountUsage, FairShare};
 use crate::codes::Code;
 use crate::ident::{AccountId, ServerId, ServiceId};
 
@@ -33,16 +33,16 @@
     /// Time to the answer's begin that its caller is promised.
     pub objective: Duration,
     /// When it came.
-    pub came: Instant,
+    pub arrival: Instant,
     /// When its caller gives up or the route's timeout passes.
-    pub ends: Instant,
+    pub deadline: Instant,
     /// Servers that had it before.
     pub tried: SmallVec<[ServerId; 2]>,
 }
 
 /// What an instance believes of a request's service and account.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Outlook {
+pub struct DecisionContext {
     /// Servers registered for the service.
     pub servers: usize,
     /// Those of them that drain.
@@ -52,15 +52,15 @@
     /// Those whose slots are all taken.
     pub full: usize,
     /// Requests that wait at this instance.
-    pub waiting: usize,
+    pub queue_len: usize,
     /// Instances at which requests of the service found no room lately.
-    pub short: usize,
+    pub unmet_instances: usize,
     /// Cost of those, in tokens.
-    pub lack: u32,
+    pub unmet_cost: u32,
     /// How the request's account stands to its share.
-    pub share: Share,
+    pub share: FairShare,
     /// What the account asked for and got over the fleet lately, in tokens.
-    pub sums: Sums,
+    pub usage: AccountUsage,
 }
 
 /// What turned a request away.
@@ -69,13 +69,26 @@
     /// No server could take it.
     NoServer,
     /// Accounts that are owed find no room, and its account has had its part.
-    OthersOwed,
+    OverFairShare,
     /// It would begin too late even if nothing were before it.
     TooLong,
     /// Too many wait before it.
-    Crowd,
+    QueueFull,
     /// No room came free while it waited.
-    Waited,
+    QueueTimeout,
+}
+
+impl Cause {
+    /// Name in log lines.
+    pub const fn log_name(self) -> &'static str {
+        match self {
+            Self::NoServer => "NoServer",
+            Self::OverFairShare => "OthersOwed",
+            Self::TooLong => "TooLong",
+            Self::QueueFull => "Crowd",
+            Self::QueueTimeout => "Waited",
+        }
+    }
 }
 
 /// Why a request is turned away, and when its caller may come back.
@@ -86,18 +99,18 @@
     /// What turned it away, for the log.
     pub cause: Cause,
     /// Time after which to come back.
-    pub again: Duration,
+    pub retry_after: Duration,
 }
 
 /// The server for a request, where its work is counted from then on, or why it is turned away; it has
 /// not run then.
-pub type Decided = Result<Placement, Refusal>;
+pub type Decision = Result<Placement, Refusal>;
 
 /// What becomes of a request that comes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Verdict {
+pub enum Admission {
     /// It goes to a server or is turned away.
-    Decided(Decided),
+    Decided(Decision),
     /// It waits; [`super::scheduler::Scheduler::dispatch_queued`] tells when that is over.
-    Wait(Ticket),
+    Queued(Ticket),
 }
--- a/crates/hawthornmill/src/routing/budget.rs
+++ b/crates/hawthornmill/src/routing/retry_budget.rs
@@ -15,7 +15,7 @@
 
 /// The fleet's budget of second sends.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct RetryBudgetConfig {
     /// Second sends for each request.
     pub ratio: f64,
     /// Second sends besides, in any window.
@@ -57,16 +57,16 @@
 
 /// This instance's part of the budget.
 #[derive(Debug, Clone)]
-pub struct Budget {
-    terms: Terms,
+pub struct RetryBudget {
+    terms: RetryBudgetConfig,
     start: Instant,
     sharers: usize,
     counts: BTreeMap<ServiceId, Counts>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A budget of which nothing is used.
-    pub const fn new(terms: Terms, now: Instant) -> Self {
+    pub const fn new(terms: RetryBudgetConfig, now: Instant) -> Self {
         Self {
             terms,
             start: now,
@@ -76,7 +76,7 @@
     }
 
     /// Learns how many instances share the budget; the greatest number counts.
-    pub fn share_among(&mut self, instances: usize) {
+    pub fn observe_instances(&mut self, instances: usize) {
         self.sharers = self.sharers.max(instances);
     }
 
@@ -86,13 +86,13 @@
     }
 
     /// A request came for `service`.
-    pub fn came(&mut self, service: ServiceId, now: Instant) {
+    pub fn record_request(&mut self, service: ServiceId, now: Instant) {
         let part = self.part(now);
         self.counts.entry(service).or_default().at(part).1 += 1;
     }
 
     /// Takes one second send; false when there is none left.
-    pub fn take(&mut self, service: ServiceId, now: Instant) -> bool {
+    pub fn try_acquire(&mut self, service: ServiceId, now: Instant) -> bool {
         let part = self.part(now);
         let counts = self.counts.entry(service).or_default();
         let _current = counts.at(part);
--- a/crates/hawthornmill/src/routing/scheduler.rs
+++ b/crates/hawthornmill/src/routing/scheduler.rs
@@ -13,7 +13,6 @@
 use smallvec::SmallVec;
 
 use super::allowance;
-use super::budget::Budget;
 use super::domain_summary::{self, DomainMembers, DomainWork, Member};
 use super::gossip::{InstanceReport, UnmetDemand};
 use super::loads::{LoadTracker, Work};
@@ -23,11 +22,12 @@
 };
 use super::prefix_index::PrefixIndex;
 use super::registry::{Change, RegistrationList, Registry};
-use super::request::{Cause, Decided, Outlook, Refusal, Request, Ticket, Verdict};
+use super::request::{Admission, Cause, Decision, DecisionContext, Refusal, Request, Ticket};
+use super::retry_budget::RetryBudget;
 use super::shape::PrefixKey;
-use super::shortage::{Shortages, TOLD, shuts_out};
 use super::ttft::TtftModel;
-use super::usage::{FADE, Share, Standing, Sums, Usage, standings};
+use super::unmet_demand::{REPORT_TTL, UnmetDemandTracker, preempts_others};
+use super::usage::{AccountUsage, DECAY_TIME, FairShare, ShareStatus, UsageTracker, fair_shares};
 use crate::codes::Code;
 use crate::ident::{AccountId, DomainId, InstanceId, RegionId, ServerId, ServiceId};
 use crate::limits::pace::Pace;
@@ -42,7 +42,7 @@
 const NO_SERVER: Refusal = Refusal {
     code: Code::UpstreamUnreachable,
     cause: Cause::NoServer,
-    again: Duration::from_millis(700),
+    retry_after: Duration::from_millis(700),
 };
 
 /// A request that waits.
@@ -71,9 +71,9 @@
     /// What they have read.
     pub prefix_index: PrefixIndex,
     /// What accounts asked for and got.
-    pub usage: Usage,
+    pub account_usage: UsageTracker,
     /// Second sends.
-    pub budget: Budget,
+    pub retry_budget: RetryBudget,
     /// Region of each failure domain.
     pub regions: Vec<(DomainId, RegionId)>,
     /// Tokens a second of all engines; 0 when unknown.
@@ -82,9 +82,9 @@
     times: BTreeMap<ServiceId, TtftModel>,
     paces: BTreeMap<ServiceId, Pace>,
     line: SlotMap<Ticket, InLine>,
-    fleet: BTreeMap<AccountId, Sums>,
-    shares: BTreeMap<AccountId, Share>,
-    shortages: Shortages,
+    fleet: BTreeMap<AccountId, AccountUsage>,
+    shares: BTreeMap<AccountId, FairShare>,
+    shortages: UnmetDemandTracker,
     strays: VecDeque<(PrefixKey, ServerId, Instant)>,
     heard_strays: VecDeque<(PrefixKey, ServerId, Instant)>,
     shared: Option<Instant>,
@@ -92,13 +92,13 @@
 
 impl Scheduler {
     /// A scheduler that knows no server.
-    pub fn new(place: Location, budget: Budget) -> Self {
+    pub fn new(place: Location, budget: RetryBudget) -> Self {
         Self {
             registry: Registry::default(),
             loads: LoadTracker::default(),
             prefix_index: PrefixIndex::default(),
-            usage: Usage::default(),
-            budget,
+            account_usage: UsageTracker::default(),
+            retry_budget: budget,
             regions: Vec::new(),
             token_rate: 0.0,
             place,
@@ -107,7 +107,7 @@
             line: SlotMap::with_key(),
             fleet: BTreeMap::new(),
             shares: BTreeMap::new(),
-            shortages: Shortages::default(),
+            shortages: UnmetDemandTracker::default(),
             strays: VecDeque::new(),
             heard_strays: VecDeque::new(),
             shared: None,
@@ -120,7 +120,7 @@
     }
 
     /// Decides on a request that came, or that its server did not run.
-    pub fn submit(&mut self, request: &Request, now: Instant) -> Verdict {
+    pub fn submit(&mut self, request: &Request, now: Instant) -> Admission {
         self.count(request, now);
         self.work_out(now);
         let blocked = self.is_blocked(request, now);
@@ -129,25 +129,25 @@
             && !blocked
         {
             match self.place(request, &kept, now) {
-                Ok(choice) => return Verdict::Decided(Ok(choice)),
-                Err(PlacementError::NoServer) => return Verdict::Decided(Err(NO_SERVER)),
+                Ok(choice) => return Admission::Decided(Ok(choice)),
+                Err(PlacementError::NoServer) => return Admission::Decided(Err(NO_SERVER)),
                 Err(PlacementError::TooLong) => {
-                    return Verdict::Decided(Err(self.refuse(request, Cause::TooLong, now)));
+                    return Admission::Decided(Err(self.refuse(request, Cause::TooLong, now)));
                 }
                 Err(PlacementError::AllFull) => {}
                 Err(PlacementError::HomesFull(full)) => homes = full,
             }
         }
         let (standing, cost) = (self.standing(request), request.shape.cost());
-        self.shortages.add(request.service, standing, cost, now);
+        self.shortages.record(request.service, standing, cost, now);
         if blocked {
-            return Verdict::Decided(Err(self.refuse(request, Cause::OthersOwed, now)));
+            return Admission::Decided(Err(self.refuse(request, Cause::OverFairShare, now)));
         }
         if self.line.len() >= MOST_WAITING || self.is_hopeless(request, now) {
-            return Verdict::Decided(Err(self.refuse(request, Cause::Crowd, now)));
+            return Admission::Decided(Err(self.refuse(request, Cause::QueueFull, now)));
         }
         let request = request.clone();
-        Verdict::Wait(self.line.insert(InLine { request, homes }))
+        Admission::Queued(self.line.insert(InLine { request, homes }))
     }
 
     /// Counts a request that came for the first time.
@@ -155,9 +155,10 @@
         if !request.tried.is_empty() {
             return;
         }
-        self.budget.came(request.service, now);
+        self.retry_budget.record_request(request.service, now);
         if let Some(account) = request.account {
-            self.usage.asked(account, request.shape.cost(), now);
+            self.account_usage
+                .record_requested(account, request.shape.cost(), now);
         }
     }
 
@@ -166,7 +167,7 @@
     /// Nobody passes one of the same service that goes before and finds no room: a long prompt would
     /// never be placed while short ones keep taking what comes free. One that waits for few servers keeps
     /// the others from just these.
-    pub fn dispatch_queued(&mut self, now: Instant) -> Vec<(Ticket, Decided)> {
+    pub fn dispatch_queued(&mut self, now: Instant) -> Vec<(Ticket, Decision)> {
         self.work_out(now);
         let mut order: Vec<Ticket> = self.line.keys().collect();
         order.sort_by_key(|t| self.rank(&self.line[*t].request));
@@ -185,17 +186,17 @@
     }
 
     /// Decides on one that waits; none when it stays in the line.
-    fn try_waiting(&mut self, ticket: Ticket, taken: &mut Taken, now: Instant) -> Option<Decided> {
+    fn try_waiting(&mut self, ticket: Ticket, taken: &mut Taken, now: Instant) -> Option<Decision> {
         let request = self.line[ticket].request.clone();
         let over = now >= patience_end(&request);
         if taken.services.contains(&request.service) || self.is_blocked(&request, now) {
-            return over.then(|| Err(self.refuse(&request, Cause::Waited, now)));
+            return over.then(|| Err(self.refuse(&request, Cause::QueueTimeout, now)));
         }
         match self.place(&request, &taken.servers, now) {
             Ok(choice) => Some(Ok(choice)),
             Err(PlacementError::NoServer) => Some(Err(NO_SERVER)),
             Err(PlacementError::TooLong) => Some(Err(self.refuse(&request, Cause::TooLong, now))),
-            Err(_full) if over => Some(Err(self.refuse(&request, Cause::Waited, now))),
+            Err(_full) if over => Some(Err(self.refuse(&request, Cause::QueueTimeout, now))),
             Err(PlacementError::AllFull) => {
                 taken.services.push(request.service);
                 self.line[ticket].homes.clear();
@@ -273,16 +274,16 @@
     }
 
     /// What a decision on `request` rests on now.
-    pub fn decision_context(&self, request: &Request, now: Instant) -> Outlook {
+    pub fn decision_context(&self, request: &Request, now: Instant) -> DecisionContext {
         let entries = self.registry.entries();
         let lack = self.better(request, now);
-        let mut outlook = Outlook {
+        let mut outlook = DecisionContext {
             share: self.share_of(request),
-            sums: self.sums_of(request),
-            waiting: self.line.len(),
-            short: lack.instances.into(),
-            lack: lack.cost,
-            ..Outlook::default()
+            usage: self.sums_of(request),
+            queue_len: self.line.len(),
+            unmet_instances: lack.instances.into(),
+            unmet_cost: lack.cost,
+            ..DecisionContext::default()
         };
         for (id, known) in entries.filter(|(_, k)| k.registration.service == request.service) {
             outlook.servers += 1;
@@ -330,10 +331,10 @@
                 .copied()
                 .unwrap_or_default()
                 .decayed(now),
-            time_left: (request.came + request.objective).saturating_duration_since(now),
+            time_left: (request.arrival + request.objective).saturating_duration_since(now),
             full_objective: request.objective,
-            capacity_fraction: allowance::part(share, calm),
-            max_copies: allowance::copies(share.standing),
+            capacity_fraction: allowance::capacity_fraction(share, calm),
+            max_copies: allowance::max_prefix_copies(share.status),
         };
         let choice = choose_server(&view, &ask, now)?;
         // Elsewhere it would begin sooner at the price of reading its shared part again, which is
@@ -359,7 +360,8 @@
         if let Some(account) = request.account
             && request.tried.is_empty()
         {
-            self.usage.got(account, request.shape.cost(), now);
+            self.account_usage
+                .record_served(account, request.shape.cost(), now);
         }
         Ok(choice)
     }
@@ -387,27 +389,28 @@
             .filter(move |w| w.request.service == service)
     }
 
-    fn rank(&self, request: &Request) -> (Standing, u32, Instant) {
-        (self.standing(request), request.priority, request.came)
+    fn rank(&self, request: &Request) -> (ShareStatus, u32, Instant) {
+        (self.standing(request), request.priority, request.arrival)
     }
 
-    fn standing(&self, request: &Request) -> Standing {
-        self.share_of(request).standing
+    fn standing(&self, request: &Request) -> ShareStatus {
+        self.share_of(request).status
     }
 
-    fn share_of(&self, request: &Request) -> Share {
+    fn share_of(&self, request: &Request) -> FairShare {
         let known = request.account.and_then(|a| self.shares.get(&a));
         known.copied().unwrap_or_default()
     }
 
-    fn sums_of(&self, request: &Request) -> Sums {
+    fn sums_of(&self, request: &Request) -> AccountUsage {
         let known = request.account.and_then(|a| self.fleet.get(&a));
         known.copied().unwrap_or_default()
     }
 
     /// What found no room lately, here or elsewhere, of accounts that are not beyond their share.
     fn better(&self, request: &Request, now: Instant) -> UnmetDemand {
-        self.shortages.before(request.service, Standing::Above, now)
+        self.shortages
+            .ahead_of(request.service, ShareStatus::AboveFairShare, now)
     }
 
     /// Tells whether accounts that go before this request's find no room, here or elsewhere.
@@ -415,31 +418,32 @@
     /// Only accounts that are owed shut others out. Accounts around an even part change sides several
     /// times a second; if one side shut out the other each time, servers would idle.
     fn is_blocked(&self, request: &Request, now: Instant) -> bool {
-        let standing = self.standing(request).min(Standing::Below);
-        let lack = self.shortages.before(request.service, standing, now);
-        shuts_out(lack, self.token_rate)
+        let standing = self.standing(request).min(ShareStatus::BelowFairShare);
+        let lack = self.shortages.ahead_of(request.service, standing, now);
+        preempts_others(lack, self.token_rate)
     }
 
     /// Work that found no room lately, for the others.
-    pub fn told_short(&self, now: Instant) -> Vec<(ServiceId, Standing, UnmetDemand)> {
-        self.shortages.told(now)
+    pub fn unmet_demand(&self, now: Instant) -> Vec<(ServiceId, ShareStatus, UnmetDemand)> {
+        self.shortages.report(now)
     }
 
     /// Prefixes that were sent to other servers than their homes lately, for the others.
     pub fn spilled_prefixes(&mut self, now: Instant) -> Vec<(PrefixKey, ServerId)> {
         self.strays
-            .retain(|(_, _, at)| now.duration_since(*at) < TOLD);
+            .retain(|(_, _, at)| now.duration_since(*at) < REPORT_TTL);
         self.strays.iter().map(|(f, s, _)| (*f, *s)).collect()
     }
 
     /// Takes what another instance tells.
     pub fn apply_report(&mut self, from: InstanceId, news: &InstanceReport, now: Instant) {
         self.loads.apply_peer_report(from, news.work.clone(), now);
-        self.usage.hear(from, news.usage.clone(), now);
+        self.account_usage
+            .apply_peer_report(from, news.usage.clone(), now);
         for (family, server) in &news.spilled {
             self.prefix_index.record_remote(*server, *family, now);
         }
-        self.shortages.hear(from, &news.unmet, now);
+        self.shortages.apply_peer_report(from, &news.unmet, now);
         for (family, server) in &news.spilled {
             push_stray(&mut self.heard_strays, *family, *server, now);
         }
@@ -453,8 +457,8 @@
         now: Instant,
     ) -> DomainMembers {
         let ids: Vec<InstanceId> = members.iter().map(|m| m.id).collect();
-        let short = self.shortages.sum(&ids, now);
-        let fresh = |at: &Instant| now.duration_since(*at) < TOLD;
+        let short = self.shortages.domain_sum(&ids, now);
+        let fresh = |at: &Instant| now.duration_since(*at) < REPORT_TTL;
         self.heard_strays.retain(|(_, _, at)| fresh(at));
         let all = self.strays.iter().chain(&self.heard_strays).rev();
         let strays = all.filter(|(_, _, at)| fresh(at));
@@ -472,7 +476,8 @@
     /// Takes what another failure domain tells of itself.
     pub fn apply_domain_members(&mut self, members: &DomainMembers, now: Instant) {
         let teller = domain_summary::source_id(members.domain, 0);
-        self.shortages.hear(teller, &members.unmet, now);
+        self.shortages
+            .apply_peer_report(teller, &members.unmet, now);
         for (family, server) in &members.spilled {
             self.prefix_index.record_remote(*server, *family, now);
         }
@@ -482,7 +487,8 @@
     pub fn apply_domain_work(&mut self, told: DomainWork, now: Instant) {
         let teller = told.source_id();
         if told.number == 0 {
-            self.usage.hear(teller, told.usage, now);
+            self.account_usage
+                .apply_peer_report(teller, told.usage, now);
         }
         self.loads.apply_peer_report(teller, told.work, now);
     }
@@ -510,7 +516,7 @@
         Refusal {
             code: Code::QueueLate,
             cause,
-            again: again.max(request.objective.mul_f64(PATIENCE)),
+            retry_after: again.max(request.objective.mul_f64(PATIENCE)),
         }
     }
 
@@ -537,8 +543,8 @@
         if self.token_rate <= 0.0 {
             return;
         }
-        self.fleet = self.usage.fleet(now);
-        self.shares = standings(&self.fleet, self.token_rate * FADE.as_secs_f64());
+        self.fleet = self.account_usage.fleet_totals(now);
+        self.shares = fair_shares(&self.fleet, self.token_rate * DECAY_TIME.as_secs_f64());
     }
 }
 
@@ -555,5 +561,5 @@
 }
 
 fn patience_end(request: &Request) -> Instant {
-    (request.came + request.objective.mul_f64(PATIENCE)).min(request.ends)
+    (request.arrival + request.objective.mul_f64(PATIENCE)).min(request.deadline)
 }
--- a/tests/testsuite/routing/departures.rs
+++ b/tests/testsuite/routing/departures.rs
@@ -4,7 +4,7 @@
 
 use hawthornmill::ident::ServerId;
 use hawthornmill::routing::departures::{Departure, RecentDepartures, Source};
-use hawthornmill::routing::request::Verdict;
+use hawthornmill::routing::request::Admission;
 
 use super::{change, entry, millis, request, scheduler, sent, shape};
 
@@ -46,7 +46,7 @@
 
     assert!(!late);
     let verdict = scheduler.submit(&request("lab", shape(1, 10, 10), now), now);
-    assert!(matches!(verdict, Verdict::Decided(Ok(_))), "{verdict:?}");
+    assert!(matches!(verdict, Admission::Decided(Ok(_))), "{verdict:?}");
 }
 
 /// Failure: each instance tells its whole failure domain what it has heard there, and datagrams grow with the square.
--- a/tests/testsuite/routing/domain_summary.rs
+++ b/tests/testsuite/routing/domain_summary.rs
@@ -7,7 +7,7 @@
 use hawthornmill::routing::domain_summary::{DomainWork, Member};
 use hawthornmill::routing::gossip::{InstanceReport, PeerInfo, PeerTable, StoreRole};
 use hawthornmill::routing::loads::{LoadTracker, Work};
-use hawthornmill::routing::usage::Sums;
+use hawthornmill::routing::usage::AccountUsage;
 use hawthornmill::wire::frame::DATAGRAM_LIMIT;
 use hawthornmill::wire::{Message, Sealer};
 use hawthornmill_test_support::news::news_of;
@@ -197,9 +197,9 @@
     let mut scheduler = scheduler(&[("s", "a")], now);
     let usage = vec![(
         AccountId::of("lab"),
-        Sums {
-            asked: 10.0,
-            got: 5.0,
+        AccountUsage {
+            requested: 10.0,
+            served: 5.0,
         },
     )];
     let told = DomainWork::parts(DomainId::of("b"), &[(server, ONE)], &usage);
@@ -212,7 +212,7 @@
 
     assert_eq!(scheduler.loads.total(server, now).running, 1);
     assert_eq!(
-        scheduler.usage.fleet(now)[&AccountId::of("lab")],
+        scheduler.account_usage.fleet_totals(now)[&AccountId::of("lab")],
         usage[0].1
     );
 }
@@ -257,11 +257,11 @@
             (ServerId::of(&format!("s{n}")), work)
         })
         .collect();
-    let sums = Sums {
-        asked: 1e7,
-        got: 1e7,
+    let sums = AccountUsage {
+        requested: 1e7,
+        served: 1e7,
     };
-    let usage: Vec<(AccountId, Sums)> = (0..30)
+    let usage: Vec<(AccountId, AccountUsage)> = (0..30)
         .map(|n| (AccountId::of(&format!("a{n}")), sums))
         .collect();
 
--- /dev/null
+++ b/tests/testsuite/routing/log_names.rs
@@ -0,0 +1,36 @@
+//! Names that log lines show for values whose variants are named otherwise in the code.
+
+use hawthornmill::routing::request::Cause;
+use hawthornmill::routing::usage::ShareStatus;
+
+/// Failure: a variant is renamed in the code, and the operators' tools no longer find refusals by their cause.
+#[test]
+fn renamed_causes_of_refusals_keep_their_log_names() {
+    let causes = [
+        Cause::NoServer,
+        Cause::OverFairShare,
+        Cause::TooLong,
+        Cause::QueueFull,
+        Cause::QueueTimeout,
+    ];
+
+    assert_eq!(
+        causes.map(Cause::log_name),
+        ["NoServer", "OthersOwed", "TooLong", "Crowd", "Waited"]
+    );
+}
+
+/// Failure: a variant is renamed in the code, and the operators' tools no longer find refusals by the account's share.
+#[test]
+fn renamed_share_statuses_keep_their_log_names() {
+    let statuses = [
+        ShareStatus::BelowGuarantee,
+        ShareStatus::BelowFairShare,
+        ShareStatus::AboveFairShare,
+    ];
+
+    assert_eq!(
+        statuses.map(ShareStatus::log_name),
+        ["Owed", "Below", "Above"]
+    );
+}
--- a/tests/testsuite/routing/many.rs
+++ b/tests/testsuite/routing/many.rs
@@ -6,7 +6,7 @@
 use hawthornmill::ident::{DomainId, InstanceId, ServerId};
 use hawthornmill::routing::gossip::{InstanceReport, PeerInfo};
 use hawthornmill::routing::placement::Placement;
-use hawthornmill::routing::request::{Decided, Request, Ticket, Verdict};
+use hawthornmill::routing::request::{Admission, Decision, Request, Ticket};
 use hawthornmill::routing::scheduler::Scheduler;
 use hawthornmill_test_support::news::news_of;
 
@@ -60,7 +60,7 @@
         let one = || {
             let mut scheduler = scheduler(&servers, now);
             scheduler.token_rate = PROMISED;
-            scheduler.budget.share_among(instances);
+            scheduler.retry_budget.observe_instances(instances);
             scheduler
         };
         Self {
@@ -74,14 +74,14 @@
 
     fn ask(&mut self, entry: usize, account: &'static str, wanted: &Request, now: Instant) {
         match self.desks[entry].submit(wanted, now) {
-            Verdict::Decided(decided) => self.decided(entry, account, decided, now),
-            Verdict::Wait(ticket) => {
+            Admission::Decided(decided) => self.decided(entry, account, decided, now),
+            Admission::Queued(ticket) => {
                 self.waiting.insert((entry, ticket), account);
             }
         }
     }
 
-    fn decided(&mut self, entry: usize, account: &'static str, decided: Decided, now: Instant) {
+    fn decided(&mut self, entry: usize, account: &'static str, decided: Decision, now: Instant) {
         let Ok(choice) = decided else { return };
         let free = self.free.entry(choice.server).or_insert(now);
         *free = (*free).max(now) + millis((f64::from(choice.work.pending_prefill) / READ) as u64);
@@ -133,9 +133,9 @@
         };
         let news = |scheduler: &mut Scheduler| InstanceReport {
             work: scheduler.loads.local(),
-            usage: scheduler.usage.own(now),
+            usage: scheduler.account_usage.local(now),
             spilled: scheduler.spilled_prefixes(now),
-            unmet: scheduler.told_short(now),
+            unmet: scheduler.unmet_demand(now),
             ..news_of(mate)
         };
         let all: Vec<InstanceReport> = self.desks.iter_mut().map(news).collect();
--- a/tests/testsuite/routing/mod.rs
+++ b/tests/testsuite/routing/mod.rs
@@ -1,6 +1,5 @@
 //! Decisions of the gateway in a fixed order, with a clock moved by hand and no socket.
 
-mod budget;
 mod departures;
 mod domain_summary;
 mod fragments;
@@ -8,26 +7,28 @@
 mod lag;
 mod link;
 mod loads;
+mod log_names;
 mod many;
 mod patience;
 mod placement;
 mod registry;
+mod retry_budget;
 mod route_table;
 mod scheduler;
-mod shares;
-mod shortage;
 mod ttft;
+mod unmet_demand;
+mod usage;
 
 use std::time::{Duration, Instant};
 
 use hawthornmill::ident::{AccountId, DomainId, RegionId, ServerId, ServiceId};
-use hawthornmill::routing::budget::{Budget, Terms};
 use hawthornmill::routing::catalog::{
     Account, Catalog, Engine, Limits, RetryPolicy, Route, Service, Target, TokenDigest,
 };
 use hawthornmill::routing::placement::{Location, Placement};
 use hawthornmill::routing::registry::{Change, Registration, RegistrationList};
-use hawthornmill::routing::request::{Request, Verdict};
+use hawthornmill::routing::request::{Admission, Request};
+use hawthornmill::routing::retry_budget::{RetryBudget, RetryBudgetConfig};
 use hawthornmill::routing::scheduler::Scheduler;
 use hawthornmill::routing::shape::{PromptPart, Shape};
 use smallvec::{SmallVec, smallvec};
@@ -120,7 +121,7 @@
 
 /// A scheduler in domain `a` of region `north` before `servers` in the domains named with them.
 fn scheduler(servers: &[(&str, &str)], now: Instant) -> Scheduler {
-    let terms = Terms {
+    let terms = RetryBudgetConfig {
         ratio: 0.2,
         extra: 50.0,
         window: Duration::from_secs(10),
@@ -129,7 +130,7 @@
         domain: DomainId::of("a"),
         region: RegionId::of("north"),
     };
-    let mut scheduler = Scheduler::new(place, Budget::new(terms, now));
+    let mut scheduler = Scheduler::new(place, RetryBudget::new(terms, now));
     let regions = [("a", "north"), ("b", "north"), ("c", "south")];
     scheduler.regions = regions
         .map(|(d, r)| (DomainId::of(d), RegionId::of(r)))
@@ -168,15 +169,15 @@
         shape,
         priority: 1,
         objective: millis(1_000),
-        came: now,
-        ends: now + millis(10_000),
+        arrival: now,
+        deadline: now + millis(10_000),
         tried: SmallVec::new(),
     }
 }
 
-fn sent(verdict: Verdict) -> Placement {
+fn sent(verdict: Admission) -> Placement {
     match verdict {
-        Verdict::Decided(Ok(choice)) => choice,
+        Admission::Decided(Ok(choice)) => choice,
         other => panic!("the request was not sent: {other:?}"),
     }
 }
--- a/tests/testsuite/routing/placement.rs
+++ b/tests/testsuite/routing/placement.rs
@@ -4,7 +4,7 @@
 
 use hawthornmill::ident::ServerId;
 use hawthornmill::routing::loads;
-use hawthornmill::routing::request::Verdict;
+use hawthornmill::routing::request::Admission;
 
 use super::{change, entry, millis, request, scheduler, sent, shape};
 
@@ -72,7 +72,7 @@
     let mut servers = Vec::new();
 
     for _ in 0..12 {
-        if let Verdict::Decided(Ok(choice)) =
+        if let Admission::Decided(Ok(choice)) =
             scheduler.submit(&request("lab", shape(7, 5_000, 8_000), now), now)
         {
             servers.push(choice.server);
@@ -162,7 +162,7 @@
 
     assert!(matches!(
         (first, second),
-        (Verdict::Decided(Ok(_)), Verdict::Decided(Ok(_)))
+        (Admission::Decided(Ok(_)), Admission::Decided(Ok(_)))
     ));
-    assert!(matches!(third, Verdict::Wait(_)));
+    assert!(matches!(third, Admission::Queued(_)));
 }
--- a/tests/testsuite/routing/budget.rs
+++ b/tests/testsuite/routing/retry_budget.rs
@@ -2,11 +2,11 @@
 
 use std::time::{Duration, Instant};
 
-use hawthornmill::routing::budget::{Budget, Terms};
+use hawthornmill::routing::retry_budget::{RetryBudget, RetryBudgetConfig};
 
 use super::drafter;
 
-const TERMS: Terms = Terms {
+const TERMS: RetryBudgetConfig = RetryBudgetConfig {
     ratio: 0.2,
     extra: 56.0,
     window: Duration::from_secs(10),
@@ -17,7 +17,7 @@
 #[test]
 fn instances_together_stay_within_the_budget_in_every_window() {
     let now = Instant::now();
-    let mut budgets: Vec<Budget> = (0..8).map(|_| Budget::new(TERMS, now)).collect();
+    let mut budgets: Vec<RetryBudget> = (0..8).map(|_| RetryBudget::new(TERMS, now)).collect();
     let mut again: Vec<(Duration, u32)> = Vec::new();
     let mut came: Vec<(Duration, u32)> = Vec::new();
 
@@ -25,9 +25,9 @@
         let time = Duration::from_millis(step * 100);
         let mut taken = 0;
         for budget in &mut budgets {
-            budget.share_among(8);
-            budget.came(drafter(), now + time);
-            while budget.take(drafter(), now + time) {
+            budget.observe_instances(8);
+            budget.record_request(drafter(), now + time);
+            while budget.try_acquire(drafter(), now + time) {
                 taken += 1;
             }
         }
@@ -56,11 +56,11 @@
 #[test]
 fn what_was_used_is_free_again_after_a_window() {
     let now = Instant::now();
-    let mut budget = Budget::new(TERMS, now);
-    while budget.take(drafter(), now) {}
+    let mut budget = RetryBudget::new(TERMS, now);
+    while budget.try_acquire(drafter(), now) {}
 
     let later = now + TERMS.window + Duration::from_secs(2);
 
-    assert!(!budget.take(drafter(), now + Duration::from_secs(5)));
-    assert!(budget.take(drafter(), later));
+    assert!(!budget.try_acquire(drafter(), now + Duration::from_secs(5)));
+    assert!(budget.try_acquire(drafter(), later));
 }
--- a/tests/testsuite/routing/scheduler.rs
+++ b/tests/testsuite/routing/scheduler.rs
@@ -5,9 +5,9 @@
 use hawthornmill::codes::Code;
 use hawthornmill::ident::{AccountId, InstanceId};
 use hawthornmill::routing::gossip::{InstanceReport, PeerInfo, UnmetDemand};
-use hawthornmill::routing::request::Verdict;
+use hawthornmill::routing::request::Admission;
 use hawthornmill::routing::scheduler::Scheduler;
-use hawthornmill::routing::usage::{Standing, Sums};
+use hawthornmill::routing::usage::{AccountUsage, ShareStatus};
 use hawthornmill_test_support::news::news_of;
 
 use super::{drafter, millis, request, scheduler, sent, shape};
@@ -33,15 +33,18 @@
 }
 
 /// Usage that puts `flood` far beyond its share.
-pub fn flooding() -> Vec<(AccountId, Sums)> {
-    let sums = Sums {
-        asked: 1e6,
-        got: 1e6,
+pub fn flooding() -> Vec<(AccountId, AccountUsage)> {
+    let sums = AccountUsage {
+        requested: 1e6,
+        served: 1e6,
     };
     vec![(AccountId::of("flood"), sums)]
 }
 
-pub fn news(short: Vec<(Standing, UnmetDemand)>, usage: Vec<(AccountId, Sums)>) -> InstanceReport {
+pub fn news(
+    short: Vec<(ShareStatus, UnmetDemand)>,
+    usage: Vec<(AccountId, AccountUsage)>,
+) -> InstanceReport {
     let address = "127.0.0.1:1".parse().expect("the address is well-formed");
     let mate = PeerInfo {
         client_addr: address,
@@ -62,7 +65,7 @@
     fill(&mut scheduler, now);
 
     let verdict = scheduler.submit(&request("lab", shape(1, 10, 10), now), now);
-    let Verdict::Wait(ticket) = verdict else {
+    let Admission::Queued(ticket) = verdict else {
         panic!("{verdict:?}")
     };
     let none = scheduler.dispatch_queued(now + millis(10));
@@ -93,7 +96,7 @@
     let mut scheduler = scheduler(ONE, now);
     fill(&mut scheduler, now);
     let verdict = scheduler.submit(&request("lab", shape(1, 10, 10), now), now);
-    assert!(matches!(verdict, Verdict::Wait(_)));
+    assert!(matches!(verdict, Admission::Queued(_)));
 
     let early = scheduler.dispatch_queued(now + millis(200));
     let late = scheduler.dispatch_queued(now + millis(310));
@@ -103,7 +106,7 @@
         panic!("{:?}", late[0].1)
     };
     assert_eq!(refusal.code, Code::QueueLate);
-    assert!(refusal.again >= millis(50));
+    assert!(refusal.retry_after >= millis(50));
     assert_eq!(scheduler.queue_len(), 0);
 }
 
@@ -114,7 +117,7 @@
 
     let verdict = scheduler.submit(&request("lab", shape(1, 10, 10), now), now);
 
-    let Verdict::Decided(Err(refusal)) = verdict else {
+    let Admission::Decided(Err(refusal)) = verdict else {
         panic!("{verdict:?}")
     };
     assert_eq!(refusal.code, Code::UpstreamUnreachable);
@@ -128,7 +131,7 @@
     let now = Instant::now();
     let mut scheduler = scheduler(ONE, now);
     scheduler.token_rate = 10.0;
-    let flood: Vec<Verdict> = (0..8)
+    let flood: Vec<Admission> = (0..8)
         .map(|step| {
             let at = now + millis(step * 250);
             scheduler.submit(&request("flood", shape(1, 10, 10), at), at)
@@ -138,8 +141,12 @@
     let later = now + millis(2_100);
     let small = scheduler.submit(&request("small", shape(1, 1, 1), later), later);
 
-    assert!(flood.iter().any(|v| !matches!(v, Verdict::Decided(Ok(_)))));
-    assert!(matches!(small, Verdict::Decided(Ok(_))));
+    assert!(
+        flood
+            .iter()
+            .any(|v| !matches!(v, Admission::Decided(Ok(_))))
+    );
+    assert!(matches!(small, Admission::Decided(Ok(_))));
 }
 
 /// So much waits to be read at the only server that a request would begin late behind it. Sent all
@@ -152,7 +159,7 @@
 
     let verdict = scheduler.submit(&request("lab", shape(2, 0, 10_000), now), now);
 
-    assert!(!matches!(verdict, Verdict::Decided(Ok(_))), "{verdict:?}");
+    assert!(!matches!(verdict, Admission::Decided(Ok(_))), "{verdict:?}");
 }
 
 /// A prompt is so long that reading it alone takes more than its objective. It is late wherever it
@@ -168,15 +175,15 @@
     };
     let mut calm = scheduler(ONE, now);
     let mut short = scheduler(ONE, now);
-    let told = vec![(Standing::Owed, ODD)];
+    let told = vec![(ShareStatus::BelowGuarantee, ODD)];
     short.apply_report(InstanceId::of("other"), &news(told, Vec::new()), now);
 
     let served = calm.submit(&long(), now);
     let held_back = short.submit(&long(), now);
 
-    assert!(matches!(served, Verdict::Decided(Ok(_))), "{served:?}");
+    assert!(matches!(served, Admission::Decided(Ok(_))), "{served:?}");
     assert!(
-        !matches!(held_back, Verdict::Decided(Ok(_))),
+        !matches!(held_back, Admission::Decided(Ok(_))),
         "{held_back:?}"
     );
 }
@@ -188,15 +195,15 @@
 fn a_prompt_that_is_late_on_idle_servers_tells_of_no_shortage() {
     let now = Instant::now();
     let mut scheduler = scheduler(ONE, now);
-    let told = vec![(Standing::Owed, ODD)];
+    let told = vec![(ShareStatus::BelowGuarantee, ODD)];
     scheduler.apply_report(InstanceId::of("other"), &news(told, Vec::new()), now);
     let mut long = request("lab", shape(1, 0, 20_000), now);
     long.objective = millis(100);
 
     let turned_away = scheduler.submit(&long, now);
 
-    assert!(matches!(turned_away, Verdict::Decided(Err(_))));
-    assert!(scheduler.told_short(now).is_empty());
+    assert!(matches!(turned_away, Admission::Decided(Err(_))));
+    assert!(scheduler.unmet_demand(now).is_empty());
 }
 
 /// Failure: an account beyond its share waits before servers that nobody uses.
@@ -208,23 +215,29 @@
         scheduler.token_rate = 10.0;
         scheduler.apply_report(InstanceId::of("other"), &news(short, flooding()), now);
         let asks = (0..8).map(|_| scheduler.submit(&request("flood", shape(1, 10, 10), now), now));
-        asks.filter(|v| matches!(v, Verdict::Decided(Ok(_))))
+        asks.filter(|v| matches!(v, Admission::Decided(Ok(_))))
             .count()
     };
 
     let calm = placed(Vec::new());
-    let short = placed(vec![(Standing::Owed, ODD)]);
+    let short = placed(vec![(ShareStatus::BelowGuarantee, ODD)]);
 
     assert_eq!((calm, short), (4, 2));
 }
 
 /// Requests of `account` that find room at once of eight, where one account is far ahead of two others and one just
 /// has an even part, all ask for more, and `short` found no room elsewhere.
-fn placed_of_eight(account: &str, short: Vec<(Standing, UnmetDemand)>) -> usize {
+fn placed_of_eight(account: &str, short: Vec<(ShareStatus, UnmetDemand)>) -> usize {
     let now = Instant::now();
     let got = |name, got| {
         let asked = 1e6;
-        (AccountId::of(name), Sums { asked, got })
+        (
+            AccountId::of(name),
+            AccountUsage {
+                requested: asked,
+                served: got,
+            },
+        )
     };
     let usage = vec![
         got("ahead", 6e5),
@@ -236,14 +249,14 @@
     scheduler.token_rate = 10.0;
     scheduler.apply_report(InstanceId::of("other"), &news(short, usage), now);
     let asks = (0..8).map(|_| scheduler.submit(&request(account, shape(1, 10, 10), now), now));
-    asks.filter(|v| matches!(v, Verdict::Decided(Ok(_))))
+    asks.filter(|v| matches!(v, Admission::Decided(Ok(_))))
         .count()
 }
 
 /// Failure: each instance gives two accounts the same room, so the one that comes in by more gets three times as much.
 #[test]
 fn of_two_accounts_beyond_their_share_the_one_ahead_finds_less_room() {
-    let short = vec![(Standing::Owed, ODD)];
+    let short = vec![(ShareStatus::BelowGuarantee, ODD)];
 
     let (ahead, behind) = (
         placed_of_eight("ahead", short.clone()),
@@ -278,7 +291,7 @@
         let mut used: Vec<_> = (0..48)
             .filter_map(
                 |_| match scheduler.submit(&request(name, shape(1, 5_000, 10), now), now) {
-                    Verdict::Decided(Ok(choice)) => Some(choice.server),
+                    Admission::Decided(Ok(choice)) => Some(choice.server),
                     _ => None,
                 },
             )
@@ -298,7 +311,7 @@
     let now = Instant::now();
     let mut scheduler = scheduler(ONE, now);
     fill(&mut scheduler, now);
-    let Verdict::Wait(ticket) = scheduler.submit(&request("lab", shape(1, 10, 10), now), now)
+    let Admission::Queued(ticket) = scheduler.submit(&request("lab", shape(1, 10, 10), now), now)
     else {
         panic!("the request does not wait")
     };
@@ -378,14 +391,14 @@
     let mut scheduler = flooded(now);
     let long = request("flood", shape(1, 5_000, 10), now);
     let taken = std::iter::repeat_with(|| scheduler.submit(&long, now));
-    let waits = taken.take(48).any(|v| matches!(v, Verdict::Wait(_)));
+    let waits = taken.take(48).any(|v| matches!(v, Admission::Queued(_)));
     assert!(waits, "its homes never filled up");
 
     let then = now + millis(1);
     let next = scheduler.submit(&request("flood", shape(2, 10, 10), then), then);
     let later = scheduler.dispatch_queued(now + millis(10));
 
-    assert!(matches!(next, Verdict::Decided(Ok(_))), "{next:?}");
+    assert!(matches!(next, Admission::Decided(Ok(_))), "{next:?}");
     assert!(later.is_empty(), "the long prompt lost its place");
 }
 
@@ -398,9 +411,9 @@
     let mut homes = Vec::new();
     let ticket = loop {
         match scheduler.submit(&long, now) {
-            Verdict::Decided(Ok(choice)) => homes.push(choice),
-            Verdict::Wait(ticket) => break ticket,
-            other @ Verdict::Decided(_) => panic!("{other:?}"),
+            Admission::Decided(Ok(choice)) => homes.push(choice),
+            Admission::Queued(ticket) => break ticket,
+            other @ Admission::Decided(_) => panic!("{other:?}"),
         }
     };
     scheduler.finish(&homes[0], false);
@@ -409,7 +422,7 @@
     let second = scheduler.submit(&later, now + millis(1));
     let decided = scheduler.dispatch_queued(now + millis(1));
 
-    assert!(matches!(second, Verdict::Wait(_)), "{second:?}");
+    assert!(matches!(second, Admission::Queued(_)), "{second:?}");
     assert_eq!(
         decided.first().map(|(t, d)| (*t, d.is_ok())),
         Some((ticket, true))
@@ -426,8 +439,8 @@
     let refused = scheduler.submit(&long, now);
     let next = scheduler.submit(&request("flood", shape(2, 10, 10), now), now);
 
-    assert!(matches!(refused, Verdict::Decided(Err(_))), "{refused:?}");
-    assert!(matches!(next, Verdict::Decided(Ok(_))), "{next:?}");
+    assert!(matches!(refused, Admission::Decided(Err(_))), "{refused:?}");
+    assert!(matches!(next, Admission::Decided(Ok(_))), "{next:?}");
 }
 
 /// Failure: a request that may go to any server by now, and finds none, lets others pass as if it waited for few.
@@ -437,7 +450,7 @@
     let mut scheduler = flooded(now);
     let long = request("flood", shape(1, 5_000, 10), now);
     let mut placed = Vec::new();
-    while let Verdict::Decided(Ok(choice)) = scheduler.submit(&long, now) {
+    while let Admission::Decided(Ok(choice)) = scheduler.submit(&long, now) {
         placed.push(choice);
     }
     let home = placed[0].server;
@@ -456,7 +469,7 @@
     let behind = scheduler.submit(&request("flood", shape(2, 10, 10), then), then);
 
     assert!(turned.is_empty(), "{turned:?}");
-    assert!(matches!(behind, Verdict::Wait(_)), "{behind:?}");
+    assert!(matches!(behind, Admission::Queued(_)), "{behind:?}");
 }
 
 /// Failure: an instance whose process was behind took late answers for slow servers, and turned an account that is
@@ -472,11 +485,11 @@
     scheduler.finish(&choice, true);
 
     let later = now + millis(3_000);
-    let lacking = news(vec![(Standing::Below, MUCH)], Vec::new());
+    let lacking = news(vec![(ShareStatus::BelowFairShare, MUCH)], Vec::new());
     scheduler.apply_report(InstanceId::of("other"), &lacking, later);
     let verdict = scheduler.submit(&request("lab", shape(1, 10, 10), later), later);
 
-    assert!(matches!(verdict, Verdict::Decided(Ok(_))), "{verdict:?}");
+    assert!(matches!(verdict, Admission::Decided(Ok(_))), "{verdict:?}");
 }
 
 /// Requests of `hot`, which come in at `entries` instances alike, that this one sends at once while others are owed
@@ -486,26 +499,28 @@
     let mut scheduler = scheduler(&[("a1", "a"), ("a2", "a"), ("a3", "a"), ("a4", "a")], now);
     let cost = shape(1, 10, 10).cost();
     scheduler.token_rate = 20.0 * cost;
-    let elsewhere = Sums {
-        asked: (cost * 100.0 * f64::from(entries - 1)) as f32,
-        got: 0.0,
+    let elsewhere = AccountUsage {
+        requested: (cost * 100.0 * f64::from(entries - 1)) as f32,
+        served: 0.0,
     };
-    let other = Sums {
-        asked: (cost * 1_000.0) as f32,
-        got: (cost * 10.0) as f32,
+    let other = AccountUsage {
+        requested: (cost * 1_000.0) as f32,
+        served: (cost * 10.0) as f32,
     };
     let usage = vec![
         (AccountId::of("hot"), elsewhere),
         (AccountId::of("other"), other),
     ];
-    let told = news(vec![(Standing::Owed, MUCH)], usage);
+    let told = news(vec![(ShareStatus::BelowGuarantee, MUCH)], usage);
     for _ in 0..100 {
-        scheduler.usage.asked(AccountId::of("hot"), cost, now);
+        scheduler
+            .account_usage
+            .record_requested(AccountId::of("hot"), cost, now);
     }
     scheduler.apply_report(InstanceId::of("elsewhere"), &told, now);
     let ask = |_| scheduler.submit(&request("hot", shape(1, 10, 10), now), now);
-    let verdicts: Vec<Verdict> = (0..32).map(ask).collect();
-    let placed = |v: &&Verdict| matches!(v, Verdict::Decided(Ok(_)));
+    let verdicts: Vec<Admission> = (0..32).map(ask).collect();
+    let placed = |v: &&Admission| matches!(v, Admission::Decided(Ok(_)));
     verdicts.iter().filter(placed).count()
 }
 
--- a/tests/testsuite/routing/shortage.rs
+++ b/tests/testsuite/routing/unmet_demand.rs
@@ -4,8 +4,8 @@
 
 use hawthornmill::ident::InstanceId;
 use hawthornmill::routing::gossip::UnmetDemand;
-use hawthornmill::routing::request::Verdict;
-use hawthornmill::routing::usage::Standing;
+use hawthornmill::routing::request::Admission;
+use hawthornmill::routing::usage::ShareStatus;
 
 use super::scheduler::{MUCH, ODD, ONE, fill, flooded, flooding, news};
 use super::{drafter, millis, request, scheduler, shape};
@@ -18,7 +18,7 @@
     let now = Instant::now();
     let mut scheduler = scheduler(ONE, now);
     scheduler.token_rate = 10.0;
-    let told = news(vec![(Standing::Owed, MUCH)], flooding());
+    let told = news(vec![(ShareStatus::BelowGuarantee, MUCH)], flooding());
     scheduler.apply_report(InstanceId::of("other"), &told, now);
 
     let refused = scheduler.submit(&request("flood", shape(1, 10, 10), now), now);
@@ -31,16 +31,16 @@
     );
     let after = scheduler.submit(&request("flood", shape(1, 10, 10), later), later);
 
-    assert!(matches!(refused, Verdict::Decided(Err(_))));
-    assert!(matches!(owed, Verdict::Decided(Ok(_))));
-    assert!(matches!(after, Verdict::Decided(Ok(_))));
+    assert!(matches!(refused, Admission::Decided(Err(_))));
+    assert!(matches!(owed, Admission::Decided(Ok(_))));
+    assert!(matches!(after, Admission::Decided(Ok(_))));
 }
 
 /// Failure: of two accounts around an even part, each shuts the other out in turn while servers idle.
 #[test]
 fn only_an_account_that_is_owed_shuts_others_out() {
     let now = Instant::now();
-    let asks = |better: Standing| {
+    let asks = |better: ShareStatus| {
         let mut scheduler = scheduler(ONE, now);
         scheduler.token_rate = 10.0;
         let told = news(vec![(better, MUCH)], flooding());
@@ -48,10 +48,13 @@
         scheduler.submit(&request("flood", shape(1, 10, 10), now), now)
     };
 
-    let (owed, below) = (asks(Standing::Owed), asks(Standing::Below));
+    let (owed, below) = (
+        asks(ShareStatus::BelowGuarantee),
+        asks(ShareStatus::BelowFairShare),
+    );
 
-    assert!(matches!(owed, Verdict::Decided(Err(_))), "{owed:?}");
-    assert!(matches!(below, Verdict::Decided(Ok(_))), "{below:?}");
+    assert!(matches!(owed, Admission::Decided(Err(_))), "{owed:?}");
+    assert!(matches!(below, Admission::Decided(Ok(_))), "{below:?}");
 }
 
 /// Failure: an account that comes in by one instance is turned away there while others have twice as much; or a
@@ -63,15 +66,15 @@
         let mut scheduler = scheduler(ONE, now);
         scheduler.token_rate = 10_000.0;
         let lack = UnmetDemand { instances: 1, cost };
-        let told = news(vec![(Standing::Owed, lack)], flooding());
+        let told = news(vec![(ShareStatus::BelowGuarantee, lack)], flooding());
         scheduler.apply_report(InstanceId::of("other"), &told, now);
         scheduler.submit(&request("flood", shape(1, 10, 10), now), now)
     };
 
     let (odd, much) = (asks(500), asks(2_000));
 
-    assert!(matches!(odd, Verdict::Decided(Ok(_))), "{odd:?}");
-    assert!(matches!(much, Verdict::Decided(Err(_))), "{much:?}");
+    assert!(matches!(odd, Admission::Decided(Ok(_))), "{odd:?}");
+    assert!(matches!(much, Admission::Decided(Err(_))), "{much:?}");
 }
 
 /// Failure: work that was turned away shuts others out when nobody is turned away any more.
@@ -84,7 +87,7 @@
         let _waiting = scheduler.submit(&request("lab", shape(1, 100, 100), now), now);
     }
 
-    let cost = |after: u64| scheduler.told_short(now + millis(after))[0].2.cost;
+    let cost = |after: u64| scheduler.unmet_demand(now + millis(after))[0].2.cost;
 
     let whole = 3.0 * shape(1, 100, 100).cost();
     assert_eq!(cost(0), whole as u32);
@@ -104,11 +107,11 @@
     fill(&mut scheduler, now);
     let _waiting = scheduler.submit(&request("lab", shape(1, 10, 10), now), now);
 
-    let later = scheduler.told_short(now + millis(800));
-    let over = scheduler.told_short(now + millis(1_000));
+    let later = scheduler.unmet_demand(now + millis(800));
+    let over = scheduler.unmet_demand(now + millis(1_000));
 
     let keys: Vec<_> = later.iter().map(|(s, st, _)| (*s, *st)).collect();
-    assert_eq!(keys, [(drafter(), Standing::Owed)]);
+    assert_eq!(keys, [(drafter(), ShareStatus::BelowGuarantee)]);
     assert!(over.is_empty());
 }
 
@@ -118,10 +121,10 @@
     let now = Instant::now();
     let mut scheduler = flooded(now);
     scheduler.token_rate = 10_000.0;
-    let odd = news(vec![(Standing::Owed, ODD)], Vec::new());
+    let odd = news(vec![(ShareStatus::BelowGuarantee, ODD)], Vec::new());
     scheduler.apply_report(InstanceId::of("third"), &odd, now);
 
     let verdict = scheduler.submit(&request("flood", shape(1, 10, 10), now), now);
 
-    assert!(matches!(verdict, Verdict::Decided(Ok(_))), "{verdict:?}");
+    assert!(matches!(verdict, Admission::Decided(Ok(_))), "{verdict:?}");
 }
