--- a/crates/hawthornmill-gateway/src/endpoints.rs
+++ b/crates/hawthornmill-gateway/src/endpoints.rs
@@ -151,8 +151,9 @@
     let now = gateway.now();
     let peers = gateway.peers.borrow();
     let live = peers.live(now).filter(|(_, h)| h.ready && !h.leaving);
-    let mut all: Vec<(DomainId, SocketAddr)> =
-        live.map(|(_, h)| (h.mate.domain, h.mate.front)).collect();
+    let mut all: Vec<(DomainId, SocketAddr)> = live
+        .map(|(_, h)| (h.info.domain, h.info.client_addr))
+        .collect();
     if gateway.is_ready() {
         all.push((settings.domain, settings.listen.front));
     }
@@ -193,7 +194,7 @@
         (
             "registrations_revision",
             "Newest change known",
-            gauge(scheduler.registry.latest()),
+            gauge(scheduler.registry.latest_revision()),
         ),
         (
             "registrations",
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -12,17 +12,17 @@
 use hawthornmill::ident::{Incarnation, InstanceId, ServerId};
 use hawthornmill::limits::congestion::LinkMonitor;
 use hawthornmill::limits::load_shedding::LoadShedder;
-use hawthornmill::routing::budget::Budget;
 use hawthornmill::routing::catalog::Catalog;
+use hawthornmill::routing::departures::{Departure, RecentDepartures, Source};
+use hawthornmill::routing::fragments::ResponseCache;
+use hawthornmill::routing::gossip::{PeerTable, StoreRole};
 use hawthornmill::routing::lag::Lag;
-use hawthornmill::routing::leaving::{Leavers, Leaving, Source};
-use hawthornmill::routing::news::{Mates, Reading};
-use hawthornmill::routing::parts::RecentAnswers;
 use hawthornmill::routing::placement::{Location, Placement};
-use hawthornmill::routing::registry::{Change, List};
-use hawthornmill::routing::request::{Cause, Refusal, Request, Ticket, Verdict};
+use hawthornmill::routing::registry::{Change, RegistrationList};
+use hawthornmill::routing::request::{Admission, Cause, Refusal, Request, Ticket};
+use hawthornmill::routing::retry_budget::RetryBudget;
+use hawthornmill::routing::route_table::RouteTable;
 use hawthornmill::routing::scheduler::Scheduler;
-use hawthornmill::routing::table::Table;
 use serde_json::json;
 use slotmap::SecondaryMap;
 use tokio::sync::{Notify, oneshot, watch};
@@ -75,17 +75,17 @@
     /// Selects a server for each request.
     pub scheduler: RefCell<Scheduler>,
     /// Index of the current catalog, if there is one.
-    pub table: RefCell<Option<Rc<Table>>>,
+    pub table: RefCell<Option<Rc<RouteTable>>>,
     /// How long this instance has lacked a catalog that another one has.
     pub catalog_lag: RefCell<Lag>,
     /// Recent announcements that servers are leaving.
-    pub leaving_servers: RefCell<Leavers>,
+    pub leaving_servers: RefCell<RecentDepartures>,
     /// Encoded state that was recently sent to peers.
-    pub state_cache: RefCell<RecentAnswers>,
+    pub state_cache: RefCell<ResponseCache>,
     /// State that is being received from a peer.
     pub pending_state: PendingState,
     /// The other instances.
-    pub peers: RefCell<Mates>,
+    pub peers: RefCell<PeerTable>,
     /// Connections to servers.
     pub pool: Pool,
     /// Counters and histograms.
@@ -105,7 +105,7 @@
     /// Whether a list of registrations came from the store or a peer since the start.
     pub has_registrations: Cell<bool>,
     /// Whether this instance reads the store, and whether the store answers.
-    pub store_access: Cell<Reading>,
+    pub store_access: Cell<StoreRole>,
     /// Wakes the dispatch loop: a slot became free, or another input of queued requests changed.
     pub queue_wakeup: Notify,
     /// Wakes the gossip task: something changed that peers should learn at once.
@@ -129,8 +129,10 @@
             domain: settings.domain,
             region: settings.region,
         };
-        let mut scheduler =
-            Scheduler::new(place, Budget::new(settings.guarantees.resend_budget, now));
+        let mut scheduler = Scheduler::new(
+            place,
+            RetryBudget::new(settings.guarantees.resend_budget, now),
+        );
         scheduler.regions.clone_from(&settings.regions);
         Rc::new(Self {
             id: InstanceId::of(&settings.name),
@@ -144,7 +146,7 @@
             leaving_servers: RefCell::default(),
             state_cache: RefCell::default(),
             pending_state: PendingState::default(),
-            peers: RefCell::new(Mates::new(place.domain)),
+            peers: RefCell::new(PeerTable::new(place.domain)),
             pool: Pool::default(),
             metrics: Metrics::default(),
             connections: Cell::new(0),
@@ -154,7 +156,7 @@
             in_flight: Cell::new(0),
             body_bytes: Cell::new(0),
             has_registrations: Cell::new(false),
-            store_access: Cell::new(Reading::Answered),
+            store_access: Cell::new(StoreRole::Connected),
             queue_wakeup: Notify::new(),
             news_wakeup: Notify::new(),
             work_wakeup: Notify::new(),
@@ -180,7 +182,7 @@
     }
 
     /// Returns the index of the current catalog.
-    pub fn table(&self) -> Option<Rc<Table>> {
+    pub fn table(&self) -> Option<Rc<RouteTable>> {
         self.table.borrow().clone()
     }
 
@@ -221,8 +223,11 @@
             .guarantees
             .apply_time
             .mul_f64(OUTDATED_FACTOR);
-        self.catalog_lag.borrow().time(now) > late
-            && self.peers.borrow().has_newer(self.catalog_version(), now)
+        self.catalog_lag.borrow().duration(now) > late
+            && self
+                .peers
+                .borrow()
+                .has_newer_catalog(self.catalog_version(), now)
     }
 
     /// Makes `catalog` the current one, unless its version is not newer; `from` is logged.
@@ -231,13 +236,13 @@
         if version <= before {
             return;
         }
-        match Table::new(catalog) {
+        match RouteTable::new(catalog) {
             Ok(table) => {
                 let fields = json!({"version": version, "before": before, "from": from});
                 event_log::state_change("catalog_in_force", fields);
                 self.scheduler.borrow_mut().token_rate = table.limits().token_rate;
                 *self.table.borrow_mut() = Some(Rc::new(table));
-                self.catalog_lag.borrow_mut().reach(version);
+                self.catalog_lag.borrow_mut().catch_up(version);
                 self.queue_wakeup.notify_one();
                 self.news_wakeup.notify_one();
             }
@@ -251,12 +256,12 @@
     /// Records that a peer uses the catalog of `version`.
     pub fn observe_version(&self, version: u64) {
         let (own, now) = (self.catalog_version(), self.now());
-        self.catalog_lag.borrow_mut().hear(version, own, now);
+        self.catalog_lag.borrow_mut().observe(version, own, now);
     }
 
     /// Applies a change of one registration.
     pub fn apply_change(&self, change: Change, from: &str) {
-        let (told, leaving) = (describe_change(&change, from), change.leaving());
+        let (told, leaving) = (describe_change(&change, from), change.departure());
         if self.scheduler.borrow_mut().apply_change(change, self.now()) {
             event_log::state_change("registration", told);
             self.queue_wakeup.notify_one();
@@ -267,9 +272,9 @@
     }
 
     /// Applies announcements of a peer that servers are leaving.
-    pub fn apply_leaving(&self, all: &[Leaving]) {
+    pub fn apply_leaving(&self, all: &[Departure]) {
         for leaving in all {
-            if self.scheduler.borrow_mut().registry.leaves(*leaving) {
+            if self.scheduler.borrow_mut().registry.mark_draining(*leaving) {
                 let server = self.server_name(leaving.server);
                 let fields = json!({"server": server, "revision": leaving.revision});
                 event_log::state_change("registration_leaving", fields);
@@ -278,10 +283,10 @@
         }
     }
 
-    fn announce_leaving(&self, leaving: Leaving, source: Source) {
+    fn announce_leaving(&self, leaving: Departure, source: Source) {
         self.leaving_servers
             .borrow_mut()
-            .hear(leaving, source, self.now());
+            .record(leaving, source, self.now());
         self.news_wakeup.notify_one();
     }
 
@@ -291,17 +296,17 @@
     pub fn suspect_removal(&self, server: ServerId, revision: u64) {
         let registry = &mut self.scheduler.borrow_mut().registry;
         if let Some(known) = registry.get(server) {
-            let fields = json!({"server": known.entry.name, "revision": revision});
+            let fields = json!({"server": known.registration.name, "revision": revision});
             event_log::state_change("registration_doubted", fields);
         }
-        registry.doubt_anew(server, revision, self.now());
+        registry.mark_unconfirmed(server, revision, self.now());
     }
 
     /// Applies a complete list of registrations.
-    pub fn apply_registrations(&self, list: List, from: &str) {
+    pub fn apply_registrations(&self, list: RegistrationList, from: &str) {
         let fields = json!({
-            "servers": list.entries.len(), "doubted": list.doubted.len(), "revision": list.revision,
-            "store_was_away": list.away, "from": from,
+            "servers": list.entries.len(), "doubted": list.unconfirmed.len(), "revision": list.revision,
+            "store_was_away": list.after_outage, "from": from,
         });
         event_log::state_change("registrations_listed", fields);
         self.scheduler
@@ -319,14 +324,14 @@
         let verdict = self.scheduler.borrow_mut().submit(request, self.now());
         self.announce_work();
         let decided = match verdict {
-            Verdict::Decided(decided) => return decided,
-            Verdict::Wait(ticket) => self.wait_for_decision(ticket).await,
+            Admission::Decided(decided) => return decided,
+            Admission::Queued(ticket) => self.wait_for_decision(ticket).await,
         };
         // The sender is only dropped together with the gateway.
         decided.unwrap_or(Err(Refusal {
             code: Code::NotReady,
             cause: Cause::NoServer,
-            again: request.objective,
+            retry_after: request.objective,
         }))
     }
 
@@ -380,14 +385,14 @@
             .borrow()
             .registry
             .get(server)
-            .map(|k| k.entry.service)
+            .map(|k| k.registration.service)
         else {
             return 0;
         };
         let table = self.table();
-        let bound = table.and_then(|t| Some(t.service(service)?.connections as usize));
+        let bound = table.and_then(|t| Some(t.service(service)?.max_connections as usize));
         match bound {
-            Some(bound) if bound > 0 => (bound / 2 / self.peers.borrow().most().max(1)).max(1),
+            Some(bound) if bound > 0 => (bound / 2 / self.peers.borrow().max_seen().max(1)).max(1),
             _ => usize::MAX,
         }
     }
@@ -396,12 +401,12 @@
     pub fn server_name(&self, server: ServerId) -> Box<str> {
         let scheduler = self.scheduler.borrow();
         let known = scheduler.registry.get(server);
-        known.map_or_else(|| "gone".into(), |k| k.entry.name.clone())
+        known.map_or_else(|| "gone".into(), |k| k.registration.name.clone())
     }
 }
 
 fn describe_change(change: &Change, from: &str) -> serde_json::Value {
-    match &change.entry {
+    match &change.registration {
         Some(entry) => json!({
             "server": entry.name, "address": entry.address.to_string(), "draining": entry.draining,
             "revision": change.revision, "from": from,
--- a/crates/hawthornmill-gateway/src/gossip.rs
+++ b/crates/hawthornmill-gateway/src/gossip.rs
@@ -7,16 +7,15 @@
 use std::time::{Duration, Instant};
 
 use hawthornmill::ident::{Incarnation, InstanceId};
-use hawthornmill::routing::digest::{DomainWork, Member};
-use hawthornmill::routing::news::{Mate, News, Seen};
+use hawthornmill::routing::domain_summary::{DomainWork, Member};
+use hawthornmill::routing::gossip::{InstanceReport, PeerChange, PeerInfo};
 use hawthornmill::wire::frame::{Frame, FrameError};
 use hawthornmill::wire::{Message, Opener};
 use serde_json::json;
 
 use crate::datagrams::{self, DatagramSocket};
-use crate::event_log;
 use crate::gateway::{Gateway, Phase};
-use crate::state_sync;
+use crate::{event_log, state_sync};
 
 /// Shortest time between two pieces of news.
 const MIN_NEWS_INTERVAL: Duration = Duration::from_millis(40);
@@ -43,7 +42,7 @@
             () = gateway.news_wakeup.notified() => tokio::time::sleep(MIN_NEWS_INTERVAL).await,
             () = gateway.work_wakeup.notified() => {
                 send_work(&gateway, &datagrams);
-                let large = gateway.peers.borrow().is_large();
+                let large = gateway.peers.borrow().is_large_fleet();
                 let interval = if large { MIN_WORK_INTERVAL_LARGE } else { MIN_WORK_INTERVAL };
                 tokio::time::sleep(interval).await;
                 continue;
@@ -56,13 +55,13 @@
         let targets = gateway
             .peers
             .borrow_mut()
-            .targets(&settings.seeds, round, now);
-        let fleet_size = gateway.peers.borrow().most();
+            .gossip_targets(&settings.seeds, round, now);
+        let fleet_size = gateway.peers.borrow().max_seen();
         gateway
             .scheduler
             .borrow_mut()
-            .budget
-            .share_among(fleet_size);
+            .retry_budget
+            .observe_instances(fleet_size);
         let news = build_news(&gateway, round, now);
         let others = targets.iter().filter(|t| **t != settings.listen.peer);
         datagrams.send(&Message::News(Box::new(news)), others.copied());
@@ -73,9 +72,9 @@
 
 /// Announces to nearby instances the servers that are leaving according to the store.
 fn send_leaving(gateway: &Gateway, datagrams: &DatagramSocket, now: Instant) {
-    let leaving = gateway.leaving_servers.borrow().near(now);
+    let leaving = gateway.leaving_servers.borrow().for_domain(now);
     if !leaving.is_empty() {
-        let targets = gateway.peers.borrow().near(now);
+        let targets = gateway.peers.borrow().broadcast_targets(now);
         datagrams.send(&Message::Leaving(leaving), targets);
     }
 }
@@ -86,11 +85,11 @@
     let Some(rank) = gateway.peers.borrow().relay_rank(gateway.id, now) else {
         return;
     };
-    let targets = gateway.peers.borrow().relays(rank, round, now);
+    let targets = gateway.peers.borrow().relay_targets(rank, round, now);
     if targets.is_empty() {
         return;
     }
-    let leaving = gateway.leaving_servers.borrow().far(now);
+    let leaving = gateway.leaving_servers.borrow().for_other_domains(now);
     let leaving = (!leaving.is_empty()).then_some(Message::Leaving(leaving));
     for message in leaving.into_iter().chain(domain_messages(gateway, now)) {
         datagrams.send(&message, targets.iter().copied());
@@ -102,32 +101,32 @@
     let peers = gateway.peers.borrow();
     let mut scheduler = gateway.scheduler.borrow_mut();
     let mut members: Vec<Member> = peers
-        .domain_mates(now)
+        .domain_peers(now)
         .map(|(id, h)| Member {
             id,
-            run: h.incarnation,
-            mate: h.mate,
+            incarnation: h.incarnation,
+            info: h.info,
             ready: h.ready,
             leaving: h.leaving,
-            reading: h.reading,
-            version: h.version,
+            store_role: h.store_role,
+            catalog_version: h.catalog_version,
             revision: h.revision,
         })
         .collect();
     let ids: Vec<InstanceId> = members.iter().map(|m| m.id).collect();
     members.push(Member {
         id: gateway.id,
-        run: gateway.incarnation,
-        mate: contact(gateway),
+        incarnation: gateway.incarnation,
+        info: contact(gateway),
         ready: gateway.is_ready(),
         leaving: gateway.phase() > Phase::Serving,
-        reading: gateway.store_access.get(),
-        version: gateway.catalog_version(),
-        revision: scheduler.registry.latest(),
+        store_role: gateway.store_access.get(),
+        catalog_version: gateway.catalog_version(),
+        revision: scheduler.registry.latest_revision(),
     });
     let work = scheduler.loads.domain_sum(&ids);
-    let mut usage = scheduler.usage.sum(&ids, now);
-    usage.sort_by(|a, b| b.1.asked.total_cmp(&a.1.asked));
+    let mut usage = scheduler.account_usage.domain_sum(&ids, now);
+    usage.sort_by(|a, b| b.1.requested.total_cmp(&a.1.requested));
     usage.truncate(MAX_REPORTED);
     let members = scheduler.domain_members(settings.domain, members, now);
     let parts = DomainWork::parts(settings.domain, &work, &usage);
@@ -137,11 +136,11 @@
         .collect()
 }
 
-fn contact(gateway: &Gateway) -> Mate {
+fn contact(gateway: &Gateway) -> PeerInfo {
     let settings = gateway.settings();
-    Mate {
-        front: settings.listen.front,
-        peer: settings.listen.peer,
+    PeerInfo {
+        client_addr: settings.listen.front,
+        peer_addr: settings.listen.peer,
         domain: settings.domain,
     }
 }
@@ -155,29 +154,29 @@
         work.truncate(MAX_REPORTED);
         work
     };
-    let targets = gateway.peers.borrow().near(gateway.now());
+    let targets = gateway.peers.borrow().broadcast_targets(gateway.now());
     datagrams.send(&Message::Work(work), targets);
 }
 
-fn build_news(gateway: &Gateway, round: u64, now: Instant) -> News {
+fn build_news(gateway: &Gateway, round: u64, now: Instant) -> InstanceReport {
     let mut scheduler = gateway.scheduler.borrow_mut();
     let mut work = scheduler.loads.local();
     work.truncate(MAX_REPORTED);
-    let mut usage = scheduler.usage.own(now);
-    usage.sort_by(|a, b| b.1.asked.total_cmp(&a.1.asked));
+    let mut usage = scheduler.account_usage.local(now);
+    usage.sort_by(|a, b| b.1.requested.total_cmp(&a.1.requested));
     usage.truncate(MAX_REPORTED);
-    News {
-        mate: contact(gateway),
+    InstanceReport {
+        info: contact(gateway),
         ready: gateway.is_ready(),
         leaving: gateway.phase() > Phase::Serving,
-        reading: gateway.store_access.get(),
-        version: gateway.catalog_version(),
-        revision: scheduler.registry.latest(),
+        store_role: gateway.store_access.get(),
+        catalog_version: gateway.catalog_version(),
+        revision: scheduler.registry.latest_revision(),
         work,
         usage,
-        strays: scheduler.spilled_prefixes(now),
-        short: scheduler.told_short(now),
-        others: gateway.peers.borrow().named(round, now),
+        spilled: scheduler.spilled_prefixes(now),
+        unmet: scheduler.unmet_demand(now),
+        known_peers: gateway.peers.borrow().peer_sample(round, now),
     }
 }
 
@@ -231,10 +230,10 @@
 ) {
     let now = gateway.now();
     let peers = gateway.peers.borrow();
-    if peers.relay_rank(gateway.id, now).is_none() || peers.is_domain_mate(from) {
+    if peers.relay_rank(gateway.id, now).is_none() || peers.is_domain_peer(from) {
         return;
     }
-    let domain_peers = peers.domain_mates(now).map(|(_, mate)| mate.mate.peer);
+    let domain_peers = peers.domain_peers(now).map(|(_, mate)| mate.info.peer_addr);
     datagrams.send_frame(frame, domain_peers);
 }
 
@@ -252,10 +251,10 @@
             .apply_peer_report(sender, work, now),
         Message::Members(told) if told.domain != own => {
             for member in told.members.iter().filter(|m| m.id != gateway.id) {
-                gateway.observe_version(member.version);
+                gateway.observe_version(member.catalog_version);
                 let mut peers = gateway.peers.borrow_mut();
-                if let Some(change) = peers.hear_member(member, now) {
-                    log_peer_change(change, member.mate.peer, peers.live(now).count());
+                if let Some(change) = peers.apply_member(member, now) {
+                    log_peer_change(change, member.info.peer_addr, peers.live(now).count());
                 }
             }
             gateway
@@ -273,15 +272,15 @@
     }
 }
 
-fn handle_news(gateway: &Gateway, sender: InstanceId, run: Incarnation, news: &News) {
+fn handle_news(gateway: &Gateway, sender: InstanceId, run: Incarnation, news: &InstanceReport) {
     let now = gateway.now();
-    gateway.observe_version(news.version);
+    gateway.observe_version(news.catalog_version);
     let mut peers = gateway.peers.borrow_mut();
-    if let Some(change) = peers.hear(sender, run, news, now) {
-        log_peer_change(change, news.mate.peer, peers.live(now).count());
+    if let Some(change) = peers.apply_report(sender, run, news, now) {
+        log_peer_change(change, news.info.peer_addr, peers.live(now).count());
     }
     let own = gateway.settings().domain;
-    if peers.is_large() && news.mate.domain != own {
+    if peers.is_large_fleet() && news.info.domain != own {
         // The totals of its domain include its work, which must not be counted twice.
         return;
     }
@@ -292,7 +291,7 @@
     }
 }
 
-fn log_peer_change(change: Seen, mate: SocketAddr, live: usize) {
+fn log_peer_change(change: PeerChange, mate: SocketAddr, live: usize) {
     let fields = json!({"mate": mate.to_string(), "how": format!("{change:?}"), "live": live});
     event_log::state_change("mate", fields);
 }
--- a/crates/hawthornmill-gateway/src/pending_state.rs
+++ b/crates/hawthornmill-gateway/src/pending_state.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 
-use hawthornmill::routing::parts::{Part, Reassembly};
+use hawthornmill::routing::fragments::{Fragment, Reassembly};
 use tokio::sync::Notify;
 
 /// The parts that were received so far.
@@ -22,9 +22,9 @@
     }
 
     /// Adds a part, unless it comes from another instance than the expected one.
-    pub fn add_part(&self, peer: SocketAddr, part: Part) {
+    pub fn add_part(&self, peer: SocketAddr, part: Fragment) {
         if self.peer.get() == Some(peer) {
-            self.reassembly.borrow_mut().take(part);
+            self.reassembly.borrow_mut().insert(part);
             self.part_received.notify_one();
         }
     }
--- a/crates/hawthornmill-gateway/src/proxy/admission.rs
+++ b/crates/hawthornmill-gateway/src/proxy/admission.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use hawthornmill::codes::Code;
-use hawthornmill::routing::catalog::Repeat;
+use hawthornmill::routing::catalog::RetryPolicy;
 use hawthornmill::routing::request::Request;
-use hawthornmill::routing::table::{Caller, split};
+use hawthornmill::routing::route_table::{Caller, pick_service};
 use smallvec::SmallVec;
 
 use super::error_response::ErrorResponse;
@@ -23,7 +23,7 @@
     /// What the scheduler decides on.
     pub request: Request,
     /// How often it may run.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
     /// Its answer is a stream of events.
     pub streaming: bool,
     /// Servers to which it may be sent at most.
@@ -76,16 +76,16 @@
         .get(names.token)
         .and_then(|v| parse_token(v, names.auth_scheme));
     let caller = table
-        .caller(route, token)
+        .authenticate(route, token)
         .ok_or_else(|| not_in_catalog(gateway, Code::BadToken))?;
     let left = parse_deadline(headers.get(names.deadline))?;
     let shape = (gateway.adapter.parse_shape)(headers)
         .map_err(|_why| ErrorResponse::new(Code::BadHeader))?;
-    let service = split(route, rand::random());
+    let service = pick_service(route, rand::random());
     let known = table.service(service);
     let account = match caller {
-        Caller::Known(account) => Some(account),
-        Caller::Anyone => None,
+        Caller::Account(account) => Some(account),
+        Caller::Anonymous => None,
     };
     let pending = Request {
         account: account.map(|a| a.id),
@@ -94,15 +94,15 @@
         shape,
         priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
         objective: route.objective,
-        came: request.received,
-        ends: request.received + left.map_or(route.timeout, |l| l.min(route.timeout)),
+        arrival: request.received,
+        deadline: request.received + left.map_or(route.timeout, |l| l.min(route.timeout)),
         tried: SmallVec::new(),
     };
     Ok(Admitted {
         request: pending,
-        repeat: route.repeat,
-        streaming: route.streams,
-        max_attempts: route.attempts.max(1),
+        repeat: route.retry_policy,
+        streaming: route.streaming,
+        max_attempts: route.max_attempts.max(1),
         account_name: account.map(|a| a.name.clone()),
         strip_token: table.has_accounts(),
         route_name: route.name.clone(),
@@ -114,7 +114,7 @@
 ///
 /// Only the newest catalog can say so for good.
 fn not_in_catalog(gateway: &Gateway, code: Code) -> ErrorResponse {
-    if gateway.catalog_lag.borrow().is_some() {
+    if gateway.catalog_lag.borrow().is_behind() {
         ErrorResponse::with_retry_after(Code::NotReady, CATALOG_RETRY)
     } else {
         ErrorResponse::new(code)
--- a/crates/hawthornmill-gateway/src/proxy/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -82,7 +82,7 @@
         Err(response) => return send_error(context, progress, &response, out).await,
     };
     progress.record_admitted(context.request, &admitted);
-    let ends = tokio::time::Instant::from_std(admitted.request.ends);
+    let ends = tokio::time::Instant::from_std(admitted.request.deadline);
     let try_servers = try_servers(context, &admitted, progress, out);
     if let Ok(end) = tokio::time::timeout_at(ends, try_servers).await {
         return end;
@@ -146,7 +146,7 @@
             now,
         );
         self.gateway.announce_work();
-        let whole = now.duration_since(request.came);
+        let whole = now.duration_since(request.arrival);
         self.gateway
             .metrics
             .response_started(&self.admitted.service_name, whole);
@@ -182,7 +182,7 @@
                 let refusal = Refusal {
                     code: Code::UpstreamUnreachable,
                     cause: Cause::NoServer,
-                    again: admitted.request.objective / 2,
+                    retry_after: admitted.request.objective / 2,
                 };
                 return end_without_server(context, progress, fallback, refusal, out).await;
             }
@@ -287,7 +287,7 @@
     let response = if progress.may_have_executed() {
         ErrorResponse::new(Code::UpstreamFailed)
     } else {
-        ErrorResponse::with_retry_after(refusal.code, refusal.again)
+        ErrorResponse::with_retry_after(refusal.code, refusal.retry_after)
     };
     send_error(context, progress, &response, out).await
 }
--- a/crates/hawthornmill-gateway/src/proxy/progress.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -20,13 +20,13 @@
     let scheduler = gateway.scheduler.borrow();
     let outlook = scheduler.decision_context(request, now);
     let fields = json!({
-        "code": refusal.code.number(), "cause": format!("{:?}", refusal.cause),
-        "again_ms": refusal.again.as_millis() as u64,
-        "waited_ms": now.duration_since(request.came).as_millis() as u64,
+        "code": refusal.code.number(), "cause": refusal.cause.log_name(),
+        "again_ms": refusal.retry_after.as_millis() as u64,
+        "waited_ms": now.duration_since(request.arrival).as_millis() as u64,
         "servers": outlook.servers, "draining": outlook.draining, "down": outlook.down,
-        "full": outlook.full, "waiting": outlook.waiting, "short_at": outlook.short,
-        "lack": outlook.lack, "standing": format!("{:?}", outlook.share.standing), "lead": outlook.share.lead,
-        "asked": outlook.sums.asked, "got": outlook.sums.got, "registrations": scheduler.registry.latest(),
+        "full": outlook.full, "waiting": outlook.queue_len, "short_at": outlook.unmet_instances,
+        "lack": outlook.unmet_cost, "standing": outlook.share.status.log_name(), "lead": outlook.share.usage_ratio,
+        "asked": outlook.usage.requested, "got": outlook.usage.served, "registrations": scheduler.registry.latest_revision(),
         "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway),
         "link_wait_ms": gateway.link.borrow().queueing_delay(now).as_millis() as u64,
     });
@@ -36,7 +36,7 @@
 /// How long this instance has known of a newer catalog than its own.
 fn lag_ms(gateway: &Gateway) -> u64 {
     let lag = gateway.catalog_lag.borrow();
-    lag.time(gateway.now()).as_millis() as u64
+    lag.duration(gateway.now()).as_millis() as u64
 }
 
 /// What is known of one request on its way.
@@ -69,7 +69,7 @@
             "route": admitted.route_name, "service": admitted.service_name, "account": admitted.account_name,
             "prompt_tokens": admitted.request.shape.prompt_tokens, "body_bytes": request.body.len(),
             "body_ms": request.received.duration_since(request.head_received).as_millis() as u64,
-            "time_left_ms": admitted.request.ends.duration_since(request.received).as_millis() as u64,
+            "time_left_ms": admitted.request.deadline.duration_since(request.received).as_millis() as u64,
         });
         event_log::request_step("admitted", &request.attempt_id, fields);
     }
@@ -86,7 +86,7 @@
         let fields = json!({
             "server": name, "waited_ms": waited.as_millis() as u64, "send": self.sends + 1,
             "tokens_before_first": choice.queued_prefill, "tokens_again": choice.duplicate_prefill, "stray": choice.spilled, "expected_ms": choice.expected_ttft.as_millis() as u64,
-            "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway), "registrations": gateway.scheduler.borrow().registry.latest(),
+            "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway), "registrations": gateway.scheduler.borrow().registry.latest_revision(),
         });
         event_log::request_step("sent", &request.attempt_id, fields);
         self.servers.push(name);
--- a/crates/hawthornmill-gateway/src/proxy/read.rs
+++ b/crates/hawthornmill-gateway/src/proxy/read.rs
@@ -60,10 +60,13 @@
     let limits = gateway
         .table()
         .map_or_else(Limits::default, |t| *t.limits());
-    if reader.buffer.is_empty() && !first_byte(gateway, reader, limits.idle_time).await {
+    if reader.buffer.is_empty() && !first_byte(gateway, reader, limits.idle_timeout).await {
         return ReadOutcome::Closed;
     }
-    let head = tokio::time::timeout(limits.header_time, whole_head(reader, limits.header_bytes));
+    let head = tokio::time::timeout(
+        limits.header_timeout,
+        whole_head(reader, limits.header_bytes),
+    );
     let head = match head.await {
         Ok(Ok(Some(head))) => head,
         Ok(Ok(None)) => return ReadOutcome::Closed,
@@ -90,7 +93,7 @@
         }
     }
     let began = gateway.now();
-    let body = whole_body(reader, framing, limits.body_bytes, limits.idle_time).await;
+    let body = whole_body(reader, framing, limits.body_bytes, limits.idle_timeout).await;
     match body {
         Ok(Some(body)) => ReadOutcome::Request(client_request(gateway, head, body, began)),
         Ok(None) => ReadOutcome::Closed,
--- a/crates/hawthornmill-gateway/src/proxy/retry.rs
+++ b/crates/hawthornmill-gateway/src/proxy/retry.rs
@@ -46,12 +46,12 @@
 
 /// Takes a second send for a request that may have run.
 pub fn try_retry(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
-    admitted.repeat.allowed() && take_budget(gateway, admitted, progress)
+    admitted.repeat.allows_retry() && take_budget(gateway, admitted, progress)
 }
 
 /// Tells whether the request may go to another server after one that may have run it.
 pub fn can_retry(admitted: &Admitted, progress: &RequestProgress) -> bool {
-    admitted.repeat.allowed() && progress.sends < admitted.max_attempts
+    admitted.repeat.allows_retry() && progress.sends < admitted.max_attempts
 }
 
 fn take_budget(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
@@ -62,8 +62,8 @@
     let taken = gateway
         .scheduler
         .borrow_mut()
-        .budget
-        .take(service, gateway.now());
+        .retry_budget
+        .try_acquire(service, gateway.now());
     if taken {
         gateway.metrics.request_resent(&admitted.service_name);
     }
--- a/crates/hawthornmill-gateway/src/settings.rs
+++ b/crates/hawthornmill-gateway/src/settings.rs
@@ -7,7 +7,7 @@
 use hawthornmill::codes::Code;
 use hawthornmill::ident::{DomainId, RegionId};
 use hawthornmill::ini::{Diagnostic, Reader, Section};
-use hawthornmill::routing::budget::Terms;
+use hawthornmill::routing::retry_budget::RetryBudgetConfig;
 
 const SECTIONS: &[&str] = &[
     "instance",
@@ -44,7 +44,7 @@
     /// Time for which clients may cache a response of the directory.
     pub directory_ttl: Duration,
     /// Budget of the whole fleet for sending requests to another server.
-    pub resend_budget: Terms,
+    pub resend_budget: RetryBudgetConfig,
 }
 
 /// Settings of a gateway process.
@@ -195,7 +195,7 @@
         apply_time: reader.millis(section, "apply_ms", 3_000.0),
         shutdown_grace: seconds(reader, section, "grace_s", 8.0),
         directory_ttl: seconds(reader, section, "ttl_s", 1.0),
-        resend_budget: Terms {
+        resend_budget: RetryBudgetConfig {
             ratio: reader.number_in(section, "resend_ratio", 0.1, 0.0..=1.0),
             extra: reader.number_in(section, "resend_extra", 20.0, 0.0..=1e6),
             window: seconds(reader, section, "resend_window_s", 10.0),
--- a/crates/hawthornmill-gateway/src/state_sync.rs
+++ b/crates/hawthornmill-gateway/src/state_sync.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 use hawthornmill::limits::timeout::{self, AdaptiveTimeout};
-use hawthornmill::routing::news::{Heard, Knowledge, Pull};
-use hawthornmill::routing::parts::{self, Outcome, Reassembly, Wanted};
-use hawthornmill::routing::registry::List;
+use hawthornmill::routing::fragments::{self, FragmentRequest, Outcome, Reassembly};
+use hawthornmill::routing::gossip::{PeerState, SyncRequest, SyncResponse};
+use hawthornmill::routing::registry::RegistrationList;
 use hawthornmill::wire::{Message, Opener, Sealer};
 use hawthornmill_process::frames;
 use serde_json::json;
@@ -34,16 +34,24 @@
 const MAX_EMPTY_ROUNDS: usize = 2;
 
 /// Sends the parts of this instance's state that `wanted` asks for.
-pub fn send_parts(gateway: &Gateway, datagrams: &DatagramSocket, to: SocketAddr, wanted: &Wanted) {
+pub fn send_parts(
+    gateway: &Gateway,
+    datagrams: &DatagramSocket,
+    to: SocketAddr,
+    wanted: &FragmentRequest,
+) {
     let newest = || {
-        let whole = postcard::to_allocvec(&collect_knowledge(gateway, wanted.pull));
+        let whole = postcard::to_allocvec(&collect_knowledge(gateway, wanted.sync));
         whole.unwrap_or_else(|error| {
             log::error!(target: "mates", "can't encode the state for a peer: {error}");
             Vec::new()
         })
     };
     let now = gateway.now();
-    let parts = gateway.state_cache.borrow_mut().parts(wanted, newest, now);
+    let parts = gateway
+        .state_cache
+        .borrow_mut()
+        .fragments(wanted, newest, now);
     for part in parts {
         datagrams.send(&Message::Part(part), [to]);
     }
@@ -62,7 +70,7 @@
     gateway: &Gateway,
     datagrams: &DatagramSocket,
     peer: SocketAddr,
-    pull: Pull,
+    pull: SyncRequest,
 ) -> Result<(), PullError> {
     let began = gateway.now();
     let answer = receive_parts(gateway, datagrams, peer, pull).await;
@@ -76,28 +84,28 @@
     gateway: &Gateway,
     datagrams: &DatagramSocket,
     peer: SocketAddr,
-    pull: Pull,
-) -> Result<Knowledge, PullError> {
+    pull: SyncRequest,
+) -> Result<SyncResponse, PullError> {
     let pending = &gateway.pending_state;
     pending.start(peer);
     let mut empty = 0;
     while empty < MAX_EMPTY_ROUNDS {
-        let (before, wanted) = pending.with_reassembly(|a| (a.count(), a.wanted(pull)));
+        let (before, wanted) = pending.with_reassembly(|a| (a.received(), a.request(pull)));
         datagrams.send(&Message::Wanted(wanted), [peer]);
-        let round = parts::round(gateway.strain.get().lag(gateway.now()));
+        let round = fragments::round_timeout(gateway.strain.get().lag(gateway.now()));
         let _over = tokio::time::timeout(round, pending.wait_complete()).await;
         match pending.with_reassembly(|a| a.outcome().cloned()) {
-            Some(Outcome::Whole(whole)) => return decode_knowledge(&whole),
+            Some(Outcome::Complete(whole)) => return decode_knowledge(&whole),
             Some(Outcome::TooLarge) => return Err(PullError::TooLarge),
             None => {}
         }
-        let came = pending.with_reassembly(Reassembly::count) > before;
+        let came = pending.with_reassembly(Reassembly::received) > before;
         empty = if came { 0 } else { empty + 1 };
     }
     Err(PullError::Silent)
 }
 
-fn decode_knowledge(whole: &[u8]) -> Result<Knowledge, PullError> {
+fn decode_knowledge(whole: &[u8]) -> Result<SyncResponse, PullError> {
     postcard::from_bytes(whole).map_err(|error| {
         log::warn!(target: "mates", "can't decode the state of a peer: {error}");
         PullError::Unreadable
@@ -113,9 +121,9 @@
         tokio::time::sleep(CHECK_INTERVAL).await;
         let now = gateway.now();
         skipped.retain(|(_, at)| now.duration_since(*at) < RETRY_DELAY);
-        let pull = Pull {
-            version: gateway.catalog_version(),
-            revision: gateway.scheduler.borrow().registry.latest(),
+        let pull = SyncRequest {
+            catalog_version: gateway.catalog_version(),
+            revision: gateway.scheduler.borrow().registry.latest_revision(),
         };
         let ahead = peers_ahead(&gateway, pull, &skipped);
         if ahead.is_empty() {
@@ -127,7 +135,7 @@
         }
         let mut all_answered = true;
         for heard in ahead {
-            let peer = heard.mate.peer;
+            let peer = heard.info.peer_addr;
             skipped.push((peer, now));
             let pulled = match pull_by_datagrams(&gateway, &datagrams, peer, pull).await {
                 Ok(()) => true,
@@ -155,12 +163,12 @@
 /// Returns the peers to ask for newer state than `pull` names, except those in `skipped`.
 fn peers_ahead(
     gateway: &Gateway,
-    pull: Pull,
+    pull: SyncRequest,
     skipped: &[(SocketAddr, Instant)],
-) -> SmallVec<[Heard; 2]> {
+) -> SmallVec<[PeerState; 2]> {
     let skipped: Vec<SocketAddr> = skipped.iter().map(|(peer, _)| *peer).collect();
     let peers = gateway.peers.borrow();
-    peers.ahead(pull.version, pull.revision, &skipped, gateway.now())
+    peers.sync_candidates(pull.catalog_version, pull.revision, &skipped, gateway.now())
 }
 
 /// Progress of a pull over a connection; the log shows the variant.
@@ -175,7 +183,7 @@
 async fn pull_by_connection(
     gateway: &Gateway,
     peer: SocketAddr,
-    pull: Pull,
+    pull: SyncRequest,
     patience: &mut AdaptiveTimeout,
 ) -> bool {
     let (began, step) = (gateway.now(), Cell::new(Step::Connecting));
@@ -198,7 +206,7 @@
     let step = format!("{:?}", step.get());
     log_pull(gateway, peer, began, &step, why.as_deref());
     if why.is_some() {
-        patience.on_timeout(gateway.peers.borrow().is_heard_since(peer, began));
+        patience.on_timeout(gateway.peers.borrow().is_seen_since(peer, began));
     }
     why.is_none()
 }
@@ -211,30 +219,30 @@
     event_log::state_change("mate_asked", fields);
 }
 
-fn apply_knowledge(gateway: &Gateway, knowledge: Knowledge, from: SocketAddr) {
+fn apply_knowledge(gateway: &Gateway, knowledge: SyncResponse, from: SocketAddr) {
     let from = from.to_string();
     if let Some(catalog) = knowledge.catalog {
         gateway.apply_catalog(catalog, &from);
     }
-    if let Some(entries) = knowledge.servers {
-        let list = List {
+    if let Some(entries) = knowledge.registrations {
+        let list = RegistrationList {
             entries,
-            doubted: knowledge.doubted,
+            unconfirmed: knowledge.unconfirmed,
             revision: knowledge.revision,
-            away: false,
+            after_outage: false,
         };
         gateway.apply_registrations(list, &from);
         let registry = &mut gateway.scheduler.borrow_mut().registry;
-        registry.caught_up(knowledge.revision);
+        registry.advance_latest(knowledge.revision);
     }
 }
 
 async fn pull_knowledge(
     gateway: &Gateway,
     peer: SocketAddr,
-    pull: Pull,
+    pull: SyncRequest,
     step: &Cell<Step>,
-) -> std::io::Result<Knowledge> {
+) -> std::io::Result<SyncResponse> {
     let mut stream = connect_timeout(peer, timeout::MAX_TIMEOUT).await?;
     step.set(Step::Connected);
     let channel = stream.read_u64_le().await?;
@@ -304,15 +312,15 @@
     .await
 }
 
-fn collect_knowledge(gateway: &Gateway, pull: Pull) -> Knowledge {
+fn collect_knowledge(gateway: &Gateway, pull: SyncRequest) -> SyncResponse {
     let table = gateway.table();
-    let newer = table.filter(|t| t.version() > pull.version);
+    let newer = table.filter(|t| t.version() > pull.catalog_version);
     let scheduler = gateway.scheduler.borrow();
-    let latest = scheduler.registry.latest();
-    Knowledge {
+    let latest = scheduler.registry.latest_revision();
+    SyncResponse {
         catalog: newer.map(|t| t.catalog().clone()),
-        servers: (latest > pull.revision).then(|| scheduler.registry.snapshot()),
-        doubted: scheduler.registry.doubted(gateway.now()),
+        registrations: (latest > pull.revision).then(|| scheduler.registry.snapshot()),
+        unconfirmed: scheduler.registry.unconfirmed(gateway.now()),
         revision: latest,
     }
 }
--- a/crates/hawthornmill-gateway/src/store_watch.rs
+++ b/crates/hawthornmill-gateway/src/store_watch.rs
@@ -10,8 +10,8 @@
 
 use bytes::BytesMut;
 use hawthornmill::ident::ServerId;
-use hawthornmill::routing::news::Reading;
-use hawthornmill::routing::registry::{Change, List};
+use hawthornmill::routing::gossip::StoreRole;
+use hawthornmill::routing::registry::{Change, RegistrationList};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -113,13 +113,13 @@
         loop {
             let known = gateway.has_registrations.get() && gateway.catalog_version() > 0;
             let now = gateway.now();
-            if !known || gateway.peers.borrow().should_read(gateway.id, now) {
-                if gateway.store_access.get() == Reading::Idle {
-                    gateway.store_access.set(Reading::Answered);
+            if !known || gateway.peers.borrow().should_follow_store(gateway.id, now) {
+                if gateway.store_access.get() == StoreRole::Idle {
+                    gateway.store_access.set(StoreRole::Connected);
                 }
                 return;
             }
-            gateway.store_access.set(Reading::Idle);
+            gateway.store_access.set(StoreRole::Idle);
             tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
         }
     }
@@ -151,11 +151,11 @@
         match self.topic {
             Topic::Catalog => entries.iter().for_each(|i| self.apply_entry(i)),
             Topic::Servers => {
-                let list = List {
+                let list = RegistrationList {
                     entries: entries.iter().map(|i| self.parse_change(i)).collect(),
-                    doubted: Vec::new(),
+                    unconfirmed: Vec::new(),
                     revision,
-                    away,
+                    after_outage: away,
                 };
                 self.gateway.apply_registrations(list, "store");
             }
@@ -228,7 +228,7 @@
         Change {
             server: ServerId::of(name),
             revision: kv.revision,
-            entry,
+            registration: entry,
         }
     }
 
@@ -251,7 +251,7 @@
                 }
                 self.answered_at = now;
                 self.failures = 0;
-                self.gateway.store_access.set(Reading::Answered);
+                self.gateway.store_access.set(StoreRole::Connected);
             }
             Err(StoreError::HistoryLost) => {
                 event_log::state_change("store_history_lost", json!({"topic": topic}));
@@ -262,11 +262,11 @@
                     let fields = json!({"topic": topic, "how": format!("{failure:?}")});
                     event_log::state_change("store_lost", fields);
                 }
-                self.gateway.store_access.set(Reading::Lost);
+                self.gateway.store_access.set(StoreRole::Disconnected);
                 if now.duration_since(self.answered_at) > OUTAGE_THRESHOLD {
                     self.grace_until = Some(now + RETURN_GRACE);
                 }
-                let large = self.gateway.peers.borrow().is_large() && self.gateway.is_ready();
+                let large = self.gateway.peers.borrow().is_large_fleet() && self.gateway.is_ready();
                 let max_delay = if large {
                     MAX_RETRY_DELAY_LARGE
                 } else {
--- a/tests/testsuite/gateway/missed_updates.rs
+++ b/tests/testsuite/gateway/missed_updates.rs
@@ -4,16 +4,16 @@
 use std::time::Duration;
 
 use hawthornmill::ident::{DomainId, Incarnation, InstanceId, ServerId};
-use hawthornmill::routing::leaving::Leaving;
-use hawthornmill::routing::news::{Knowledge, Mate, News};
-use hawthornmill::routing::parts::split;
+use hawthornmill::routing::departures::Departure;
+use hawthornmill::routing::fragments::split_fragments;
+use hawthornmill::routing::gossip::{InstanceReport, PeerInfo, SyncResponse};
 use hawthornmill::wire::{Message, Opener, Sealer};
 use hawthornmill_test_support::news::news_of;
+use serde_json::json;
 
 use super::fleet::{Fleet, PEER_PORT, config, frame_key, request, route, send_request, wait_until};
 use super::store::Mode;
 use crate::block_on;
-use serde_json::json;
 
 fn with_route(version: u64, name: &str) -> String {
     let mut config = config(version);
@@ -62,13 +62,13 @@
     /// Announces `port` as the port for clients, and a catalog of `version`.
     async fn announce(&self, port: u16, version: u64) {
         let own = self.socket.local_addr().expect("the socket has an address");
-        let mate = Mate {
-            front: std::net::SocketAddr::new(own.ip(), port),
-            peer: own,
+        let mate = PeerInfo {
+            client_addr: std::net::SocketAddr::new(own.ip(), port),
+            peer_addr: own,
             domain: DomainId::of("a"),
         };
-        let news = News {
-            version,
+        let news = InstanceReport {
+            catalog_version: version,
             revision: 0,
             ..news_of(mate)
         };
@@ -78,7 +78,7 @@
     }
 
     /// Answers each pull with `knowledge`, but drops the first part each time.
-    async fn serve_parts(&self, knowledge: &Knowledge) {
+    async fn serve_parts(&self, knowledge: &SyncResponse) {
         let whole = postcard::to_allocvec(knowledge).expect("the state can be encoded");
         let mut opener = Opener::new(frame_key(), 0);
         let mut buffer = vec![0; 2_048];
@@ -90,7 +90,7 @@
                 .expect("a datagram arrives");
             let frame = opener.open(&buffer[..length]);
             if let Ok(Message::Wanted(wanted)) = frame.map(|f| f.message) {
-                let parts = split(&whole, &wanted);
+                let parts = split_fragments(&whole, &wanted);
                 let lost = usize::from(parts.len() > 1);
                 for part in parts.into_iter().skip(lost) {
                     self.send(&Message::Part(part)).await;
@@ -310,7 +310,7 @@
         let fleet = Fleet::start(1, 2).await;
         let front = fleet.gateways[0].front();
         let peer = Peer::bind(&fleet, 1).await;
-        let leaving = Leaving {
+        let leaving = Departure {
             server: ServerId::of("i-0"),
             revision: 1_000,
         };
@@ -337,10 +337,10 @@
         let front = fleet.gateways[0].front();
         let peer = Peer::bind(&fleet, 1).await;
         let catalog = hawthornmill_platform::catalog::parse(with_many_routes(2).as_bytes());
-        let knowledge = Knowledge {
+        let knowledge = SyncResponse {
             catalog: Some(catalog.expect("the catalog is valid")),
-            servers: None,
-            doubted: Vec::new(),
+            registrations: None,
+            unconfirmed: Vec::new(),
             revision: 0,
         };
         peer.announce(1_001, 2).await;
--- a/tests/testsuite/routing/mod.rs
+++ b/tests/testsuite/routing/mod.rs
@@ -1,40 +1,41 @@
 //! Decisions of the gateway in a fixed order, with a clock moved by hand and no socket.
 
-mod budget;
-mod digest;
+mod departures;
+mod domain_summary;
+mod fragments;
+mod gossip;
 mod lag;
-mod leaving;
 mod link;
 mod loads;
+mod log_names;
 mod many;
-mod mates;
-mod parts;
 mod patience;
 mod placement;
 mod registry;
+mod retry_budget;
+mod route_table;
 mod scheduler;
-mod shares;
-mod shortage;
-mod table;
 mod ttft;
+mod unmet_demand;
+mod usage;
 
 use std::time::{Duration, Instant};
 
 use hawthornmill::ident::{AccountId, DomainId, RegionId, ServerId, ServiceId};
-use hawthornmill::routing::budget::{Budget, Terms};
 use hawthornmill::routing::catalog::{
-    Account, Catalog, Engine, Limits, Repeat, Route, Service, Target, TokenDigest,
+    Account, Catalog, Engine, Limits, RetryPolicy, Route, Service, Target, TokenDigest,
 };
 use hawthornmill::routing::placement::{Location, Placement};
-use hawthornmill::routing::registry::{Change, List, Registration};
-use hawthornmill::routing::request::{Request, Verdict};
+use hawthornmill::routing::registry::{Change, Registration, RegistrationList};
+use hawthornmill::routing::request::{Admission, Request};
+use hawthornmill::routing::retry_budget::{RetryBudget, RetryBudgetConfig};
 use hawthornmill::routing::scheduler::Scheduler;
 use hawthornmill::routing::shape::{PromptPart, Shape};
 use smallvec::{SmallVec, smallvec};
 
 const ENGINE: Engine = Engine {
     slots: 8,
-    memory: 100_000,
+    kv_capacity: 100_000,
 };
 
 fn drafter() -> ServiceId {
@@ -54,12 +55,12 @@
             service: drafter(),
             weight: 1
         }],
-        repeat: Repeat::Free,
-        streams: false,
+        retry_policy: RetryPolicy::Idempotent,
+        streaming: false,
         timeout: millis(2_000),
         objective: millis(500),
         priority: 1,
-        attempts: 2,
+        max_attempts: 2,
         public: false,
     }
 }
@@ -80,7 +81,7 @@
         services: vec![Service {
             id: drafter(),
             name: "drafter".into(),
-            connections: 100,
+            max_connections: 100,
             engine: Some(ENGINE),
         }],
         accounts,
@@ -96,7 +97,7 @@
         domain: DomainId::of(domain),
         slots: 8,
         draining: false,
-        born: 0,
+        start_ms: 0,
     }
 }
 
@@ -104,23 +105,23 @@
     Change {
         server: ServerId::of(name),
         revision,
-        entry,
+        registration: entry,
     }
 }
 
 /// A list that holds `entries`, of which none is doubted.
-fn list(entries: Vec<Change>, revision: u64, away: bool) -> List {
-    List {
+fn list(entries: Vec<Change>, revision: u64, away: bool) -> RegistrationList {
+    RegistrationList {
         entries,
-        doubted: Vec::new(),
+        unconfirmed: Vec::new(),
         revision,
-        away,
+        after_outage: away,
     }
 }
 
 /// A scheduler in domain `a` of region `north` before `servers` in the domains named with them.
 fn scheduler(servers: &[(&str, &str)], now: Instant) -> Scheduler {
-    let terms = Terms {
+    let terms = RetryBudgetConfig {
         ratio: 0.2,
         extra: 50.0,
         window: Duration::from_secs(10),
@@ -129,14 +130,14 @@
         domain: DomainId::of("a"),
         region: RegionId::of("north"),
     };
-    let mut scheduler = Scheduler::new(place, Budget::new(terms, now));
+    let mut scheduler = Scheduler::new(place, RetryBudget::new(terms, now));
     let regions = [("a", "north"), ("b", "north"), ("c", "south")];
     scheduler.regions = regions
         .map(|(d, r)| (DomainId::of(d), RegionId::of(r)))
         .to_vec();
     for (number, (name, domain)) in servers.iter().enumerate() {
         let change = change(name, number as u64 + 1, Some(entry(name, domain)));
-        assert!(scheduler.registry.take(change, now));
+        assert!(scheduler.registry.apply(change, now));
     }
     scheduler
 }
@@ -168,15 +169,15 @@
         shape,
         priority: 1,
         objective: millis(1_000),
-        came: now,
-        ends: now + millis(10_000),
+        arrival: now,
+        deadline: now + millis(10_000),
         tried: SmallVec::new(),
     }
 }
 
-fn sent(verdict: Verdict) -> Placement {
+fn sent(verdict: Admission) -> Placement {
     match verdict {
-        Verdict::Decided(Ok(choice)) => choice,
+        Admission::Decided(Ok(choice)) => choice,
         other => panic!("the request was not sent: {other:?}"),
     }
 }
