--- a/crates/hawthornmill-gateway/src/lib.rs
+++ b/crates/hawthornmill-gateway/src/lib.rs
@@ -8,7 +8,7 @@
 //! |---|---|
 //! | [`listener`] | accepts or rejects new connections of clients |
 //! | [`connection`] | connections of clients |
-//! | [`trip`] | one request: admission, queueing, forwarding, the response |
+//! | [`proxy`] | one request: admission, queueing, forwarding, the response |
 //! | [`pool`] | connections to backend servers |
 //! | [`store_watch`] | watches the platform's store |
 //! | [`datagrams`], [`gossip`] | messages between instances over UDP |
--- a/crates/hawthornmill-gateway/src/listener.rs
+++ b/crates/hawthornmill-gateway/src/listener.rs
@@ -1,6 +1,6 @@
 //! Accepts client connections, and rejects some while the process is overloaded.
 //!
-//! [`hawthornmill::limits::strain`] decides how many to reject. A rejected connection costs little: it gets no
+//! [`hawthornmill::limits::load_shedding`] decides how many to reject. A rejected connection costs little: it gets no
 //! task and is not registered with the runtime. If its request has arrived completely, the response tells when
 //! to retry; otherwise the connection is closed unread, and the client may try another instance at once.
 
--- a/crates/hawthornmill/src/pools/queue.rs
+++ b/crates/hawthornmill/src/pools/queue.rs
@@ -33,7 +33,7 @@
 /// Adds a request to its account's queue.
 ///
 /// # Errors
-/// [`Code::QueueFull`], [`Code::QueueLate`] or [`Code::InstanceFull`]; the request was not run.
+/// [`Code::QueueFull`], [`Code::QueueTooLong`] or [`Code::InstanceFull`]; the request was not run.
 pub fn enqueue(board: &mut Blackboard, arrival: Arrival, now: Instant) -> Result<RequestKey, Code> {
     check_account_limits(board, &arrival)?;
     let ahead = queue_length(board, arrival.service, arrival.account);
--- a/crates/hawthornmill/src/response.rs
+++ b/crates/hawthornmill/src/response.rs
@@ -1,7 +1,7 @@
 //! Whole and broken answers.
 //!
 //! HTTP framing tells that a connection ended in order, not that a model engine said all that it had
-//! to say. [`Lines`] follows an answer that is made of lines and knows whether its last line came,
+//! to say. [`ResponseLines`] follows an answer that is made of lines and knows whether its last line came,
 //! and from which line on a broken one can be resumed; [`ResumeFilter`] joins the resumed part on.
 
 /// Longest line that is followed; an answer with a longer one can't be resumed.
--- a/crates/hawthornmill/src/routing/allowance.rs
+++ b/crates/hawthornmill/src/routing/allowance.rs
@@ -11,11 +11,11 @@
 const PARTS: [f64; 3] = [1.0, 0.6, 0.35];
 /// The same while nobody who goes before found no room lately.
 const CALM_PARTS: [f64; 3] = [1.0, 0.85, 0.6];
-/// Servers that may read a family's long shared capacity_fraction for a request of each standing.
+/// Servers that may read a family's long shared part for a request of each standing.
 ///
 /// Each further copy takes reading time and memory from all.
 const COPIES: [usize; 3] = [usize::MAX, 2, 1];
-/// Lead, in times of an even capacity_fraction, from which an account's room shrinks also while nobody lacks room.
+/// Lead, in times of an even part, from which an account's room shrinks also while nobody lacks room.
 const CALM_LEAD: f64 = 1.2;
 /// Times by which an account's room shrinks at most for its lead.
 const MOST_LEAD: f64 = 4.0;
@@ -33,7 +33,7 @@
     parts[share.status as usize] / lead.clamp(1.0, MOST_LEAD)
 }
 
-/// Servers of its family that may read a long shared capacity_fraction for a request of an account of `standing`.
+/// Servers of its family that may read a long shared part for a request of an account of `standing`.
 pub const fn max_prefix_copies(standing: ShareStatus) -> usize {
     COPIES[standing as usize]
 }
--- a/crates/hawthornmill/src/routing/fragments.rs
+++ b/crates/hawthornmill/src/routing/fragments.rs
@@ -1,7 +1,7 @@
 //! What an instance knows, in parts that fit datagrams.
 //!
 //! Load pattern: callers fill the link of an instance that is behind. Whatever comes over a connection waits behind
-//! what they send: an answer after three round_timeout trips came after more than four seconds, or never. Datagrams don't
+//! what they send: an answer after three round trips came after more than four seconds, or never. Datagrams don't
 //! wait for those before them, and only those that were lost are sent again.
 
 use std::collections::VecDeque;
@@ -20,10 +20,10 @@
 const KEPT: Duration = Duration::from_millis(800);
 /// Answers that are kept at most, each of [`MOST_PARTS`] at most.
 const MOST_KEPT: usize = 8;
-/// Time for the parts of one round_timeout; several round_timeout trips between regions.
+/// Time for the parts of one round; several round trips between regions.
 const ROUND: Duration = Duration::from_millis(200);
 
-/// Time for the parts of one round_timeout, where the asker is `late` with all that it does.
+/// Time for the parts of one round, where the asker is `late` with all that it does.
 ///
 /// It reads what came only after what came before, in the turn that hears the question's timer too.
 pub fn round_timeout(late: Duration) -> Duration {
--- a/crates/hawthornmill/src/routing/route_table.rs
+++ b/crates/hawthornmill/src/routing/route_table.rs
@@ -29,7 +29,7 @@
     /// Indexes `catalog`.
     ///
     /// # Errors
-    /// As [`check`].
+    /// As [`validate`].
     pub fn new(catalog: Catalog) -> Result<Self, (Code, Box<str>)> {
         validate(&catalog)?;
         let mut hosts: BTreeMap<Box<str>, Vec<usize>> = BTreeMap::new();
--- a/crates/hawthornmill/src/routing/usage.rs
+++ b/crates/hawthornmill/src/routing/usage.rs
@@ -112,7 +112,7 @@
     }
 }
 
-/// AccountUsage at an instant.
+/// Usage at an instant.
 #[derive(Debug, Clone, Copy)]
 struct Fading {
     sums: AccountUsage,
@@ -179,7 +179,7 @@
         self.local.iter().map(|(id, f)| (*id, f.at(now))).collect()
     }
 
-    /// AccountUsage of this instance and the `members` of its failure domain.
+    /// Usage of this instance and the `members` of its failure domain.
     pub fn domain_sum(
         &mut self,
         members: &[InstanceId],
@@ -201,7 +201,7 @@
         self.peers.insert(peer, (now, sums));
     }
 
-    /// AccountUsage over the fleet.
+    /// Usage over the fleet.
     pub fn fleet_totals(&mut self, now: Instant) -> BTreeMap<AccountId, AccountUsage> {
         self.peers
             .retain(|_, (at, _)| now.duration_since(*at) < PEER_LIFE);
