--- a/crates/hawthornmill-gateway/src/event_log.rs
+++ b/crates/hawthornmill-gateway/src/event_log.rs
@@ -53,7 +53,7 @@
         pending.bytes.push(b'\n');
     }
 
-    fn take(&self) -> Vec<u8> {
+    fn take_bytes(&self) -> Vec<u8> {
         let mut pending = self.lock();
         let mut bytes = std::mem::take(&mut pending.bytes);
         if pending.info_dropped + pending.other_dropped > 0 {
@@ -83,7 +83,7 @@
     }
 
     fn flush(&self) {
-        write(&self.take());
+        write(&self.take_bytes());
     }
 }
 
@@ -117,7 +117,7 @@
         .spawn(move || {
             loop {
                 std::thread::sleep(WRITE_INTERVAL);
-                write(&buffer.take());
+                write(&buffer.take_bytes());
             }
         })
         .map_err(|error| error.to_string())?;
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -255,9 +255,9 @@
 
     /// Applies a change of one registration.
     pub fn apply_change(&self, change: Change, from: &str) {
-        let (told, leaving) = (describe_change(&change, from), change.leaving());
+        let (fields, leaving) = (describe_change(&change, from), change.leaving());
         if self.desk.borrow_mut().register(change, self.now()) {
-            event_log::state_change("registration", told);
+            event_log::state_change("registration", fields);
             self.queue_wakeup.notify_one();
             if let Some(leaving) = leaving {
                 self.announce_leaving(leaving, Source::Store);
--- a/crates/hawthornmill-gateway/src/gossip.rs
+++ b/crates/hawthornmill-gateway/src/gossip.rs
@@ -242,18 +242,18 @@
     match frame.message {
         Message::News(news) => handle_news(gateway, sender, run, &news),
         Message::Work(work) => gateway.desk.borrow_mut().loads.hear(sender, work, now),
-        Message::Members(told) if told.domain != own => {
-            for member in told.members.iter().filter(|m| m.id != gateway.id) {
+        Message::Members(members) if members.domain != own => {
+            for member in members.members.iter().filter(|m| m.id != gateway.id) {
                 gateway.observe_version(member.version);
                 let mut peers = gateway.peers.borrow_mut();
                 if let Some(change) = peers.hear_member(member, now) {
                     log_peer_change(change, member.mate.peer, peers.live(now).count());
                 }
             }
-            gateway.desk.borrow_mut().hear_members(&told, now);
+            gateway.desk.borrow_mut().hear_members(&members, now);
         }
-        Message::DomainWork(told) if told.domain != own => {
-            gateway.desk.borrow_mut().hear_work(*told, now);
+        Message::DomainWork(work) if work.domain != own => {
+            gateway.desk.borrow_mut().hear_work(*work, now);
         }
         Message::Leaving(all) => gateway.apply_leaving(&all),
         Message::Wanted(wanted) => state_sync::send_parts(gateway, datagrams, from, &wanted),
@@ -281,7 +281,7 @@
     }
 }
 
-fn log_peer_change(change: Seen, mate: SocketAddr, live: usize) {
-    let fields = json!({"mate": mate.to_string(), "how": format!("{change:?}"), "live": live});
+fn log_peer_change(change: Seen, peer: SocketAddr, live: usize) {
+    let fields = json!({"mate": peer.to_string(), "how": format!("{change:?}"), "live": live});
     event_log::state_change("mate", fields);
 }
--- a/crates/hawthornmill-gateway/src/settings.rs
+++ b/crates/hawthornmill-gateway/src/settings.rs
@@ -93,8 +93,8 @@
         let listen = listen(&mut reader, &one("listen"));
         let instance = one("instance");
         reader.known_keys(&instance, &["name", "domain", "region"]);
-        let mut word = |key| reader.need(&instance, key).unwrap_or_default();
-        let (name, domain, region) = (word("name"), word("domain"), word("region"));
+        let mut required = |key| reader.need(&instance, key).unwrap_or_default();
+        let (name, domain, region) = (required("name"), required("domain"), required("region"));
         let domains: Vec<&Section> = sections.iter().filter(|s| &*s.kind == "domain").collect();
         let peers = one("peers");
         reader.known_keys(&peers, &["seeds", "key", "news_ms"]);
@@ -148,16 +148,16 @@
         return Vec::new();
     };
     let mut seeds = Vec::new();
-    for word in entry
+    for seed in entry
         .value
         .split(',')
         .map(str::trim)
         .filter(|w| !w.is_empty())
     {
-        match word.parse::<SocketAddr>() {
+        match seed.parse::<SocketAddr>() {
             Ok(address) => seeds.push(SocketAddr::new(address.ip(), port)),
             Err(_unreadable) => {
-                let what = format!("`seeds` must be a list of IP:port, not `{word}`");
+                let what = format!("`seeds` must be a list of IP:port, not `{seed}`");
                 reader.fault(Code::BadValue, entry.line, 0, what);
             }
         }
--- a/crates/hawthornmill-gateway/src/state_sync.rs
+++ b/crates/hawthornmill-gateway/src/state_sync.rs
@@ -65,10 +65,10 @@
     pull: Pull,
 ) -> Result<(), PullError> {
     let began = gateway.now();
-    let answer = receive_parts(gateway, datagrams, peer, pull).await;
-    let why = answer.as_ref().err().map(|why| format!("{why:?}"));
+    let response = receive_parts(gateway, datagrams, peer, pull).await;
+    let why = response.as_ref().err().map(|why| format!("{why:?}"));
     log_pull(gateway, peer, began, "parts", why.as_deref());
-    apply_knowledge(gateway, answer?, peer);
+    apply_knowledge(gateway, response?, peer);
     Ok(())
 }
 
@@ -91,8 +91,8 @@
             Some(Outcome::TooLarge) => return Err(PullError::TooLarge),
             None => {}
         }
-        let came = pending.with_reassembly(Reassembly::count) > before;
-        empty = if came { 0 } else { empty + 1 };
+        let progressed = pending.with_reassembly(Reassembly::count) > before;
+        empty = if progressed { 0 } else { empty + 1 };
     }
     Err(PullError::Silent)
 }
@@ -179,9 +179,9 @@
     patience: &mut Patience,
 ) -> bool {
     let (began, step) = (gateway.now(), Cell::new(Step::Connecting));
-    let answer =
+    let response =
         tokio::time::timeout(patience.time(), pull_knowledge(gateway, peer, pull, &step)).await;
-    let why = match answer {
+    let why = match response {
         Ok(Ok(knowledge)) => {
             apply_knowledge(gateway, knowledge, peer);
             None
--- a/crates/hawthornmill-gateway/src/store_watch.rs
+++ b/crates/hawthornmill-gateway/src/store_watch.rs
@@ -281,8 +281,8 @@
     }
 
     async fn call(&mut self, path: &str, timeout: Duration) -> Result<Page, StoreError> {
-        let answer = tokio::time::timeout(timeout, self.exchange(path)).await;
-        let (outcome, result) = match answer {
+        let response = tokio::time::timeout(timeout, self.exchange(path)).await;
+        let (outcome, result) = match response {
             Ok(Ok((200, body))) => match (self.gateway.adapter.store.parse_page)(&body) {
                 Ok(page) => ("ok", Ok(page)),
                 Err(why) => {
--- a/tests/testsuite/gateway/failed_requests.rs
+++ b/tests/testsuite/gateway/failed_requests.rs
@@ -64,7 +64,7 @@
         })
         .await;
 
-        let answer = send_request(
+        let response = send_request(
             fleet.gateways[0].front(),
             request("GET", "/get/", "id-7", "").as_bytes(),
         )
@@ -72,7 +72,7 @@
         wait_until_logged(&fleet, "id-7").await;
         let history = request_history(&fleet, "id-7");
 
-        assert_eq!(answer.expect("there is a response").status(), 503);
+        assert_eq!(response.expect("there is a response").status(), 503);
         let ended = step(&history, "ended");
         assert_eq!(
             (&ended["fields"]["outcome"], &ended["fields"]["code"]),
@@ -102,7 +102,7 @@
         let fleet = Fleet::start(1, 1).await;
         fleet.servers[0].script(&[Act::Break(3)]);
 
-        let answer = send_request(
+        let response = send_request(
             fleet.gateways[0].front(),
             request("POST", "/whole/", "id-8", "").as_bytes(),
         )
@@ -110,7 +110,7 @@
         wait_until_logged(&fleet, "id-8").await;
         let history = request_history(&fleet, "id-8");
 
-        assert!(!answer.expect("there is a response").whole);
+        assert!(!response.expect("there is a response").whole);
         let broke = &step(&history, "server_broke_off")["fields"];
         assert_eq!(broke["server"], "i-0");
         let ended = &step(&history, "ended")["fields"];
@@ -143,7 +143,7 @@
         })
         .await;
 
-        let answer = send_request(
+        let response = send_request(
             fleet.gateways[0].front(),
             request("GET", "/get/", "id-9", "").as_bytes(),
         )
@@ -151,7 +151,7 @@
         wait_until_logged(&fleet, "id-9").await;
         let history = request_history(&fleet, "id-9");
 
-        assert_eq!(answer.expect("there is a response").status(), 401);
+        assert_eq!(response.expect("there is a response").status(), 401);
         assert_eq!(step(&history, "ended")["fields"]["code"], 3001);
         let catalog = &state_change(&history, "catalog_in_force")["fields"];
         assert_eq!(
--- a/tests/testsuite/gateway/fleet.rs
+++ b/tests/testsuite/gateway/fleet.rs
@@ -127,13 +127,13 @@
 
     /// Returns the addresses that its directory lists.
     pub async fn listed_addresses(&self) -> Vec<SocketAddr> {
-        let answer = self
+        let response = self
             .get(
                 DIRECTORY_PORT,
                 "/v1/resolve?name=h.example&region=north&zone=a",
             )
             .await;
-        let body = answer.map(|a| a.body).unwrap_or_default();
+        let body = response.map(|a| a.body).unwrap_or_default();
         let json: Value = serde_json::from_slice(&body).unwrap_or_default();
         let list = json["addresses"].as_array().cloned().unwrap_or_default();
         list.iter()
@@ -143,8 +143,8 @@
 
     /// Returns its metrics as text.
     pub async fn metrics(&self) -> String {
-        let answer = self.get(METRICS_PORT, "/metrics").await;
-        answer
+        let response = self.get(METRICS_PORT, "/metrics").await;
+        response
             .map(|a| String::from_utf8_lossy(&a.body).into_owned())
             .unwrap_or_default()
     }
@@ -410,12 +410,12 @@
 
     /// Reads one response; returns `None` if the connection ends before it.
     pub async fn read(&mut self) -> Option<Response> {
-        tokio::time::timeout(WAIT_TIMEOUT, self.answer())
+        tokio::time::timeout(WAIT_TIMEOUT, self.read_response())
             .await
             .expect("a response arrives in time")
     }
 
-    async fn answer(&mut self) -> Option<Response> {
+    async fn read_response(&mut self) -> Option<Response> {
         let head = loop {
             if let Some((head, length)) =
                 head::answer(&self.buffer).expect("the response has a valid head")
--- a/tests/testsuite/gateway/overload.rs
+++ b/tests/testsuite/gateway/overload.rs
@@ -100,19 +100,19 @@
     let paused = &fleet.gateways[0];
     paused.signal(Signal::SIGSTOP);
     tokio::time::sleep(millis(500)).await;
-    let asked = send_all(fleet, count, text);
-    let (answers, ()) = tokio::join!(asked, async {
+    let requests = send_all(fleet, count, text);
+    let (responses, ()) = tokio::join!(requests, async {
         tokio::time::sleep(millis(300)).await;
         paused.signal(Signal::SIGCONT);
     });
-    let served = answers.iter().flatten().filter(|a| a.status() == 200);
+    let served = responses.iter().flatten().filter(|a| a.status() == 200);
     let rejected = count - served.count();
     wait_until("all rejected connections are logged", || async {
         let (answered, unread) = rejected_counts(fleet);
         answered + unread == rejected
     })
     .await;
-    answers
+    responses
 }
 
 /// Counts the requests that were logged as rejected, and the connections closed unread.
@@ -132,11 +132,11 @@
         tokio::spawn(async move { send_request(front, text.as_bytes()).await })
     });
     let tasks: Vec<_> = tasks.collect();
-    let mut answers = Vec::new();
+    let mut responses = Vec::new();
     for task in tasks {
-        answers.push(task.await.expect("a client's task ends"));
+        responses.push(task.await.expect("a client's task ends"));
     }
-    answers
+    responses
 }
 
 /// Failure: a process that got no CPU time for half a second serves its whole backlog late.
@@ -147,12 +147,17 @@
 fn overload_does_not_delay_rejections() {
     block_on(async {
         let fleet = Fleet::start(1, 4).await;
-        let answers = send_while_paused(&fleet, 60, |n| {
+        let responses = send_while_paused(&fleet, 60, |n| {
             request("POST", "/once/", &format!("id-{n}"), "")
         })
         .await;
 
-        let status = |code: u16| answers.iter().flatten().filter(move |a| a.status() == code);
+        let status = |code: u16| {
+            responses
+                .iter()
+                .flatten()
+                .filter(move |a| a.status() == code)
+        };
         let (ran, rejected) = (status(200).count(), status(503).count());
         assert!(rejected > 0, "{ran} of 60 were served, none was rejected");
         assert!(status(503).all(|a| a.field("retry-after").is_some()));
@@ -179,22 +184,22 @@
         let text = head + "2\r\nhi\r\n0\r\n\r\n";
 
         paused.signal(Signal::SIGSTOP);
-        let mut callers = Vec::new();
+        let mut clients = Vec::new();
         for _ in 0..40 {
-            let mut caller = TcpStream::connect(paused.front())
+            let mut client = TcpStream::connect(paused.front())
                 .await
                 .expect("the listen backlog has room");
-            caller
+            client
                 .write_all(text.as_bytes())
                 .await
                 .expect("the send buffer has room");
-            callers.push(caller);
+            clients.push(client);
         }
         tokio::time::sleep(millis(500)).await;
         paused.signal(Signal::SIGCONT);
         let (mut answered, mut reset) = (0, 0);
-        for mut caller in callers {
-            match caller.read_u8().await {
+        for mut client in clients {
+            match client.read_u8().await {
                 Ok(_begin) => answered += 1,
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => reset += 1,
                 Err(error) => panic!("closed after reading, without a response: {error}"),
--- a/tests/testsuite/gateway/shutdown.rs
+++ b/tests/testsuite/gateway/shutdown.rs
@@ -16,8 +16,8 @@
     block_on(async {
         let mut fleet = Fleet::start(2, 1).await;
         fleet.servers[0].script(&[Act::Slow(1_500)]);
-        let mut caller = Client::connect(fleet.gateways[0].front()).await;
-        caller
+        let mut client = Client::connect(fleet.gateways[0].front()).await;
+        client
             .send(request("POST", "/once/", "long", "").as_bytes())
             .await;
         wait_until("the server has it", || async { fleet.runs() == 1 }).await;
@@ -38,7 +38,7 @@
             !named.is_empty() && !named.contains(&front)
         })
         .await;
-        let answer = caller.read().await.expect("a response arrives");
+        let response = client.read().await.expect("a response arrives");
         wait_until("the process ends", || {
             let ended = fleet.gateways[0].exit_code();
             async move { ended.is_some() }
@@ -51,7 +51,10 @@
                 .status(),
             200
         );
-        assert_eq!((answer.status(), answer.field("connection")), (200, None));
+        assert_eq!(
+            (response.status(), response.field("connection")),
+            (200, None)
+        );
         assert_eq!(fleet.gateways[0].exit_code(), Some(0));
         assert_eq!(fleet.gateways[0].logged("stop").len(), 1);
     });
@@ -71,9 +74,9 @@
 
         gateway.signal(Signal::SIGSTOP);
         for number in 0..20 {
-            let mut caller = Client::connect(gateway.front()).await;
+            let mut client = Client::connect(gateway.front()).await;
             let text = request("POST", "/once/", &format!("left-{number}"), "");
-            caller.send(text.as_bytes()).await;
+            client.send(text.as_bytes()).await;
         }
         gateway.signal(Signal::SIGCONT);
         let after = request("POST", "/once/", "after", "");
@@ -112,13 +115,13 @@
             !fleet.gateways[0].logged("settings_in_force").is_empty()
         })
         .await;
-        let answer = send_request(
+        let response = send_request(
             fleet.gateways[0].front(),
             request("GET", "/get/", "a", "").as_bytes(),
         )
         .await;
 
-        assert_eq!(answer.expect("there is an answer").status(), 200);
+        assert_eq!(response.expect("there is a response").status(), 200);
         assert_eq!(fleet.gateways[0].exit_code(), None);
     });
 }
@@ -166,8 +169,8 @@
 
     for number in 0..10 {
         let text = request("GET", "/get/", &format!("{number}"), "");
-        let answer = send_request(fleet.gateways[0].front(), text.as_bytes()).await;
-        assert_eq!(answer.expect("there is an answer").status(), 200);
+        let response = send_request(fleet.gateways[0].front(), text.as_bytes()).await;
+        assert_eq!(response.expect("there is a response").status(), 200);
     }
 
     assert_eq!(fleet.servers[0].arrivals().len(), before);
--- a/tests/testsuite/gateway/store.rs
+++ b/tests/testsuite/gateway/store.rs
@@ -135,12 +135,12 @@
             if *mode.borrow_and_update() == Mode::Unresponsive {
                 std::future::pending::<()>().await;
             }
-            let answer = self.answer(&head.target, from);
+            let response = self.respond(&head.target, from);
             let unresponsive = async {
                 let _silent = mode.wait_for(|m| *m == Mode::Unresponsive).await.is_ok();
             };
             let (status, body) = tokio::select! {
-                answer = answer => answer,
+                response = response => response,
                 () = unresponsive => std::future::pending().await,
             };
             let rejected =
@@ -160,7 +160,7 @@
         }
     }
 
-    async fn answer(&self, target: &str, from: SocketAddr) -> (u16, Value) {
+    async fn respond(&self, target: &str, from: SocketAddr) -> (u16, Value) {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let find = |name: &str| {
             let mut pairs = query.split('&').filter_map(|p| p.split_once('='));
@@ -205,8 +205,8 @@
         let end = tokio::time::Instant::now() + wait;
         loop {
             changed.borrow_and_update();
-            if let Some(answer) = self.pending_changes(prefix, after, from) {
-                return answer;
+            if let Some(response) = self.pending_changes(prefix, after, from) {
+                return response;
             }
             if tokio::time::timeout_at(end, changed.changed())
                 .await
