--- a/crates/hawthornmill-gateway/src/listener.rs
+++ b/crates/hawthornmill-gateway/src/listener.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Registers `listener` such that the runtime does not register each accepted connection as well.
+/// Registers `listener` with the runtime, so that accepted connections are only registered if they are served.
 #[expect(
     unsafe_code,
     reason = "the safe constructor of the runtime is deprecated"
--- a/tests/testsuite/gateway/missed_updates.rs
+++ b/tests/testsuite/gateway/missed_updates.rs
@@ -119,8 +119,8 @@
 
         for gateway in &fleet.gateways {
             wait_until("every instance is listed", || async {
-                let is_listed = gateway.listed_addresses().await;
-                all.iter().all(|a| is_listed.contains(a))
+                let listed = gateway.listed_addresses().await;
+                all.iter().all(|a| listed.contains(a))
             })
             .await;
         }
