--- a/crates/hawthornmill-gateway/src/gossip.rs
+++ b/crates/hawthornmill-gateway/src/gossip.rs
@@ -249,8 +249,8 @@
             .borrow_mut()
             .loads
             .apply_peer_report(sender, work, now),
-        Message::Members(told) if told.domain != own => {
-            for member in told.members.iter().filter(|m| m.id != gateway.id) {
+        Message::Members(members) if members.domain != own => {
+            for member in members.members.iter().filter(|m| m.id != gateway.id) {
                 gateway.observe_version(member.catalog_version);
                 let mut peers = gateway.peers.borrow_mut();
                 if let Some(change) = peers.apply_member(member, now) {
@@ -260,10 +260,10 @@
             gateway
                 .scheduler
                 .borrow_mut()
-                .apply_domain_members(&told, now);
+                .apply_domain_members(&members, now);
         }
-        Message::DomainWork(told) if told.domain != own => {
-            gateway.scheduler.borrow_mut().apply_domain_work(*told, now);
+        Message::DomainWork(work) if work.domain != own => {
+            gateway.scheduler.borrow_mut().apply_domain_work(*work, now);
         }
         Message::Leaving(all) => gateway.apply_leaving(&all),
         Message::Wanted(wanted) => state_sync::send_parts(gateway, datagrams, from, &wanted),
@@ -291,7 +291,7 @@
     }
 }
 
-fn log_peer_change(change: PeerChange, mate: SocketAddr, live: usize) {
-    let fields = json!({"mate": mate.to_string(), "how": format!("{change:?}"), "live": live});
+fn log_peer_change(change: PeerChange, peer: SocketAddr, live: usize) {
+    let fields = json!({"mate": peer.to_string(), "how": format!("{change:?}"), "live": live});
     event_log::state_change("mate", fields);
 }
