--- a/tests/testsuite/causes.rs
+++ b/tests/testsuite/causes.rs
@@ -1,4 +1,4 @@
-//! Why calls waited, as an entry tells it.
+//! Reasons that an entry reports for waiting calls.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 const PLACES: &[(&str, &str)] = &[("a", "north"), ("b", "north"), ("c", "south")];
 
-/// Runs `ms` milliseconds with calls of `account` waiting at instance 0, which looks for causes.
+/// Runs `ms` milliseconds with calls of `account` waiting at instance 0, which records the reasons.
 fn run(steps: &mut Steps, causes: &mut Causes, account: &str, ms: u64) {
     steps.run(ms, |s| {
         while s.waiting(0, account, "drafting") < 20 {
@@ -22,18 +22,18 @@
     });
 }
 
-/// Why a call that came 100 ms before the last tick waited until then.
+/// Why a call that arrived 100 ms before the last tick waited until then.
 fn why(steps: &Steps, causes: &Causes, account: &str) -> Reason {
     let board = &steps.boards[0];
     let ids = (ServiceId::of("drafting"), AccountId::of(account));
     let arrived = board.last_tick.checked_sub(Duration::from_millis(100));
-    let arrived = arrived.expect("the steps began seconds ago");
+    let arrived = arrived.expect("the simulation began seconds ago");
     causes.why(board, ids.0, ids.1, arrived, board.last_tick)
 }
 
-/// Every slot is taken by the account's own calls; no fault must be named.
+/// All slots are used by the account's own calls, so no fault may be reported.
 #[test]
-fn taken_slots_are_no_fault() {
+fn used_slots_are_not_reported_as_a_fault() {
     let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
     let mut causes = Causes::default();
 
@@ -42,27 +42,27 @@
     assert_eq!(why(&steps, &causes, "big"), Reason::Slots);
 }
 
-/// The other instance of the region dies and its pool's owner with it. Calls that waited meanwhile
-/// must say so, and calls after the change must not.
+/// The other instance of the region, which owns a pool, dies. The change of owner must be reported for
+/// calls that waited during it, and not for later ones.
 #[test]
-fn an_owner_change_is_named_while_it_lasts() {
+fn owner_change_is_reported_while_it_lasts() {
     let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
     let mut causes = Causes::default();
     run(&mut steps, &mut causes, "big", 4000);
 
     steps.dead.insert(1);
     run(&mut steps, &mut causes, "big", 700);
-    let meanwhile = why(&steps, &causes, "big");
+    let during = why(&steps, &causes, "big");
     run(&mut steps, &mut causes, "big", 6000);
     let after = why(&steps, &causes, "big");
 
-    assert_eq!((meanwhile, after), (Reason::OwnerChange, Reason::Slots));
+    assert_eq!((during, after), (Reason::OwnerChange, Reason::Slots));
 }
 
-/// The link between the regions is cut. The account may use servers on both sides, so calls that
-/// wait on this side must name the cut and not the owner that is lost behind it.
+/// The regions are partitioned, and the account may use servers on both sides. Calls that wait on this
+/// side must report the partition and not the owner that is unreachable because of it.
 #[test]
-fn a_region_cut_is_named_before_the_owners_behind_it() {
+fn region_partition_is_reported_before_unreachable_owners() {
     let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
     let mut causes = Causes::default();
     run(&mut steps, &mut causes, "big", 4000);
@@ -75,10 +75,10 @@
     assert_eq!(why(&steps, &causes, "big"), Reason::RegionCut);
 }
 
-/// An account may use one small server while its neighbours idle. The parent must read that its
-/// selector held it back, not that capacity was short.
+/// An account may use one small server only while others idle. Its selector must be reported as the
+/// reason, not a lack of capacity.
 #[test]
-fn a_confined_account_is_told_apart_from_a_full_fleet() {
+fn confined_account_is_distinguished_from_a_full_fleet() {
     let fleet = small_fleet()
         .server("narrow-a", "drafting", "a", 1, "narrow")
         .account("narrow", "narrow")
@@ -91,9 +91,9 @@
     assert_eq!(why(&steps, &causes, "narrow"), Reason::Confined);
 }
 
-/// The process was stopped and woke up; what waited until its view was confirmed must say so.
+/// The process was paused. This must be reported for calls that waited until its view was confirmed.
 #[test]
-fn a_pause_is_named_before_all_else() {
+fn pause_is_reported_before_other_reasons() {
     let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
     let mut causes = Causes::default();
     run(&mut steps, &mut causes, "big", 4000);
--- a/tests/testsuite/conservation.rs
+++ b/tests/testsuite/conservation.rs
@@ -1,4 +1,4 @@
-//! Work conservation: no slot idles while a call waits that may use it.
+//! Work conservation: no slot idles while a call that may use it waits.
 
 use hawthornmill::blackboard::Tuning;
 use hawthornmill::ident::{DomainId, PoolId, ServiceId};
@@ -7,7 +7,7 @@
 };
 use hawthornmill_test_support::steps::Steps;
 
-/// Callers of one account and the instance that they use.
+/// Accounts and the instance that a caller of each uses.
 const CALLERS: &[(&str, usize)] = &[
     ("large", 0),
     ("large", 0),
@@ -28,23 +28,23 @@
     }
 }
 
-/// Every account waits at two instances; which of them own pools does not matter to callers.
-const NARROW: &[Backlog] = &[
+/// Every account waits at two instances, so that one of them may fail.
+const TWO_ENTRIES_EACH: &[Backlog] = &[
     backlog("large", 4.0, &[0, 5]),
     backlog("lab-1", 1.0, &[3, 7]),
     backlog("lab-2", 1.0, &[2, 6]),
 ];
 
-fn warmed() -> (Steps, Drive) {
+fn warmed_up() -> (Steps, Drive) {
     let mut steps = Steps::new(&wide_fleet(), EIGHT, &Tuning::default());
-    let mut drive = Drive::new(NARROW);
+    let mut drive = Drive::new(TWO_ENTRIES_EACH);
     drive.run(&mut steps, 5000);
     drive.mark(&steps);
     steps.peak.clear();
     (steps, drive)
 }
 
-/// Slot time that idled in each tenth of a second of `tenths`, as a part of all slots.
+/// Idle fraction of all slots in each of `tenths` tenths of a second.
 fn idle_tenths(steps: &mut Steps, drive: &mut Drive, tenths: usize) -> Vec<f64> {
     let mut list = Vec::new();
     for _ in 0..tenths {
@@ -55,7 +55,7 @@
     list
 }
 
-/// The instance that most entries take for the owner of the drafting pool in `domain`.
+/// The owner of the drafting pool in `domain`, as seen by most entries.
 fn owner_of(steps: &Steps, domain: &str) -> usize {
     let pool = PoolId::of(ServiceId::of("drafting"), DomainId::of(domain));
     let owners = steps
@@ -74,9 +74,9 @@
         .expect("there are instances")
 }
 
-/// A drive whose callers use neither of `gone`.
+/// A drive whose callers use no instance of `gone`.
 fn without(gone: &[usize]) -> Drive {
-    let left: Vec<Backlog> = NARROW
+    let left: Vec<Backlog> = TWO_ENTRIES_EACH
         .iter()
         .copied()
         .map(|mut b| {
@@ -96,21 +96,21 @@
     idle.iter().copied().fold(0.0, f64::max)
 }
 
-/// Tenths of a second until less than a twentieth of the slots idles for good.
-fn length(idle: &[f64]) -> usize {
+/// Tenths of a second until the idle fraction stays below a twentieth.
+fn tenths_until_busy(idle: &[f64]) -> usize {
     idle.iter().rposition(|i| *i > 0.05).map_or(0, |n| n + 1)
 }
 
-fn assert_slots_kept(steps: &Steps) {
+fn assert_no_overcommit(steps: &Steps) {
     assert!(steps.peak.values().all(|n| *n <= 8), "{:?}", steps.peak);
 }
 
-/// At its start every instance is for a moment the only one that it knows well, takes itself for the
-/// owner, and turns back. Grants that it dropped meanwhile were counted as on their way for good,
-/// and a seventh of all slots idled from then on.
+/// At startup every instance briefly regards itself as the owner and then switches to the real one.
+/// Grants that it dropped in between were counted as in flight forever, so a seventh of all slots
+/// idled from then on.
 #[test]
-fn slots_granted_to_an_entry_that_turned_away_are_not_lost() {
-    let (mut steps, mut drive) = warmed();
+fn slots_granted_to_an_entry_that_switched_owner_are_not_lost() {
+    let (mut steps, mut drive) = warmed_up();
 
     let idle = idle_tenths(&mut steps, &mut drive, 100);
 
@@ -119,15 +119,15 @@
     assert!(mean < 0.02, "idle {mean}");
 }
 
-/// What one run of `stream` used of all slot time, and what idled while a call waited.
-fn use_of(mut steps: Steps, rate: f64, entry: impl Fn(usize) -> usize) -> (f64, f64) {
+/// Fractions of all slot time that a run used, and that idled while a call waited.
+fn utilization(mut steps: Steps, rate: f64, entry: impl Fn(usize) -> usize) -> (f64, f64) {
     let mut stream = Stream::new(rate);
     let (warm, all) = (4000, 24_000);
     let (mut used, mut idle) = (0, 0);
     for now in 0..all {
         for (pick, cost) in stream.due(now) {
             let (account, at) = CALLERS[pick % CALLERS.len()];
-            // A call that finds its queue full is lost to both schedulers.
+            // A call rejected by a full queue is lost for both schedulers.
             let _full = steps.arrive(entry(at), account, "drafting", cost, 600_000);
         }
         let before = steps.busy;
@@ -143,18 +143,18 @@
     (used as f64 / slots, idle as f64 / slots)
 }
 
-/// The same calls go to eight routers, spread unevenly, and to one scheduler that sees every call
-/// and every slot. What the routers leave unused besides is the price of being many.
+/// Eight routers with unevenly distributed calls may lose utilization compared with one scheduler
+/// that sees every call and every slot.
 #[test]
-fn routers_use_the_slots_as_one_exact_scheduler_does() {
+fn fleet_utilization_matches_a_central_scheduler() {
     for load in [0.9, 1.1] {
         let rate = load * f64::from(WIDE_SLOTS) / MEAN_COST;
         let tuning = Tuning::default();
         let exact = Steps::new(&wide_fleet_with("north"), &EIGHT[..1], &tuning);
         let fleet = Steps::new(&wide_fleet(), EIGHT, &tuning);
 
-        let (best, _) = use_of(exact, rate, |_| 0);
-        let (used, idle) = use_of(fleet, rate, |at| at);
+        let (best, _) = utilization(exact, rate, |_| 0);
+        let (used, idle) = utilization(fleet, rate, |at| at);
 
         println!("load {load}: used {used:.4} exact {best:.4} idle while waiting {idle:.4}");
         assert!(used >= 0.97 * best, "load {load}: {used} of {best}");
@@ -162,11 +162,11 @@
     }
 }
 
-/// The owner of a pool is killed. Entries go on with the slots that they hold; the next owner grants
-/// the rest after it has heard who holds what. No server gets more than its slots.
+/// The owner of a pool is killed. Slots would idle if entries didn't keep using the ones that they
+/// hold, and servers would be overloaded if the next owner granted before it has collected those.
 #[test]
-fn slots_are_kept_busy_when_an_owner_is_killed() {
-    let (mut steps, _) = warmed();
+fn slots_stay_busy_when_an_owner_is_killed() {
+    let (mut steps, _) = warmed_up();
     let owner = owner_of(&steps, "a");
     let mut drive = without(&[owner]);
     drive.run(&mut steps, 2000);
@@ -177,16 +177,17 @@
     println!(
         "killed: worst {:.3} for {} tenths {idle:.2?}",
         worst(&idle),
-        length(&idle)
+        tenths_until_busy(&idle)
     );
     assert!(worst(&idle) < 0.05, "{idle:?}");
-    assert_slots_kept(&steps);
+    assert_no_overcommit(&steps);
 }
 
-/// The owner of a pool is stopped for three seconds and goes on with its old view.
+/// The owner of a pool is paused for three seconds and resumes with a stale view, while another
+/// instance has taken over: slots may idle or be granted twice.
 #[test]
-fn slots_are_kept_busy_when_an_owner_freezes_and_wakes() {
-    let (mut steps, _) = warmed();
+fn slots_stay_busy_when_an_owner_pauses_and_resumes() {
+    let (mut steps, _) = warmed_up();
     let owner = owner_of(&steps, "b");
     let mut drive = without(&[owner]);
     drive.run(&mut steps, 2000);
@@ -199,25 +200,25 @@
     println!(
         "frozen: worst {:.3} for {} tenths {idle:.2?}",
         worst(&idle),
-        length(&idle)
+        tenths_until_busy(&idle)
     );
-    // A third of the slots, until silence is noticed and the next owner has heard every entry.
+    // A third of the slots idles until the owner times out and the next one has collected all entries.
     let (silent, rest) = idle.split_at(10);
     assert!(worst(silent) < 0.4, "{idle:?}");
-    // The pool goes back to it some seconds after it woke, by a handover.
+    // The pool is handed over back to it some seconds after it resumed.
     assert!(worst(rest) < 0.10, "{idle:?}");
     assert!(
         rest.iter().sum::<f64>() / (rest.len() as f64) < 0.02,
         "{idle:?}"
     );
-    assert_slots_kept(&steps);
+    assert_no_overcommit(&steps);
 }
 
-/// The owners of two pools are cut off together from the others, and the cut heals. Both sides
-/// grant the same servers meanwhile; each backs off by what the servers report.
+/// A partition leaves owners on both sides that grant slots of the same servers. Servers would be
+/// overloaded if the owners didn't limit their grants by the load that servers report.
 #[test]
-fn two_sides_of_a_cut_share_the_slots_by_reported_load() {
-    let (mut steps, mut drive) = warmed();
+fn both_sides_of_a_partition_share_slots_by_reported_load() {
+    let (mut steps, mut drive) = warmed_up();
     let left = [0, 3, 6];
     let right = [1, 2, 4, 5, 7];
     steps.cut_between(&left, &right);
@@ -238,5 +239,5 @@
     assert!(running < 1.1 * f64::from(WIDE_SLOTS), "{running}");
     assert!(worst <= 16, "{worst} on one server of 8 slots");
     assert!(idle.iter().all(|i| *i < 0.03), "{idle:?}");
-    assert_slots_kept(&steps);
+    assert_no_overcommit(&steps);
 }
--- a/tests/testsuite/one_fleet.rs
+++ b/tests/testsuite/fleet_shares.rs
@@ -1,4 +1,4 @@
-//! Shares and slots over several instances, driven in a fixed order.
+//! Shares and slots over several instances, simulated in a deterministic order.
 
 use hawthornmill::blackboard::Tuning;
 use hawthornmill_test_support::procs::small_fleet;
@@ -14,8 +14,8 @@
     }
 }
 
-/// Two accounts wait all the time, one with share 4 and one with share 1, at different instances.
-/// Each must get its share of all servers, wherever its callers happen to connect.
+/// Two accounts with shares 4 and 1 always wait, at different instances. If shares depended on where
+/// callers connect, the ratio of service would not be 4.
 #[test]
 fn accounts_at_different_instances_get_their_shares() {
     let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
@@ -29,7 +29,8 @@
     assert!((3.5..4.5).contains(&ratio), "ratio {ratio}");
 }
 
-/// Requests wait at one instance only, and the slots of its region must be used all the same.
+/// Requests wait at one instance only. If it used only the pool of its failure domain, the other
+/// slots of its region would idle.
 #[test]
 fn slots_do_not_idle_while_a_request_waits_in_the_region() {
     let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
@@ -43,8 +44,8 @@
     assert!(steps.peak.values().all(|n| *n <= 4), "{:?}", steps.peak);
 }
 
-/// Slots that active owners count as taken.
-fn taken(steps: &Steps) -> u32 {
+/// Slots that active owners count as used.
+fn used_slots(steps: &Steps) -> u32 {
     steps
         .boards
         .iter()
@@ -55,9 +56,8 @@
         .sum()
 }
 
-/// Owners change while calls run: instances that start late are preferred for some pools once they
-/// have been live for a while. A slot that an owner counts as taken and no entry holds would idle
-/// for good, and work would wait.
+/// Owners change while calls run, since instances that start late are preferred for some pools once
+/// they are stable. A slot that an owner counts as used but no entry holds would idle forever.
 #[test]
 fn no_slot_is_lost_when_owners_change() {
     let places: Vec<_> = PLACES.iter().chain(PLACES).copied().collect();
@@ -77,15 +77,15 @@
     });
     steps.run(3000, |_| {});
 
-    assert_eq!(taken(&steps), 0);
+    assert_eq!(used_slots(&steps), 0);
 }
 
-/// One entry does not hear the owner for a moment, takes another instance for the owner, and comes
-/// back to the first, which never noticed. The entry gave the slots of its finished calls back to
-/// the other one, so the first would count them as taken for good: in the demo a third of all slots
-/// idled while calls waited. The calls are long, so that they end while the other one is the owner.
+/// An entry loses contact with the owner, switches to another one and back, which the first owner
+/// doesn't notice. The entry returned the slots of its finished calls to the other owner, so the
+/// first counted them as used forever: a third of all slots idled while calls waited. The calls are
+/// long, so that they end while the other instance is the owner.
 #[test]
-fn no_slot_is_lost_when_an_entry_turns_away_and_back() {
+fn no_slot_is_lost_when_an_entry_switches_owner_and_back() {
     let places: Vec<_> = PLACES.iter().chain(PLACES).copied().collect();
     let mut steps = Steps::new(&small_fleet(), &places, &Tuning::default());
     steps.run(4000, |_| {});
@@ -102,5 +102,5 @@
     steps.cut.clear();
     steps.run(6000, |_| {});
 
-    assert_eq!(taken(&steps), 0);
+    assert_eq!(used_slots(&steps), 0);
 }
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -1,4 +1,4 @@
-//! Backend servers and instances that leave get no new work.
+//! Leaving backend servers and instances get no new work.
 
 use std::time::{Duration, Instant};
 
@@ -26,11 +26,11 @@
     }
 }
 
-/// Calls that `server` runs, as the entries see it.
+/// Calls that `server` runs, according to the entries.
 fn running(steps: &Steps, server: &str) -> usize {
     let id = ServerId::of(server);
-    let links = steps.boards.iter().flat_map(|b| b.sessions.values());
-    links
+    let sessions = steps.boards.iter().flat_map(|b| b.sessions.values());
+    sessions
         .flat_map(|l| l.held.values())
         .filter(|slot| slot.busy && slot.server == id)
         .count()
@@ -43,11 +43,11 @@
     FleetText::new().line(&text)
 }
 
-/// A server is taken out of use, and the entries hear of it before the owner does. The owner goes on
-/// granting its slots. Were the grants used, the server would get new work; were they only handed
-/// back, the owner would grant them again at once, and messages would fly without end.
+/// Entries learn that a server is leaving before the owner, which keeps granting its slots. If the
+/// entries used the grants, the server would get new work; if they returned them without marking the
+/// server, the owner would grant them again at once, in an endless loop of messages.
 #[test]
-fn entries_give_grants_for_a_leaving_server_back() {
+fn entries_return_grants_for_a_leaving_server() {
     let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
     steps.run(6000, keep_waiting);
     let pool = steps.boards[0].sessions.iter().find(|(id, _)| {
@@ -80,10 +80,10 @@
     assert!(grants < 150, "{grants} grants in a second");
 }
 
-/// The configuration says nothing yet, but the server's load report, or one of its answers, says
-/// that it leaves. Callers whose calls still went there would be cut when it goes.
+/// A server announces in its load report, or in a response, that it is leaving before the
+/// configuration does. Calls sent there after that would be aborted when it stops.
 #[test]
-fn a_servers_own_word_is_enough() {
+fn leaving_state_announced_by_the_server_is_sufficient() {
     for by_answer in [false, true] {
         let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
         steps.run(6000, keep_waiting);
@@ -112,11 +112,11 @@
     }
 }
 
-/// The platform lists an instance as leaving, later the same name is started anew, and the lagging
-/// list still shows the old word. Neither a late heartbeat nor a silence may bring a leaving instance
-/// back into use, and the new run must be usable once the list says so.
+/// The platform lists an instance as leaving; later it restarts under the same name while the lagging
+/// list still shows the old state. A late heartbeat or a timeout must not make a leaving instance
+/// available again, but the new run must be available once the list is updated.
 #[test]
-fn the_word_that_an_instance_leaves_holds_until_it_is_replaced() {
+fn leaving_state_of_an_instance_holds_until_replaced() {
     let now = Instant::now();
     let own = contact("i0", "a", "north");
     let mut board = Blackboard::new(own, Incarnation(1), Tuning::default(), now);
@@ -127,7 +127,7 @@
         board.roster.replace(vec![Listed { contact, leaving }]);
         board.members.apply_roster(&board.roster, now);
     };
-    let sign = |run, millis: u64| LivenessUpdate {
+    let update = |run, millis: u64| LivenessUpdate {
         from: id,
         incarnation: Incarnation(run),
         leaving: false,
@@ -139,13 +139,13 @@
     let at = |millis| now + Duration::from_millis(millis);
 
     list(false, &mut board);
-    board.members.record_liveness(sign(1, 0), now);
+    board.members.record_liveness(update(1, 0), now);
     let before = board.members.is_available(id);
     list(true, &mut board);
     board.members.expire_silent(at(2000));
-    board.members.record_liveness(sign(1, 2000), at(2000));
+    board.members.record_liveness(update(1, 2000), at(2000));
     let returned = board.members.is_available(id);
-    board.members.record_liveness(sign(2, 0), at(3000));
+    board.members.record_liveness(update(2, 0), at(3000));
     let lagging = board.members.is_available(id);
     list(false, &mut board);
 
@@ -153,7 +153,7 @@
     assert!(board.members.is_available(id));
 }
 
-/// Runs that a server was given so far.
+/// Number of calls that a server has run so far.
 fn runs(site: &Site, server: &str) -> usize {
     let id = ServerId::of(server);
     let found = site.servers.iter().find(|s| s.id == id);
@@ -176,8 +176,9 @@
     }
 }
 
-/// The platform is down, so no configuration can say it, and a server says in its load report that
-/// it leaves. A router is stopped at that time and woken later. None may send work there after 3 s.
+/// A server announces in its load report that it is leaving while the platform is down and one router
+/// is paused. If the state were only taken from the configuration, or the paused router resumed with
+/// its stale view, the server would get new work.
 #[test]
 fn a_leaving_server_gets_no_new_work_while_the_platform_is_down() {
     block_on(async {
@@ -207,10 +208,10 @@
     });
 }
 
-/// The platform lists a router as leaving while it serves on. Callers that ask any other router
-/// within a few seconds must not be sent there, although only the readers read the list.
+/// The platform lists a router as leaving while it keeps serving. Only the readers of a failure domain
+/// read the list; routers that didn't get it from them would still give out its address.
 #[test]
-fn an_instance_listed_as_leaving_is_named_to_no_caller() {
+fn leaving_instance_is_not_returned_to_callers() {
     block_on(async {
         let site = small_site(ROUTER, 8).await;
         let mut list: Vec<_> = site.routers.iter().map(|r| r.listed.clone()).collect();
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -1,4 +1,4 @@
-//! Owners of pools through starts, stops, pauses and cuts, driven in a fixed order.
+//! Owners of pools during starts, stops, pauses and partitions, simulated in a deterministic order.
 
 use std::time::{Duration, Instant};
 
@@ -32,7 +32,7 @@
     PoolId::of(ServiceId::of("drafting"), DomainId::of("a"))
 }
 
-/// Instances that run and grant slots of the pool in failure domain `a`.
+/// Running instances that grant slots of the pool in failure domain `a`.
 fn owners(steps: &Steps) -> Vec<usize> {
     let now = steps.instant();
     (0..PLACES.len())
@@ -44,17 +44,17 @@
         .collect()
 }
 
-/// Milliseconds with no owner and with several, and how often the single owner changed.
+/// Milliseconds without an owner and with several, and the number of changes of the single owner.
 #[derive(Debug, Default, PartialEq, Eq)]
-struct Watch {
+struct OwnerStats {
     none: u64,
     several: u64,
     changes: u64,
     last: Option<usize>,
 }
 
-impl Watch {
-    fn look(&mut self, steps: &Steps) {
+impl OwnerStats {
+    fn sample(&mut self, steps: &Steps) {
         match owners(steps)[..] {
             [] => self.none += 1,
             [one] => {
@@ -66,7 +66,7 @@
     }
 }
 
-/// Keeps requests waiting at two instances of failure domain `a` and one other.
+/// Keeps requests waiting at two instances of failure domain `a` and at one of `b`.
 fn load(steps: &mut Steps) {
     for entry in [0, 1, 4] {
         if steps.dead.contains(&entry) || steps.frozen.contains(&entry) {
@@ -79,11 +79,10 @@
     }
 }
 
-/// An operator replaces the owner of a busy pool. It says that it leaves, and everything that its
-/// successor needs is known; but if the successor first waits for the entries to tell it what they
-/// hold, callers see a gap in which freed slots idle.
+/// The owner of a busy pool is replaced. Without a handover its successor would first collect the
+/// held slots from all entries, while freed slots idle.
 #[test]
-fn a_leaving_owner_hands_its_pool_over_without_a_dip() {
+fn handover_of_a_leaving_owner_keeps_throughput() {
     let mut steps = steps();
     steps.run(1000, load);
     let old = owners(&steps)[0];
@@ -93,23 +92,23 @@
 
     let me = steps.boards[old].me();
     steps.boards[old].members.set_leaving(me);
-    let mut watch = Watch::default();
+    let mut stats = OwnerStats::default();
     let before = steps.busy;
     steps.run(500, |s| {
         load(s);
-        watch.look(s);
+        stats.sample(s);
     });
 
     let used = (steps.busy - before) as f64 / usual as f64;
-    assert_ne!(watch.last, Some(old));
-    assert!(used > 0.95, "used {used}, {watch:?}");
-    assert!(watch.none <= 5 && watch.several <= 105, "{watch:?}");
+    assert_ne!(stats.last, Some(old));
+    assert!(used > 0.95, "used {used}, {stats:?}");
+    assert!(stats.none <= 5 && stats.several <= 105, "{stats:?}");
     assert!(steps.peak.values().all(|n| u64::from(*n) <= SLOTS_OF_A));
 }
 
-/// The instance that the hash prefers restarts without state. Seen from itself, everybody is as new
-/// as it is, so it takes its old pools at once, while all others keep the owner that took over. Two
-/// owners then grant the same slots until the newcomer counts as steady everywhere.
+/// The instance that the hash prefers restarts without state. If it regarded all others as just
+/// started too, it would reclaim its pools at once while the others keep the new owner, and two
+/// owners would grant the same slots until the instance counts as stable everywhere.
 #[test]
 fn a_restarted_instance_and_the_others_agree_on_the_owner() {
     let mut steps = steps();
@@ -118,49 +117,53 @@
     steps.run(2000, load);
 
     steps.restart(old, &small_fleet(), 1);
-    let mut watch = Watch::default();
+    let mut stats = OwnerStats::default();
     steps.run(6000, |s| {
         load(s);
-        watch.look(s);
+        stats.sample(s);
     });
 
-    assert_eq!(watch.last, Some(old), "it comes back once it is steady");
-    assert_eq!(watch.changes, 1, "{watch:?}");
-    assert!(watch.several <= 150 && watch.none <= 5, "{watch:?}");
+    assert_eq!(
+        stats.last,
+        Some(old),
+        "it becomes the owner again once it is stable"
+    );
+    assert_eq!(stats.changes, 1, "{stats:?}");
+    assert!(stats.several <= 150 && stats.none <= 5, "{stats:?}");
 }
 
-/// A faulty instance starts, runs for two seconds and dies, again and again. If it were given its
-/// pools each time, each round would cost two changes of owner and a dip.
+/// A faulty instance starts, runs for two seconds and dies, again and again. If it got its pools back
+/// each time, every round would cause two changes of owner and a drop in throughput.
 #[test]
 fn a_flapping_instance_does_not_make_ownership_flap() {
     let mut steps = steps();
     let old = owners(&steps)[0];
     steps.kill(old);
     steps.run(2000, load);
-    let mut watch = Watch::default();
+    let mut stats = OwnerStats::default();
 
     for _ in 0..5 {
         steps.restart(old, &small_fleet(), 1);
         steps.run(2000, |s| {
             load(s);
-            watch.look(s);
+            stats.sample(s);
         });
         steps.kill(old);
         steps.run(1000, |s| {
             load(s);
-            watch.look(s);
+            stats.sample(s);
         });
     }
 
-    assert_eq!(watch.changes, 0, "{watch:?}");
-    assert_eq!((watch.none, watch.several), (0, 0));
+    assert_eq!(stats.changes, 0, "{stats:?}");
+    assert_eq!((stats.none, stats.several), (0, 0));
 }
 
-/// The owner is cut off from its whole failure domain for four seconds, and the cut heals. It never
-/// stopped, so it takes itself for steady and all others for newcomers. They have a new owner, and
-/// see the one that was away as the newcomer.
+/// The owner is partitioned from its failure domain for four seconds. It kept running, so it regards
+/// itself as stable and all others as restarted, while they have a new owner and regard it as
+/// restarted. If it took its pools back at once, there would be two owners.
 #[test]
-fn an_instance_that_was_cut_off_does_not_take_its_pools_back_at_once() {
+fn partitioned_instance_does_not_reclaim_its_pools_at_once() {
     let mut steps = steps();
     let old = owners(&steps)[0];
     let rest: Vec<usize> = (0..PLACES.len()).filter(|n| *n != old).collect();
@@ -170,22 +173,22 @@
     assert_eq!(owners(&steps).len(), 2, "each side has an owner");
 
     steps.cut.clear();
-    let mut watch = Watch::default();
+    let mut stats = OwnerStats::default();
     steps.run(2500, |s| {
         load(s);
-        watch.look(s);
+        stats.sample(s);
     });
 
-    assert!(watch.several <= 250, "{watch:?}");
-    assert_ne!(watch.last, Some(old));
-    assert!(watch.none <= 5, "{watch:?}");
+    assert!(stats.several <= 250, "{stats:?}");
+    assert_ne!(stats.last, Some(old));
+    assert!(stats.none <= 5, "{stats:?}");
 }
 
-/// The owner is stopped for three seconds and woken, twice. Calls that it ran have ended, calls wait,
-/// and grants from before lay in its socket. If it granted or dispatched on what it knew, slots of
-/// the new owner would be given twice, and a server could run more than it has slots.
+/// The owner is paused for three seconds, twice. When it resumes, calls are waiting and old grants
+/// are in its socket buffer. If it granted or dispatched on its stale view, slots of the new owner
+/// would be used twice, and a server could run more calls than it has slots.
 #[test]
-fn a_woken_owner_does_nothing_on_its_old_view() {
+fn resumed_owner_does_not_act_on_a_stale_view() {
     let mut steps = steps();
     let old = owners(&steps)[0];
     steps.run(1000, load);
@@ -207,26 +210,26 @@
             steps.step();
             stale += 1;
         }
-        let mut watch = Watch::default();
+        let mut stats = OwnerStats::default();
         steps.run(1500, |s| {
             load(s);
-            watch.look(s);
+            stats.sample(s);
         });
 
         assert!(waiting > 0 && (1..10).contains(&stale), "{stale}");
-        assert_eq!((watch.several, watch.none), (0, 0), "{watch:?}");
-        assert_ne!(watch.last, Some(old));
+        assert_eq!((stats.several, stats.none), (0, 0), "{stats:?}");
+        assert_ne!(stats.last, Some(old));
         assert_eq!(steps.waiting(old, "small-1", "drafting"), 0);
         steps.run(3000, load);
     }
 }
 
-/// The only instance of a failure domain is stopped and woken. Its pool belongs to it again at once,
-/// for there is no other, and its book still lists wants of before. Others granted those slots
-/// meanwhile, so nothing may be granted until a peer has answered a question of after the pause; an
-/// answer to an earlier one, which lay in the socket, must not count.
+/// The only instance of a failure domain is paused. When it resumes, it owns its pool again at once
+/// and still has the old demand, but others have granted the slots in the meantime. Nothing may be
+/// granted until a peer responds to a probe sent after the pause; a response to an earlier probe,
+/// left in the socket buffer, must not count.
 #[test]
-fn a_lone_woken_owner_waits_for_a_fresh_answer() {
+fn resumed_sole_owner_waits_for_a_fresh_probe_response() {
     let mut steps = steps();
     let pool = PoolId::of(ServiceId::of("drafting"), DomainId::of("b"));
     steps.run(1000, load);
@@ -237,27 +240,26 @@
     let before = granted(&steps);
 
     steps.step();
-    let earlier = ProbeAck {
+    let stale_ack = ProbeAck {
         number: steps.boards[4].pause_count - 1,
         revision: 1,
         serving: true,
     };
     let now = steps.instant();
-    tick::on_probe_ack(&mut steps.boards[4], earlier, now);
+    tick::on_probe_ack(&mut steps.boards[4], stale_ack, now);
     let stale = steps.boards[4].stale_since.is_some();
     let held_back = granted(&steps);
     steps.run(1500, load);
 
-    assert!(stale, "an early answer confirms nothing");
+    assert!(stale, "a response to an earlier probe confirms nothing");
     assert_eq!(held_back, before);
     assert!(steps.boards[4].stale_since.is_none() && granted(&steps) > before);
 }
 
-/// While an instance is stopped, a server is taken out of use. The instance wakes, a peer confirms
-/// that it is back, and waiting requests go to the server that left long ago, because the
-/// confirmation said nothing of the configuration.
+/// A server is removed while an instance is paused. If a probe response confirmed the view without
+/// comparing configuration revisions, the resumed instance would send requests to that server.
 #[test]
-fn a_woken_instance_waits_for_the_configuration_of_its_peers() {
+fn resumed_instance_waits_for_the_configuration_of_its_peers() {
     let mut steps = steps();
     steps.run(1000, load);
     steps.frozen.insert(0);
@@ -276,7 +278,10 @@
     steps.boards[0].install(config, manifest, values);
     steps.run(100, load);
 
-    assert!(before, "no view is confirmed that lacks a revision");
+    assert!(
+        before,
+        "the view is not confirmed without the latest revision"
+    );
     assert!(steps.boards[0].stale_since.is_none());
 }
 
@@ -287,11 +292,11 @@
     FleetText::new().line(&text)
 }
 
-/// An instance that works with more and more others sends its heartbeats more seldom, and says so.
-/// If the longer interval were not taken for its word, each view would count it as dead until the
-/// next heartbeat, and all pools would move back and forth.
+/// An instance with more and more partners announces longer heartbeat intervals. If receivers kept
+/// the old timeout, they would mark it dead before each heartbeat, and pools would move back and
+/// forth.
 #[test]
-fn longer_intervals_between_heartbeats_are_no_silence() {
+fn longer_heartbeat_intervals_do_not_time_out() {
     let start = Instant::now();
     let own = contact("i0", "a", "north");
     let mut members = Members::new(InstanceId::of("i0"), own, Incarnation(1), start);
@@ -300,7 +305,7 @@
     let mut died = 0;
 
     for interval in [100, 350, 350, 350, 800, 800, 800].map(Duration::from_millis) {
-        let sign = LivenessUpdate {
+        let update = LivenessUpdate {
             from: InstanceId::of("i1"),
             incarnation: Incarnation(1),
             leaving: false,
@@ -309,7 +314,7 @@
             stable_tenths: 0,
             direct: true,
         };
-        members.record_liveness(sign, start + at);
+        members.record_liveness(update, start + at);
         at += interval;
         members.expire_silent(start + at);
         died += members.newly_dead.len();
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -1,4 +1,4 @@
-//! More work than the servers can run, driven in a fixed order.
+//! More load than the servers can run, simulated in a deterministic order.
 
 use hawthornmill::blackboard::{Blackboard, Tuning};
 use hawthornmill::codes::Code;
@@ -9,10 +9,10 @@
 
 const PLACES: &[(&str, &str)] = &[("a", "north"), ("b", "north"), ("c", "south")];
 const ACCOUNTS: &[&str] = &["big", "small-1", "small-2"];
-/// Milliseconds that a call holds its slot.
-const COST: u64 = 50;
-/// Milliseconds that a caller waits.
-const DEADLINE: u64 = 500;
+/// Time that a call holds its slot.
+const COST_MS: u64 = 50;
+/// Time that a caller waits.
+const DEADLINE_MS: u64 = 500;
 /// Slots of the fleet's drafting servers.
 const SLOTS: u64 = 12;
 
@@ -21,11 +21,11 @@
     (total.count, total.bytes)
 }
 
-/// Callers send three times what the servers can run and give up after ten service times. With a
-/// queue in the order of arrival every slot goes to a call that is about to be given up on, so the
-/// servers are busy and hardly any caller gets its answer in time.
+/// Callers send three times what the servers can run and time out after ten service times. With
+/// queues in order of arrival every slot would go to a call that is about to time out: the servers
+/// are busy, but hardly any response is in time.
 #[test]
-fn threefold_overload_leaves_the_goodput_and_bounds_the_backlog() {
+fn threefold_overload_keeps_goodput_and_bounds_the_backlog() {
     let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
     let mut turn = 0;
     let mut offer = |s: &mut Steps| {
@@ -33,7 +33,7 @@
         if s.now * 18 % 25 < 18 {
             let (entry, account) = (turn % 3, ACCOUNTS[turn / 3 % 3]);
             turn += 1;
-            let _refused = s.arrive(entry, account, "drafting", COST, DEADLINE);
+            let _refused = s.arrive(entry, account, "drafting", COST_MS, DEADLINE_MS);
         }
     };
     steps.run(3000, &mut offer);
@@ -48,16 +48,16 @@
     });
 
     let good = |e: &&hawthornmill_test_support::steps::Ended| {
-        e.code.is_none() && e.waited + COST <= DEADLINE
+        e.code.is_none() && e.waited + COST_MS <= DEADLINE_MS
     };
     let goodput =
-        (steps.ended.iter().filter(good).count() as u64 * COST) as f64 / (6000 * SLOTS) as f64;
+        (steps.ended.iter().filter(good).count() as u64 * COST_MS) as f64 / (6000 * SLOTS) as f64;
     assert!(goodput > 0.97, "goodput {goodput}");
     assert!(most.0 < 60, "most that waited at one instance: {most:?}");
 }
 
-/// One account that may queue more than the instance holds floods it. The calls of another account
-/// must be let in all the same: the flood makes room, not those who come after it.
+/// An account may queue more calls than the instance holds, and floods it. If the instance rejected
+/// new calls instead of evicting those of the flood, other accounts would not be admitted.
 #[test]
 fn a_flood_leaves_room_for_the_other_accounts() {
     let fleet = small_fleet().account_with("flood", "large", "max_queue = 100000");
@@ -66,9 +66,9 @@
         ..Tuning::default()
     };
     let mut steps = Steps::new(&fleet, PLACES, &tuning);
-    while steps.arrive(0, "flood", "booking", COST, 60_000).is_ok() {}
+    while steps.arrive(0, "flood", "booking", COST_MS, 60_000).is_ok() {}
 
-    let mine = (0..100).map(|_| steps.arrive(0, "small-1", "booking", COST, 60_000));
+    let mine = (0..100).map(|_| steps.arrive(0, "small-1", "booking", COST_MS, 60_000));
 
     assert!(mine.into_iter().all(|r| r.is_ok()));
     let (count, _) = backlog(&steps.boards[0]);
@@ -80,44 +80,44 @@
     assert_eq!(steps.ended.iter().filter(refused).count(), 100);
 }
 
-/// Seconds after which a caller of `account` that is refused now is told to come back.
-fn after(steps: &Steps, account: &str) -> f64 {
+/// Seconds after which a caller of `account` that is rejected now should retry.
+fn retry_after_seconds(steps: &Steps, account: &str) -> f64 {
     let (service, account) = (ServiceId::of("drafting"), AccountId::of(account));
     let board = &steps.boards[0];
     entry::retry_after(board, service, account, 0.0, steps.instant()).as_secs_f64()
 }
 
-/// Two accounts have queues of the same length, and one is served four times as fast. The one that
-/// is served slowly must be told to come back later, or its callers come back for nothing.
+/// Two accounts have queues of the same length, but one is served four times as fast. If both got the
+/// same retry time, callers of the slower one would retry in vain.
 #[test]
-fn the_time_to_come_back_follows_the_account_s_own_rate() {
+fn retry_after_follows_the_rate_of_the_account() {
     let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
     let fill = |s: &mut Steps| {
         for account in ["big", "small-1"] {
             while s.waiting(0, account, "drafting") < 40 {
-                assert_eq!(s.arrive(0, account, "drafting", COST, 60_000), Ok(()));
+                assert_eq!(s.arrive(0, account, "drafting", COST_MS, 60_000), Ok(()));
             }
         }
     };
     steps.run(4000, fill);
 
-    // Slots come in bursts here, as all calls cost the same. One look may fall on the end of a burst
-    // and tell too short a time, so the time is averaged over several.
+    // All calls cost the same, so slots are granted in bursts. A single sample at the end of a burst
+    // would be too low, so the time is averaged over several.
     let (mut big, mut small) = (0.0, 0.0);
-    steps.run(4 * COST, |s| {
+    steps.run(4 * COST_MS, |s| {
         fill(s);
-        big += after(s, "big");
-        small += after(s, "small-1");
+        big += retry_after_seconds(s, "big");
+        small += retry_after_seconds(s, "small-1");
     });
 
     let ratio = small / big;
     assert!((3.0..5.0).contains(&ratio), "ratio {ratio}");
 }
 
-/// A caller gives up while its call waits behind others. It must hear so at the next tick, and its
-/// place must be free; if it were noticed only when the call's turn comes, callers would hang.
+/// The deadline of a call passes while it waits behind others. If that were noticed only when a slot
+/// is free for the call, callers would hang and the queue would stay full.
 #[test]
-fn a_call_that_is_given_up_on_is_answered_at_once() {
+fn expired_call_is_rejected_at_once() {
     let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
     steps.run(1000, |_| {});
     for _ in 0..60 {
@@ -133,7 +133,7 @@
         .filter(|e| e.code == Some(Code::DeadlinePassed))
         .map(|e| e.waited)
         .collect();
-    assert!(late.len() >= 40, "{} were given up", late.len());
+    assert!(late.len() >= 40, "{} expired", late.len());
     assert!(late.iter().all(|w| (200..=220).contains(w)), "{late:?}");
     assert_eq!(backlog(&steps.boards[0]), (0, 0));
 }
--- a/tests/testsuite/steady_owners.rs
+++ b/tests/testsuite/owner_stability.rs
@@ -1,4 +1,4 @@
-//! Owners of pools stay where they are while real processes work.
+//! Stability of pool owners with real router processes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,11 +7,11 @@
 
 use crate::{ROUTER, block_on};
 
-/// Calls come in bursts at each of eight routers in turn, so that which instances work with each
-/// other changes all the time. Heartbeats that ended with the work were taken for deaths: pools
-/// moved from one instance to another several times a second, and servers got more than their slots.
+/// Bursts of calls at one router after another change constantly which instances exchange heartbeats.
+/// The end of heartbeats was mistaken for a failure: pools changed owners several times a second, and
+/// servers got more calls than they have slots.
 #[test]
-fn owners_stay_while_calls_come_and_go() {
+fn owners_are_stable_under_bursty_load() {
     block_on(async {
         let site = small_site(ROUTER, 8).await;
         tokio::time::sleep(Duration::from_secs(5)).await;
--- a/tests/testsuite/retries.rs
+++ b/tests/testsuite/retries.rs
@@ -1,4 +1,4 @@
-//! Calls that fail at a server and are tried again.
+//! Retries of calls that failed on a server.
 
 use std::time::{Duration, Instant};
 
@@ -27,8 +27,8 @@
     decided.flatten().count()
 }
 
-/// Every server breaks off every call. If each call were tried again, the servers would get several
-/// times their load just when they can't bear it; the retries must end with the budget.
+/// Every server aborts every call. Without a budget each call would be retried, and the servers would
+/// get several times their load during an outage.
 #[test]
 fn retries_end_with_the_budget_when_every_server_fails() {
     let now = Instant::now();
@@ -54,15 +54,15 @@
     assert!(after > 0, "successful calls fill the budget again");
 }
 
-/// One server fails everything that it gets and calls of it are retried as long as there is budget.
-/// A call that another server fails once must still find a retry.
+/// One server fails every call. If its retries used up the whole budget, a call that another server
+/// failed once could not be retried.
 #[test]
-fn a_failing_server_leaves_budget_for_the_others() {
+fn failing_server_leaves_budget_for_the_others() {
     let now = Instant::now();
     let mut retries = Retries::default();
     let bad = failed("bad", "x", Failure::Broken, now);
     for _ in 0..200 {
-        let _given_or_not = retries.retry_delay(&bad, DRAW, now);
+        let _delay = retries.retry_delay(&bad, DRAW, now);
         retries.record_success(ServiceId::of("drafting"), ServerId::of("good"), &[]);
     }
 
@@ -76,10 +76,10 @@
     assert_eq!(other, 3);
 }
 
-/// A try that reached no server costs the servers nothing, so the budget is not touched; the number
-/// of tries and the deadline bound it.
+/// An attempt that reached no server adds no load. It must not use the budget, but without a bound by
+/// count and deadline it would be retried forever.
 #[test]
-fn tries_that_reached_nobody_are_bounded_by_their_number_and_the_deadline() {
+fn unreachable_attempts_are_bounded_by_count_and_deadline() {
     let now = Instant::now();
     let mut retries = Retries::default();
     let mut gone = failed("gone", "x", Failure::Unreachable, now);
@@ -96,10 +96,10 @@
     assert_eq!(retries.remaining(gone.service).to_bits(), before.to_bits());
 }
 
-/// Calls that failed together must not come back together: the pause grows with each try, and two
-/// draws give two pauses.
+/// Calls that failed together would be retried together if the delay didn't grow with each attempt
+/// and depend on a random draw.
 #[test]
-fn pauses_grow_and_differ() {
+fn retry_delays_grow_and_are_jittered() {
     let now = Instant::now();
     let mut retries = Retries::default();
     let mut at = |attempt, draw| {
@@ -114,10 +114,10 @@
     assert_eq!(spread, first * 2);
 }
 
-/// One account sends calls that make a server close the connection. The other accounts must keep
-/// the server; but when a second account meets the same, the server is at fault and must rest.
+/// One account sends calls that make a server close the connection. If that counted as a fault of the
+/// server, the other accounts would lose it; if calls of a second account fail too, it is one.
 #[test]
-fn one_account_can_t_take_a_server_from_the_others() {
+fn one_account_cannot_take_a_server_from_the_others() {
     let now = Instant::now();
     let mut retries = Retries::default();
     let poison = failed("s", "poisoner", Failure::Broken, now);
@@ -129,10 +129,10 @@
     assert!(second);
 }
 
-/// A server fails the calls of its only account. One of them is then answered by another server, so it
-/// was not the call's fault: the server must rest, or it goes on drawing calls.
+/// A server fails the calls of its only account, and one of them then succeeds on another server. The
+/// first server is at fault; if it were not avoided, it would keep attracting calls.
 #[test]
-fn a_call_that_is_answered_elsewhere_proves_its_server_at_fault() {
+fn success_elsewhere_proves_the_server_at_fault() {
     let now = Instant::now();
     let mut retries = Retries::default();
     let bad = failed("bad", "x", Failure::Unavailable, now);
@@ -144,10 +144,10 @@
     assert_eq!((before, after), (false, true));
 }
 
-/// A call waited longest, got a slot, and its server failed. Put back at the end of the queue it would
-/// wait for all who came after it a second time; it must go first, and to another server.
+/// The oldest call got a slot, and its server failed. If it were put at the end of the queue, it would
+/// wait a second time behind all later calls; it must go first, and to another server.
 #[test]
-fn a_retried_call_keeps_its_place_and_avoids_the_server() {
+fn retried_call_keeps_its_position_and_avoids_the_server() {
     for name in ["draft-a", "draft-b"] {
         retry_away_from(name);
     }
@@ -196,10 +196,10 @@
     assert_ne!(servers[0], avoid);
 }
 
-/// The only server of a pool failed a call once. Nothing but that server can run the retry, so after
-/// a few refused grants the call must take it; refusing for ever would leave both idle.
+/// The only server of a pool failed a call once, and no other can run the retry. If the call declined
+/// every grant for it, both would idle forever.
 #[test]
-fn a_retried_call_takes_the_only_server_in_the_end() {
+fn retried_call_eventually_uses_the_only_server() {
     let fleet = hawthornmill_test_support::fleet::FleetText::new()
         .domain("a", "north")
         .service("drafting")
--- a/tests/testsuite/routing/link.rs
+++ b/tests/testsuite/routing/congestion.rs
@@ -1,4 +1,4 @@
-//! Whether an instance's own link is full.
+//! Detection of congestion on an instance's own link.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -11,9 +11,9 @@
     SocketAddr::from(([127, 0, 0, 1], number))
 }
 
-/// Failure: an instance behind a full link learns its servers as slow, and refuses all its callers as too late.
+/// An instance behind a congested link would take all servers for slow and reject every call as too late.
 #[test]
-fn a_link_is_late_when_every_server_is() {
+fn link_is_congested_when_every_server_is_slow() {
     let now = Instant::now();
     let mut link = LinkMonitor::default();
 
@@ -25,9 +25,9 @@
     assert_eq!(link.queueing_delay(now), millis(400));
 }
 
-/// Failure: a few servers are gone, and nothing is learned any more of those that live.
+/// If a few dead servers counted as congestion, the latency of the live ones would no longer be measured.
 #[test]
-fn servers_that_are_gone_do_not_make_the_link_late() {
+fn dead_servers_do_not_mark_the_link_congested() {
     let now = Instant::now();
     let mut link = LinkMonitor::default();
 
@@ -39,8 +39,9 @@
     assert!(!link.is_congested(now));
 }
 
+/// If samples of one slow server added up, it alone would count as congestion.
 #[test]
-fn one_server_asked_many_times_tells_nothing_of_the_link() {
+fn one_slow_server_does_not_mark_the_link_congested() {
     let now = Instant::now();
     let mut link = LinkMonitor::default();
 
@@ -51,8 +52,9 @@
     assert!(!link.is_congested(now));
 }
 
+/// If samples didn't expire, the link would count as congested after the traffic has ended.
 #[test]
-fn what_was_late_seconds_ago_no_longer_counts() {
+fn old_samples_expire() {
     let now = Instant::now();
     let mut link = LinkMonitor::default();
 
--- a/tests/testsuite/routing/mod.rs
+++ b/tests/testsuite/routing/mod.rs
@@ -1,16 +1,16 @@
 //! Decisions of the gateway in a fixed order, with a clock moved by hand and no socket.
 
+mod adaptive_timeout;
 mod budget;
+mod congestion;
 mod desk;
 mod digest;
 mod lag;
 mod leaving;
-mod link;
 mod loads;
 mod many;
 mod mates;
 mod parts;
-mod patience;
 mod place;
 mod reading;
 mod registry;
--- a/tests/testsuite/shares.rs
+++ b/tests/testsuite/shares.rs
@@ -1,4 +1,4 @@
-//! Fair shares over the whole fleet, in a fixed order.
+//! Fair shares over the whole fleet, simulated in a deterministic order.
 
 use hawthornmill::blackboard::{Policy, Tuning};
 use hawthornmill::fairness::CostKey;
@@ -6,10 +6,10 @@
 use hawthornmill_test_support::loads::{Backlog, Drive, EIGHT, WIDE_SLOTS, gap_bound, wide_fleet};
 use hawthornmill_test_support::steps::Steps;
 
-/// Age of the oldest counter in milliseconds: three reports.
-const STALENESS: u64 = 750;
-/// Time after which views agree once nothing runs: calls end, and reports repeat everything.
-const QUIET: u64 = 8000;
+/// Age of the oldest counter: three report intervals.
+const STALENESS_MS: u64 = 750;
+/// Time after which all views agree when idle: calls have ended, and all reports were repeated.
+const SETTLE_MS: u64 = 8000;
 
 const fn backlog(account: &'static str, share: f64, entries: &'static [usize]) -> Backlog {
     Backlog {
@@ -20,7 +20,7 @@
     }
 }
 
-/// Three accounts at one instance each, one at two, and a flood at all.
+/// Three accounts at one instance each, one at two instances, and one that floods all instances.
 const UNEVEN: &[Backlog] = &[
     backlog("flood", 1.0, &[0, 1, 2, 3, 4, 5, 6, 7]),
     backlog("large", 4.0, &[0, 1]),
@@ -36,7 +36,7 @@
     }
 }
 
-fn warmed(policy: Policy) -> (Steps, Drive) {
+fn warmed_up(policy: Policy) -> (Steps, Drive) {
     let mut steps = Steps::new(&wide_fleet(), EIGHT, &tuning(policy));
     let mut drive = Drive::new(UNEVEN);
     drive.run(&mut steps, 3000);
@@ -49,16 +49,16 @@
     (steps.sent.values().sum(), steps.bytes)
 }
 
-/// One account floods every instance; a small lab and a large one use one or two instances each. A
-/// router that schedules alone gives the flood a slot at every instance, and the lab only one.
+/// One account floods every instance; the others use one or two instances each. Routers with static
+/// shares serve the flood at every instance, so it receives several times its fair share.
 #[test]
-fn the_gap_is_a_tenth_of_what_routers_that_schedule_alone_leave() {
-    let (mut alone_steps, mut alone) = warmed(Policy::Static);
-    let (mut steps, mut drive) = warmed(Policy::Pooled);
+fn service_gap_is_a_tenth_of_that_under_static_shares() {
+    let (mut static_steps, mut static_drive) = warmed_up(Policy::Static);
+    let (mut steps, mut drive) = warmed_up(Policy::Pooled);
 
     let before = (traffic(&steps), steps.ended.len());
 
-    alone.run(&mut alone_steps, 20_000);
+    static_drive.run(&mut static_steps, 20_000);
     drive.run(&mut steps, 20_000);
 
     let calls = (steps.ended.len() - before.1) as f64;
@@ -69,21 +69,25 @@
     assert!(messages < 2.5, "{messages} messages a call");
     assert!(bytes < 100.0, "{bytes} bytes a call");
 
-    let bound = gap_bound(WIDE_SLOTS, STALENESS, 1.0);
+    let bound = gap_bound(WIDE_SLOTS, STALENESS_MS, 1.0);
     println!(
         "gap {:.0} alone {:.0} bound {bound:.0}",
-        drive.gap, alone.gap
+        drive.gap, static_drive.gap
     );
     assert!(drive.gap < bound / 4.0, "gap {} bound {bound}", drive.gap);
-    assert!(drive.gap * 10.0 <= alone.gap, "{} {}", drive.gap, alone.gap);
+    assert!(
+        drive.gap * 10.0 <= static_drive.gap,
+        "{} {}",
+        drive.gap,
+        static_drive.gap
+    );
 }
 
-/// A router restarts without state and soon owns a pool again. If it took every account for equal,
-/// or counted what it hears for the first time as served just now, some accounts would be served
-/// ahead of others that are owed.
+/// A router restarts without state and soon owns a pool again. If it treated all accounts as equal,
+/// or counted old service as new, accounts that had their share would be preferred.
 #[test]
-fn a_restarted_router_knows_who_was_served() {
-    let (mut steps, mut drive) = warmed(Policy::Pooled);
+fn restarted_router_recovers_the_fairness_counters() {
+    let (mut steps, mut drive) = warmed_up(Policy::Pooled);
     for _ in 0..2 {
         for index in 0..steps.boards.len() {
             steps.kill(index);
@@ -93,17 +97,17 @@
         }
     }
 
-    steps.run(QUIET, |_| {});
+    steps.run(SETTLE_MS, |_| {});
 
     let totals: Vec<Vec<f64>> = steps.boards.iter().map(totals).collect();
     let most = spread(&totals);
-    let bound = gap_bound(WIDE_SLOTS, STALENESS, 1.0);
+    let bound = gap_bound(WIDE_SLOTS, STALENESS_MS, 1.0);
     println!("spread {most:.0} gap {:.0} bound {bound:.0}", drive.gap);
     assert!(most < 1.0, "views differ by {most}: {totals:?}");
     assert!(drive.gap < bound, "gap {} bound {bound}", drive.gap);
 }
 
-/// Normalised service of every account of [`UNEVEN`], as one instance knows it.
+/// Normalised service of every account of [`UNEVEN`] in the view of one instance.
 fn totals(board: &hawthornmill::blackboard::Blackboard) -> Vec<f64> {
     let service = ServiceId::of("drafting");
     let key = |b: &Backlog| CostKey {
@@ -113,7 +117,7 @@
     UNEVEN.iter().map(|b| board.ledger.total(key(b))).collect()
 }
 
-/// Largest difference between two instances' view of how far one account is ahead of the first.
+/// Largest difference between two instances' views of an account's lead over the first account.
 fn spread(totals: &[Vec<f64>]) -> f64 {
     let lags = |t: &Vec<f64>| -> Vec<f64> { t.iter().map(|v| v - t[0]).collect() };
     let mut most: f64 = 0.0;
@@ -127,12 +131,11 @@
     most
 }
 
-/// A link in the middle of the fleet fails for ten seconds and comes back. Both sides go on serving
-/// by what they know; afterwards the lag that arose is repaid up to its cap, and then the gap is
-/// under the bound again.
+/// During a partition of ten seconds each side schedules by its own counters. If the counters didn't
+/// converge afterwards, or the lag were repaid without limit, the gap would stay above its bound.
 #[test]
-fn a_partition_that_heals_leaves_the_gap_under_its_bound() {
-    let (mut steps, mut drive) = warmed(Policy::Pooled);
+fn service_gap_is_bounded_after_a_partition_heals() {
+    let (mut steps, mut drive) = warmed_up(Policy::Pooled);
     steps.cut_between(&[0, 1, 3], &[2, 4, 5, 6, 7]);
     drive.run(&mut steps, 10_000);
     steps.cut.clear();
@@ -141,19 +144,19 @@
 
     drive.run(&mut steps, 10_000);
 
-    let bound = gap_bound(WIDE_SLOTS, STALENESS, 1.0);
+    let bound = gap_bound(WIDE_SLOTS, STALENESS_MS, 1.0);
     println!("gap after the cut {:.0} bound {bound:.0}", drive.gap);
     assert!(drive.gap < bound, "gap {} bound {bound}", drive.gap);
-    steps.run(QUIET, |_| {});
+    steps.run(SETTLE_MS, |_| {});
     let totals: Vec<Vec<f64>> = steps.boards.iter().map(totals).collect();
     assert!(spread(&totals) < 1.0, "{totals:?}");
 }
 
-/// A lab is idle for a long time and comes back. If idle time earned credit, it would have every slot
-/// to itself until it had caught up, and the others would wait.
+/// An account returns after a long idle time. If idle time earned credit, it would get every slot
+/// until it had caught up, and the others would wait.
 #[test]
 fn idle_time_earns_no_credit() {
-    let (mut steps, mut others) = warmed(Policy::Pooled);
+    let (mut steps, mut others) = warmed_up(Policy::Pooled);
     others.run(&mut steps, 20_000);
     let all: Vec<Backlog> = UNEVEN
         .iter()
@@ -165,7 +168,7 @@
 
     drive.run(&mut steps, 6000);
 
-    let bound = gap_bound(WIDE_SLOTS, STALENESS, 1.0);
+    let bound = gap_bound(WIDE_SLOTS, STALENESS_MS, 1.0);
     println!("gap {:.0} bound {bound:.0}", drive.gap);
     let lab = steps.got("lab-6");
     // Its share is 1 of 9 of 48 slots.
@@ -174,11 +177,10 @@
     assert!(drive.gap < bound);
 }
 
-/// A fleet has run for days. An owner's counter of an account is in the tens of billions, and what the
-/// account receives from call to call is a few hundred. Told with too few digits, the other owners
-/// would not see those calls at all, and the account would be served ahead of the others.
+/// After days, counters are in the tens of billions and grow by a few hundred per call. Sent with too
+/// low a precision, these calls would be lost to other owners, and the account would be preferred.
 #[test]
-fn counters_stay_exact_after_days() {
+fn large_counters_stay_exact() {
     let mut steps = Steps::new(&wide_fleet(), EIGHT, &Tuning::default());
     let key = CostKey {
         service: ServiceId::of("drafting"),
--- a/tests/testsuite/starvation.rs
+++ b/tests/testsuite/starvation.rs
@@ -1,4 +1,4 @@
-//! No account starves: single callers, confined accounts, and callers of a small region.
+//! No account starves: single callers, confined accounts and callers in a small region.
 
 use hawthornmill::blackboard::Tuning;
 use hawthornmill::ident::AccountId;
@@ -7,8 +7,8 @@
 };
 use hawthornmill_test_support::steps::Steps;
 
-/// Largest costs that a single caller may wait, however many accounts flood.
-const WAIT: f64 = 2.0;
+/// Longest wait of a single caller under flood, in costs of the largest call.
+const MAX_WAIT_COSTS: f64 = 2.0;
 
 const fn backlog(account: &'static str, share: f64, entries: &'static [usize]) -> Backlog {
     Backlog {
@@ -19,10 +19,10 @@
     }
 }
 
-/// Two accounts flood every instance; a kiosk sends one request at a time. It must not wait behind
-/// the floods: each time, it is next but for those that were served as little.
+/// Two accounts flood every instance, and a third sends one request at a time. If it queued behind
+/// the floods instead of being served next, it would wait for most of their backlog.
 #[test]
-fn a_single_caller_waits_for_a_bounded_time_under_flood() {
+fn single_caller_wait_is_bounded_under_flood() {
     let mut steps = Steps::new(&wide_fleet(), EIGHT, &Tuning::default());
     let all = &[0, 1, 2, 3, 4, 5, 6, 7];
     let mut drive = Drive::new(&[backlog("flood", 1.0, all), backlog("large", 4.0, all)]);
@@ -49,14 +49,13 @@
         waits[waits.len() / 2]
     );
     assert!(waits.len() >= 195, "{} answered", waits.len());
-    assert!((most as f64) < WAIT * LARGEST_COST, "{most} ms");
+    assert!((most as f64) < MAX_WAIT_COSTS * LARGEST_COST, "{most} ms");
 }
 
-/// A lab may use one small server for a long time and is then given all of them. It has received far
-/// less than the others; if all of that were made up for, the others would wait until it had caught
-/// up.
+/// An account is confined to one small server for a long time and may then use all servers. If its
+/// whole lag were repaid, the other accounts would wait until it had caught up.
 #[test]
-fn a_lag_beyond_the_cap_is_not_made_up_for() {
+fn lag_beyond_the_cap_is_not_repaid() {
     let confined = wide_fleet()
         .server("tiny", "drafting", "a", 1, "tiny")
         .account("lab-7", "confined")
@@ -82,17 +81,17 @@
     drive.run(&mut steps, 10_000);
 
     let ahead = (steps.got("lab-7") - before.1) - (steps.got("lab-1") - before.0);
-    // Slots of the largest pool, with the small server.
+    // 17 slots in the largest pool, including the small server.
     let cap = Tuning::default().lag_cap * MEAN_COST * 17.0;
     println!("lag {lag:.0}, made up {ahead:.0}, cap {cap:.0}");
     assert!(lag > 10.0 * cap, "lag {lag}");
     assert!(ahead < cap, "{ahead} of {lag}");
 }
 
-/// All callers of one account are in the small region, and everything is busy. The account must get
-/// its share of the fleet, not of its region, as far as the link allows.
+/// All callers of one account are in the small region, and all servers are busy. Without calls to the
+/// other region the account would get a share of its region only; their traffic must stay bounded.
 #[test]
-fn an_account_of_a_small_region_gets_its_share_of_the_fleet() {
+fn account_in_a_small_region_gets_its_share_of_the_fleet() {
     let accounts = [
         backlog("large", 4.0, &[0, 1]),
         backlog("lab-1", 1.0, &[2]),
@@ -107,9 +106,12 @@
         let mut drive = Drive::new(&accounts);
         drive.run(&mut steps, 4000);
         drive.mark(&steps);
-        let bytes = crossed(&steps);
+        let bytes = cross_region_bytes(&steps);
         drive.run(&mut steps, 20_000);
-        (drive.gap, (crossed(&steps) - bytes) as f64 / 20.0)
+        (
+            drive.gap,
+            (cross_region_bytes(&steps) - bytes) as f64 / 20.0,
+        )
     };
 
     let free = run(&Tuning::default());
@@ -121,12 +123,12 @@
     let bound = gap_bound(WIDE_SLOTS, 750, 1.0);
     println!("gap and bytes/s: free {free:.0?}, bounded {bounded:.0?}, bound {bound:.0}");
     assert!(free.0 < bound, "gap {}", free.0);
-    // Only the two instances of the south have reason to cross; what was granted before the
-    // allowance ran out still does.
+    // Only the two instances of the south send calls to the other region; some are granted before
+    // the budget runs out.
     assert!(bounded.1 < 2.2 * 1000.0, "{} bytes a second", bounded.1);
 }
 
-fn crossed(steps: &Steps) -> u64 {
+fn cross_region_bytes(steps: &Steps) -> u64 {
     steps
         .boards
         .iter()
