--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -146,7 +146,7 @@
     fn run(&self, core: &mut Core, now: Instant) {
         pools::run_due(&mut core.board, now);
         // A dispatch whose caller is gone gives its slot back, which may lead to another.
-        while !core.board.dispatches.is_empty() || !core.board.refusals.is_empty() {
+        while !core.board.dispatches.is_empty() || !core.board.rejections.is_empty() {
             hand_out(core, now);
             pools::run_due(&mut core.board, now);
         }
@@ -292,7 +292,7 @@
             entry::finish(&mut core.board, pool, grant, 0.0, false, now);
         }
     }
-    for (request, code) in std::mem::take(&mut core.board.refusals) {
+    for (request, code) in std::mem::take(&mut core.board.rejections) {
         if let Some(waiter) = core.waiters.remove(&request) {
             // The caller may have gone away; then nobody needs the answer.
             let _gone = waiter.send(Err(code));
--- a/crates/hawthornmill-test-support/src/steps.rs
+++ b/crates/hawthornmill-test-support/src/steps.rs
@@ -376,7 +376,7 @@
                 dispatch,
             });
         }
-        for (request, code) in std::mem::take(&mut self.boards[index].refusals) {
+        for (request, code) in std::mem::take(&mut self.boards[index].rejections) {
             if let Some(asked) = self.asked.remove(&(index, request)) {
                 self.ended.push(Ended {
                     account: asked.account,
--- a/crates/hawthornmill/src/blackboard.rs
+++ b/crates/hawthornmill/src/blackboard.rs
@@ -82,7 +82,7 @@
 
 /// A waiting request.
 #[derive(Debug, Clone)]
-pub struct Waiting {
+pub struct WaitingRequest {
     /// The service called.
     pub service: ServiceId,
     /// The account charged.
@@ -146,7 +146,7 @@
     /// Requests for fairness counters sent since startup.
     pub counter_requests: u32,
     /// Waiting requests.
-    pub waiting: SlotMap<RequestKey, Waiting>,
+    pub waiting: SlotMap<RequestKey, WaitingRequest>,
     /// Backlog of each account.
     pub backlogs: Backlogs,
     /// Service rate of each queue.
@@ -178,7 +178,7 @@
     /// Events to log.
     pub events: Vec<Event>,
     /// Rejected requests.
-    pub refusals: Vec<(RequestKey, Code)>,
+    pub rejections: Vec<(RequestKey, Code)>,
     /// Budget of bytes for calls to other regions.
     pub cross_region: CrossRegionBudget,
     /// Time of the last tick.
@@ -227,7 +227,7 @@
             outbox: Vec::new(),
             dispatches: Vec::new(),
             events: Vec::new(),
-            refusals: Vec::new(),
+            rejections: Vec::new(),
             cross_region,
             last_tick: now,
             reassign_at: None,
--- a/crates/hawthornmill/src/membership/mod.rs
+++ b/crates/hawthornmill/src/membership/mod.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// Evidence that an instance is live: a heartbeat, or a report forwarded by a relay.
+/// Evidence that an instance is live: a heartbeat or a relayed report.
 #[derive(Debug, Clone, Copy)]
 pub struct LivenessUpdate {
     /// The instance.
@@ -115,12 +115,11 @@
     pub leaving: bool,
     /// Configuration revision in force there.
     pub revision: u64,
-    /// Time until the next update of this kind is due; zero if there will be none and only reports
-    /// forwarded by relays follow.
+    /// Time until the next update of this kind is due; zero if only relayed reports will follow.
     pub interval: Duration,
     /// Tenths of a second for which the instance has been stable.
     pub stable_tenths: u8,
-    /// It came from the instance itself; a forwarded one is older by an unknown time.
+    /// It came from the instance itself; a relayed one is older by an unknown time.
     pub direct: bool,
 }
 
@@ -157,10 +156,10 @@
         }
     }
 
-    /// The entry of this instance.
+    /// The record of this instance.
     ///
     /// # Panics
-    /// Never: the entry is created with the view and not removed.
+    /// Never: the record is created with the view and not removed.
     pub fn own(&self) -> &Member {
         &self.map[&self.me]
     }
@@ -206,7 +205,7 @@
     /// Removes instances that are not listed and have long been silent, and returns them.
     pub fn remove_expired(&mut self, roster: &Roster, now: Instant) -> Vec<InstanceId> {
         let me = self.me;
-        let gone = |id: &InstanceId, member: &Member| {
+        let is_expired = |id: &InstanceId, member: &Member| {
             let last = member.last_heard.unwrap_or(member.stable_since);
             let silent = !member.live && now.duration_since(last) > EXPIRE_AFTER;
             *id != me && silent && roster.get(*id).is_none()
@@ -214,7 +213,7 @@
         let ids: Vec<InstanceId> = self
             .map
             .iter()
-            .filter(|(id, member)| gone(id, member))
+            .filter(|(id, member)| is_expired(id, member))
             .map(|(id, _)| *id)
             .collect();
         for id in &ids {
@@ -281,9 +280,9 @@
         self.changed |= member.update_leaving();
         member.incarnation = update.incarnation;
         member.revision = member.revision.max(update.revision);
-        // A forwarded report must not hide that the more frequent direct heartbeats have stopped.
-        let forwarded = !update.direct && member.direct && member.live && !restarted;
-        if forwarded && member.within_timeout(now) {
+        // A relayed report must not hide that the more frequent direct heartbeats have stopped.
+        let only_relayed = !update.direct && member.direct && member.live && !restarted;
+        if only_relayed && member.within_timeout(now) {
             return true;
         }
         let last = update.interval.is_zero();
@@ -386,8 +385,8 @@
 }
 
 fn stable_start(tenths: u8, now: Instant) -> Instant {
-    let steady = Duration::from_millis(u64::from(tenths) * 100);
-    now.checked_sub(steady).unwrap_or(now)
+    let stable = Duration::from_millis(u64::from(tenths) * 100);
+    now.checked_sub(stable).unwrap_or(now)
 }
 
 fn new_member(contact: Contact, now: Instant) -> Member {
--- a/crates/hawthornmill/src/membership/reports.rs
+++ b/crates/hawthornmill/src/membership/reports.rs
@@ -171,13 +171,13 @@
         if self.round.is_multiple_of(REFRESH_ROUNDS) {
             self.sent.clear();
         }
-        let mut out = Vec::new();
+        let mut messages = Vec::new();
         for target in neighbours(members, self.round) {
             let reports = self.updates_for(target, members);
             let batches = batch(reports);
-            out.extend(batches.into_iter().map(|b| (target, Message::Reports(b))));
+            messages.extend(batches.into_iter().map(|b| (target, Message::Reports(b))));
         }
-        out
+        messages
     }
 
     fn updates_for(&mut self, target: InstanceId, members: &Members) -> Vec<Report> {
@@ -279,10 +279,10 @@
 /// Neighbours of a region's relay: domain relays of its region and relays of the other regions.
 fn region_neighbours(members: &Members, round: u32) -> BTreeSet<InstanceId> {
     let home = members.own().region;
-    let places: BTreeSet<(RegionId, DomainId)> =
+    let domains: BTreeSet<(RegionId, DomainId)> =
         members.map.values().map(|m| (m.region, m.domain)).collect();
     let mut set = BTreeSet::new();
-    for (region, domain) in places {
+    for (region, domain) in domains {
         let known = if region == home {
             domain_relay(members, domain)
         } else {
--- a/crates/hawthornmill/src/pools/ownership.rs
+++ b/crates/hawthornmill/src/pools/ownership.rs
@@ -228,8 +228,8 @@
                 Policy::Pooled => server_config.slots,
                 Policy::Static => static_share(server_config.slots, rank, live.len(), server.0),
             };
-            let entry = owned.servers.entry(*server).or_default();
-            owned.dirty |= entry.resize(slots, server_config.class, server_config.leaving);
+            let server_slots = owned.servers.entry(*server).or_default();
+            owned.dirty |= server_slots.resize(slots, server_config.class, server_config.leaving);
         }
     }
 }
--- a/crates/hawthornmill/src/pools/queue.rs
+++ b/crates/hawthornmill/src/pools/queue.rs
@@ -5,7 +5,7 @@
 use smallvec::SmallVec;
 
 use super::retained::use_retained;
-use crate::blackboard::{Blackboard, RequestKey, Waiting};
+use crate::blackboard::{Blackboard, RequestKey, WaitingRequest};
 use crate::codes::Code;
 use crate::ident::{AccountId, ServerId, ServiceId};
 use crate::limits::backlog::Backlog;
@@ -38,8 +38,8 @@
     check_account_limits(board, &arrival)?;
     let ahead = queue_length(board, arrival.service, arrival.account);
     let left = arrival.deadline.saturating_duration_since(now);
-    // A few requests always wait, so that a wrong estimate never leaves servers idle and is
-    // corrected by how fast these are served.
+    // A few requests wait in any case: a wrong estimate then doesn't leave servers idle, and how
+    // fast these requests are served corrects it.
     if ahead >= MIN_QUEUE_LENGTH
         && queue_rate(board, arrival.service, arrival.account).misses_deadline(ahead, left, now)
     {
@@ -105,7 +105,7 @@
             return Err(Code::InstanceFull);
         };
         cancel(board, newest);
-        board.refusals.push((newest, Code::InstanceFull));
+        board.rejections.push((newest, Code::InstanceFull));
     }
 }
 
@@ -124,7 +124,7 @@
     arrived: Instant,
     avoid: SmallVec<[ServerId; 2]>,
 ) -> RequestKey {
-    let request = board.waiting.insert(Waiting {
+    let request = board.waiting.insert(WaitingRequest {
         service: arrival.service,
         account: arrival.account,
         arrived,
@@ -144,7 +144,7 @@
 }
 
 /// Removes a waiting request; returns `None` if it is no longer waiting.
-pub fn cancel(board: &mut Blackboard, request: RequestKey) -> Option<Waiting> {
+pub fn cancel(board: &mut Blackboard, request: RequestKey) -> Option<WaitingRequest> {
     let waiting = board.waiting.remove(request)?;
     board.backlogs.remove(waiting.account, waiting.bytes);
     let key = (waiting.service, waiting.account);
@@ -171,7 +171,7 @@
         .collect();
     for request in expired {
         cancel(board, request);
-        board.refusals.push((request, Code::DeadlinePassed));
+        board.rejections.push((request, Code::DeadlinePassed));
     }
 }
 
@@ -194,8 +194,8 @@
         .and_then(QueueRate::mean_holding_time);
     let finish = now + holding_time.unwrap_or_default();
     let queue = board.queues.get(&key)?;
-    let fits = |w: &Waiting| !w.avoid.contains(&server) || w.declined >= MAX_DECLINES;
-    let find = |in_time: &dyn Fn(&Waiting) -> bool| {
+    let fits = |w: &WaitingRequest| !w.avoid.contains(&server) || w.declined >= MAX_DECLINES;
+    let find = |in_time: &dyn Fn(&WaitingRequest) -> bool| {
         let mut all = queue.iter().copied();
         all.find(|r| board.waiting.get(*r).is_some_and(|w| in_time(w) && fits(w)))
     };
--- a/crates/hawthornmill/src/pools/schedule.rs
+++ b/crates/hawthornmill/src/pools/schedule.rs
@@ -101,14 +101,14 @@
         .collect()
 }
 
-/// Updates the entry of `server` after a grant.
+/// Updates the free slots of `server` after a grant.
 fn refresh_server(free: &mut FreeServers, owned: &OwnedPool, server: ServerId, now: Instant) {
     let Some(slots) = owned.servers.get(&server) else {
         return;
     };
-    for entry in free.iter_mut().filter(|s| s.id == server) {
-        entry.free = slots.available(now);
-        entry.last_grant = slots.last_grant;
+    for free_server in free.iter_mut().filter(|s| s.id == server) {
+        free_server.free = slots.available(now);
+        free_server.last_grant = slots.last_grant;
     }
     free.retain(|s| s.free > 0);
 }
@@ -224,7 +224,7 @@
         .iter_mut()
         .filter(|(_, w)| w.pending() > 0)
         .min_by_key(|(_, w)| w.last_grant)
-        .expect("an account with open wants has an entry that waits");
+        .expect("an account with pending requests has an entry that waits");
     want.granted = want.granted.wrapping_add(1);
     want.last_grant = seq;
     let entry = *entry;
