--- a/tests/testsuite/routing/mod.rs
+++ b/tests/testsuite/routing/mod.rs
@@ -1,15 +1,15 @@
 //! Decisions of the gateway in a fixed order, with a clock moved by hand and no socket.
 
+mod adaptive_timeout;
+mod congestion;
 mod departures;
 mod domain_summary;
 mod fragments;
 mod gossip;
 mod lag;
-mod link;
 mod loads;
 mod log_names;
 mod many;
-mod patience;
 mod placement;
 mod registry;
 mod retry_budget;
