--- a/crates/hawthornmill-lab/src/demo/result.rs
+++ b/crates/hawthornmill-lab/src/demo/result.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use hawthornmill::ident::{AccountId, ServiceId};
-use hawthornmill::usage::explain::shares::{Claim, max_min};
+use hawthornmill::usage::explain::intervals::{Claim, max_min};
 use serde::Serialize;
 
 use super::measure::Sample;
@@ -248,7 +248,7 @@
         .zip(demands)
         .map(|(account, demand)| Claim {
             share: account.share,
-            want: *demand,
+            demand: *demand,
         })
         .collect();
     for (account, owed) in accounts.iter_mut().zip(max_min(&claims, served)) {
--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -129,7 +129,7 @@
         timer.tick().await;
         fleet.feed(|board, now| {
             // Before the tick, which forgets what it settles.
-            fleet.telemetry.usage.causes().look(board, now);
+            fleet.telemetry.usage.causes().observe(board, now);
             tick::tick(board, now);
         });
         fleet.find_ready();
--- a/crates/hawthornmill-net/src/entry/record.rs
+++ b/crates/hawthornmill-net/src/entry/record.rs
@@ -108,7 +108,7 @@
     record.outcome = finished.outcome.name().into();
     record.code = finished.code;
     record.reason = if not_run {
-        Reason::Server
+        Reason::ServerFailed
     } else {
         waited_for(fleet, call, slot.dispatch.arrived, slot.taken)
     };
@@ -129,7 +129,7 @@
     record.outcome = problem.attempt.name().into();
     record.code = problem.code.number();
     record.reason =
-        Reason::of_code(problem.code).unwrap_or_else(|| waited_for(fleet, call, since, now));
+        Reason::from_code(problem.code).unwrap_or_else(|| waited_for(fleet, call, since, now));
     fleet.telemetry.usage.write(record);
 }
 
@@ -141,7 +141,7 @@
     let admitted = &call.admitted;
     fleet.view(|board| {
         let causes = fleet.telemetry.usage.causes();
-        causes.why(board, admitted.service, admitted.account, since, until)
+        causes.reason(board, admitted.service, admitted.account, since, until)
     })
 }
 
--- a/crates/hawthornmill-net/src/telemetry/usage.rs
+++ b/crates/hawthornmill-net/src/telemetry/usage.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use hawthornmill::usage::{Causes, OpenCalls, UsageLine, UsageMark, UsageRecord};
+use hawthornmill::usage::{OpenCalls, UsageCheckpoint, UsageLine, UsageRecord, WaitTracker};
 
 use super::logs::RAW;
 
@@ -19,7 +19,7 @@
 pub struct Usage {
     last: AtomicU64,
     open: Mutex<Open>,
-    causes: Mutex<Causes>,
+    causes: Mutex<WaitTracker>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -28,7 +28,7 @@
 
 impl Usage {
     /// Why calls waited; the board must be locked first.
-    pub fn causes(&self) -> MutexGuard<'_, Causes> {
+    pub fn causes(&self) -> MutexGuard<'_, WaitTracker> {
         lock(&self.causes)
     }
 
@@ -73,7 +73,7 @@
                 estimate: *estimate,
             })
             .collect();
-        let mark = UsageMark {
+        let mark = UsageCheckpoint {
             entry: entry.into(),
             incarnation,
             seq: self.last.load(Ordering::Relaxed),
@@ -83,7 +83,7 @@
             open,
             end,
         };
-        print(&UsageLine::UsageMark { mark });
+        print(&UsageLine::Checkpoint { checkpoint: mark });
     }
 }
 
--- a/crates/hawthornmill-tools/src/explain/mod.rs
+++ b/crates/hawthornmill-tools/src/explain/mod.rs
@@ -10,7 +10,7 @@
 
 use argh::FromArgs;
 use hawthornmill::ini::Diagnostic;
-use hawthornmill::usage::explain::{Interval, Log, Missing, divide};
+use hawthornmill::usage::explain::{Interval, MissingRecords, UsageLog, intervals};
 use serde::Serialize;
 
 use crate::request;
@@ -43,7 +43,7 @@
     /// Intervals in the order of time.
     pub intervals: Vec<Interval>,
     /// What each process run left out.
-    pub missing: Vec<Missing>,
+    pub missing: Vec<MissingRecords>,
     /// Process runs from which any line came.
     pub runs: usize,
     /// Records that came more than once and were counted once.
@@ -54,9 +54,9 @@
 
 impl Explained {
     /// Works out everything from `log`, in intervals of `seconds`.
-    pub fn new(log: &Log, seconds: u64) -> Self {
+    pub fn new(log: &UsageLog, seconds: u64) -> Self {
         Self {
-            intervals: divide(log, seconds.saturating_mul(1000)),
+            intervals: intervals(log, seconds.saturating_mul(1000)),
             missing: log.missing(),
             runs: log.run_count(),
             duplicates: log.duplicates,
@@ -88,7 +88,7 @@
 }
 
 fn run(args: &ExplainArgs) -> Result<Explained, Diagnostic> {
-    let mut log = Log::default();
+    let mut log = UsageLog::default();
     for file in &args.files {
         read::read_file(file, &mut log)
             .map_err(|e| Diagnostic::unreadable(file, &e.to_string()))?;
@@ -96,7 +96,7 @@
     let explained = Explained::new(&log, args.interval);
     if let Some(file) = &args.plot {
         // Steps of a second show what an interval's sum hides.
-        let steps = divide(&log, 1000);
+        let steps = intervals(&log, 1000);
         std::fs::write(
             file,
             plot::svg(&steps).map_err(|e| Diagnostic::unreadable(file, &e))?,
--- a/crates/hawthornmill-tools/src/explain/read.rs
+++ b/crates/hawthornmill-tools/src/explain/read.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 
 use hawthornmill::usage::UsageLine;
-use hawthornmill::usage::explain::Log;
+use hawthornmill::usage::explain::UsageLog;
 
 /// How every usage line begins.
 const BEGIN: &str = "{\"kind\":\"usage";
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 /// When the file can't be read.
-pub fn read_file(file: &Path, log: &mut Log) -> io::Result<()> {
+pub fn read_file(file: &Path, log: &mut UsageLog) -> io::Result<()> {
     let mut reader = BufReader::new(File::open(file)?);
     let mut bytes = Vec::new();
     while reader.read_until(b'\n', &mut bytes)? > 0 {
@@ -29,19 +29,19 @@
 }
 
 /// Takes the usage objects of one line.
-pub fn read_line(line: &str, log: &mut Log) {
+pub fn read_line(line: &str, log: &mut UsageLog) {
     for (at, _) in line.match_indices(BEGIN) {
         let mut objects = serde_json::Deserializer::from_str(&line[at..]).into_iter();
         match objects.next() {
-            Some(Ok(found)) => log.take(found),
+            Some(Ok(found)) => log.insert(found),
             _ => log.unreadable += 1,
         }
     }
 }
 
 /// Takes every usage line of a text.
-pub fn read_text(text: &str) -> Log {
-    let mut log = Log::default();
+pub fn read_text(text: &str) -> UsageLog {
+    let mut log = UsageLog::default();
     text.lines().for_each(|line| read_line(line, &mut log));
     log
 }
--- a/crates/hawthornmill-tools/src/explain/text.rs
+++ b/crates/hawthornmill-tools/src/explain/text.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use hawthornmill::usage::explain::{Interval, Line, words};
+use hawthornmill::usage::explain::{AccountLine, Interval, summary};
 
 use super::Explained;
 
@@ -16,7 +16,7 @@
 
 fn write_all(out: &mut String, explained: &Explained) -> std::fmt::Result {
     for interval in &explained.intervals {
-        let mut services: BTreeMap<&str, Vec<&Line>> = BTreeMap::new();
+        let mut services: BTreeMap<&str, Vec<&AccountLine>> = BTreeMap::new();
         for line in &interval.lines {
             services.entry(&line.service).or_default().push(line);
         }
@@ -31,7 +31,7 @@
 fn write_service(
     out: &mut String,
     service: &str,
-    lines: &[&Line],
+    lines: &[&AccountLine],
     interval: &Interval,
     explained: &Explained,
 ) -> std::fmt::Result {
@@ -45,8 +45,8 @@
     )?;
     for line in lines {
         let part = &line.part;
-        let difference = if part.owed > 0.0 {
-            100.0 * (part.received - part.owed) / part.owed
+        let difference = if part.entitled > 0.0 {
+            100.0 * (part.received - part.entitled) / part.entitled
         } else {
             0.0
         };
@@ -55,11 +55,11 @@
             "  {:<18} {:>6} {:>12.1} {:>12.1} {:>8.1} {:>12.1}  {}",
             line.account,
             part.share,
-            part.owed,
+            part.entitled,
             part.received,
             difference,
             part.backlogged_ms / 1000.0,
-            words::why(line, interval, &explained.missing)
+            summary::explain_line(line, interval, &explained.missing)
         )?;
     }
     writeln!(out)
@@ -90,7 +90,7 @@
     if explained.missing.is_empty() {
         return writeln!(out, "no records are missing");
     }
-    for sentence in words::gaps(&explained.missing) {
+    for sentence in summary::describe_missing(&explained.missing) {
         writeln!(out, "{sentence}")?;
     }
     Ok(())
--- a/crates/hawthornmill/src/usage/explain/shares.rs
+++ b/crates/hawthornmill/src/usage/explain/intervals.rs
@@ -10,7 +10,7 @@
 
 use serde::Serialize;
 
-use super::log::Log;
+use super::log::UsageLog;
 use crate::usage::{Reason, UsageRecord};
 
 /// Milliseconds of one step.
@@ -18,11 +18,12 @@
 
 /// Cost and waiting of one account on one service in one interval.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct Part {
+pub struct AccountUsage {
     /// Share in force at its end, as records name it.
     pub share: f64,
     /// Cost that a fair division gives it.
-    pub owed: f64,
+    #[serde(rename = "owed")]
+    pub entitled: f64,
     /// Cost that was run for it.
     pub received: f64,
     /// Part of `received` for which the estimate stands.
@@ -39,14 +40,14 @@
 
 /// One account's part with its names.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Line {
+pub struct AccountLine {
     /// Service by name.
     pub service: Box<str>,
     /// Account by name.
     pub account: Box<str>,
     /// Its part.
     #[serde(flatten)]
-    pub part: Part,
+    pub part: AccountUsage,
 }
 
 /// All parts of one interval.
@@ -57,7 +58,7 @@
     /// Its length in milliseconds.
     pub length_ms: u64,
     /// Parts by service and account.
-    pub lines: Vec<Line>,
+    pub lines: Vec<AccountLine>,
 }
 
 type Key = (Box<str>, Box<str>);
@@ -88,10 +89,10 @@
 }
 
 /// Divides the records of `log` into intervals of `length_ms`, which is rounded up to whole steps.
-pub fn divide(log: &Log, length_ms: u64) -> Vec<Interval> {
+pub fn intervals(log: &UsageLog, length_ms: u64) -> Vec<Interval> {
     let length_ms = length_ms.max(1).div_ceil(STEP_MS) * STEP_MS;
     let mut accounts: BTreeMap<Key, Account> = BTreeMap::new();
-    let mut parts: BTreeMap<u64, BTreeMap<Key, Part>> = BTreeMap::new();
+    let mut parts: BTreeMap<u64, BTreeMap<Key, AccountUsage>> = BTreeMap::new();
     for record in log.records() {
         let key = (record.service.clone(), record.account.clone());
         let account = accounts.entry(key.clone()).or_default();
@@ -110,7 +111,7 @@
     }
     for (index, key, owed) in owed(&accounts) {
         let part = parts.entry(index * STEP_MS / length_ms).or_default();
-        part.entry(key).or_default().owed += owed;
+        part.entry(key).or_default().entitled += owed;
     }
     let intervals = parts.into_iter();
     intervals
@@ -122,8 +123,8 @@
         .collect()
 }
 
-fn to_line(((service, account), part): (Key, Part)) -> Line {
-    Line {
+fn to_line(((service, account), part): (Key, AccountUsage)) -> AccountLine {
+    AccountLine {
         service,
         account,
         part,
@@ -187,7 +188,7 @@
     })
 }
 
-fn count(part: &mut Part, record: &UsageRecord) {
+fn count(part: &mut AccountUsage, record: &UsageRecord) {
     if record.estimated {
         part.estimated += record.cost;
     }
@@ -247,7 +248,7 @@
         }
         claims.push(Claim {
             share: account.share(index),
-            want: *left,
+            demand: *left,
         });
     }
     let parts = max_min(&claims, served);
@@ -264,7 +265,7 @@
     /// Weight against the others.
     pub share: f64,
     /// Most that it would take.
-    pub want: f64,
+    pub demand: f64,
 }
 
 /// Divides `served` by shares, nobody getting more than it wants.
@@ -279,7 +280,7 @@
         let level = left / shares;
         let (full, rest): (Vec<usize>, Vec<usize>) = open
             .iter()
-            .partition(|i| claims[**i].want <= level * claims[**i].share);
+            .partition(|i| claims[**i].demand <= level * claims[**i].share);
         if full.is_empty() {
             for i in rest {
                 parts[i] = level * claims[i].share;
@@ -287,8 +288,8 @@
             return parts;
         }
         for i in full {
-            parts[i] = claims[i].want;
-            left -= claims[i].want;
+            parts[i] = claims[i].demand;
+            left -= claims[i].demand;
         }
         open = rest;
     }
--- a/crates/hawthornmill/src/usage/explain/log.rs
+++ b/crates/hawthornmill/src/usage/explain/log.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::usage::{OpenCalls, UsageLine, UsageMark, UsageRecord};
+use crate::usage::{OpenCalls, UsageCheckpoint, UsageLine, UsageRecord};
 
 /// Milliseconds without a sign of a process run, while others write on, after which it counts as
 /// killed: several times the time between two marks.
@@ -16,13 +16,13 @@
 #[derive(Debug, Clone, Default)]
 struct Numbers {
     records: BTreeMap<u64, UsageRecord>,
-    mark: Option<UsageMark>,
+    mark: Option<UsageCheckpoint>,
     last_ms: u64,
 }
 
 /// What one process run left out.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Missing {
+pub struct MissingRecords {
     /// Entry instance by name.
     pub entry: Box<str>,
     /// Its process run.
@@ -48,7 +48,7 @@
 
 /// Usage lines of any number of routers, in any order.
 #[derive(Debug, Clone, Default)]
-pub struct Log {
+pub struct UsageLog {
     runs: BTreeMap<Run, Numbers>,
     /// Records that came more than once.
     pub duplicates: u64,
@@ -56,9 +56,9 @@
     pub unreadable: u64,
 }
 
-impl Log {
+impl UsageLog {
     /// Takes one line; a record that is known already is dropped and counted.
-    pub fn take(&mut self, line: UsageLine) {
+    pub fn insert(&mut self, line: UsageLine) {
         match line {
             UsageLine::Usage { usage } => {
                 let numbers = self.run(&usage.entry, usage.incarnation, usage.at_ms);
@@ -66,12 +66,13 @@
                     self.duplicates += 1;
                 }
             }
-            UsageLine::UsageMark { mark } => {
-                let numbers = self.run(&mark.entry, mark.incarnation, mark.at_ms);
-                let later =
-                    |m: &UsageMark| (mark.seq, mark.at_ms, mark.end) > (m.seq, m.at_ms, m.end);
+            UsageLine::Checkpoint { checkpoint } => {
+                let numbers = self.run(&checkpoint.entry, checkpoint.incarnation, checkpoint.at_ms);
+                let later = |m: &UsageCheckpoint| {
+                    (checkpoint.seq, checkpoint.at_ms, checkpoint.end) > (m.seq, m.at_ms, m.end)
+                };
                 if numbers.mark.as_ref().is_none_or(later) {
-                    numbers.mark = Some(mark);
+                    numbers.mark = Some(checkpoint);
                 }
             }
         }
@@ -94,7 +95,7 @@
     }
 
     /// What each process run left out; runs without a gap are not listed.
-    pub fn missing(&self) -> Vec<Missing> {
+    pub fn missing(&self) -> Vec<MissingRecords> {
         let latest = self.runs.values().map(|n| n.last_ms).max().unwrap_or(0);
         let means = self.means();
         self.runs
@@ -121,7 +122,7 @@
     numbers: &Numbers,
     latest: u64,
     means: &BTreeMap<Box<str>, (u64, f64)>,
-) -> Missing {
+) -> MissingRecords {
     let mark = numbers.mark.as_ref();
     let ended = mark.is_some_and(|m| m.end);
     let killed = !ended && latest.saturating_sub(numbers.last_ms) > SILENCE_MS;
@@ -153,7 +154,7 @@
     for calls in open.iter().filter(|o| !peak.contains_key(&o.service)) {
         *cost.entry(calls.service.clone()).or_default() += calls.estimate;
     }
-    Missing {
+    MissingRecords {
         entry: run.0.clone(),
         incarnation: run.1,
         between_ms: between(numbers, &gaps, killed),
--- a/crates/hawthornmill/src/usage/explain/mod.rs
+++ b/crates/hawthornmill/src/usage/explain/mod.rs
@@ -1,11 +1,11 @@
 //! Divides what was served, from usage records.
 //!
-//! [`log`] gathers lines and finds out what is missing, [`shares`] divides each step of time,
-//! [`words`] says why an account received more or less than it was owed. Nothing here reads files.
+//! [`log`] gathers lines and finds out what is missing, [`intervals`] divides each step of time,
+//! [`summary`] says why an account received more or less than it was owed. Nothing here reads files.
 
+pub mod intervals;
 pub mod log;
-pub mod shares;
-pub mod words;
+pub mod summary;
 
-pub use log::{Log, Missing};
-pub use shares::{Interval, Line, Part, divide};
+pub use intervals::{AccountLine, AccountUsage, Interval, intervals};
+pub use log::{MissingRecords, UsageLog};
--- a/crates/hawthornmill/src/usage/explain/words.rs
+++ b/crates/hawthornmill/src/usage/explain/summary.rs
@@ -1,7 +1,7 @@
 //! Says in plain words why an account received more or less than it was owed.
 
-use super::log::Missing;
-use super::shares::{Interval, Line, Part};
+use super::intervals::{AccountLine, AccountUsage, Interval};
+use super::log::MissingRecords;
 use crate::usage::Reason;
 
 /// Differences up to this part of what was owed are the calls in flight at a step's edges.
@@ -10,23 +10,23 @@
 const MINOR: f64 = 0.1;
 
 /// What a reason means to a reader who knows nothing of routers.
-pub fn meaning(reason: Reason) -> &'static str {
+pub fn describe(reason: Reason) -> &'static str {
     match reason {
         Reason::None => "no wait",
-        Reason::Slots => "every server open to it was busy",
-        Reason::Confined => "a selector confined it to busy servers while others idled",
+        Reason::SlotsBusy => "every server open to it was busy",
+        Reason::SelectorLimit => "a selector confined it to busy servers while others idled",
         Reason::OwnerChange => "a pool of servers changed its owner",
-        Reason::RegionCut => "another region was out of reach",
-        Reason::View => "its router was paused and had to confirm its view",
+        Reason::RegionUnreachable => "another region was out of reach",
+        Reason::ViewUnconfirmed => "its router was paused and had to confirm its view",
         Reason::QueueFull => "its queue was full: it asked for more than was served",
         Reason::InstanceFull => "a router held as much as it may",
-        Reason::Server => "a server failed",
+        Reason::ServerFailed => "a server failed",
         Reason::Rejected => "the call itself was not acceptable",
     }
 }
 
 /// Why the line's account received what it did.
-pub fn why(line: &Line, interval: &Interval, missing: &[Missing]) -> String {
+pub fn explain_line(line: &AccountLine, interval: &Interval, missing: &[MissingRecords]) -> String {
     let part = &line.part;
     let mut words = vec![difference(part)];
     words.extend(waiting(part));
@@ -41,19 +41,19 @@
     words.join("; ")
 }
 
-fn difference(part: &Part) -> String {
-    let difference = part.received - part.owed;
-    if part.received == 0.0 && part.owed == 0.0 {
+fn difference(part: &AccountUsage) -> String {
+    let difference = part.received - part.entitled;
+    if part.received == 0.0 && part.entitled == 0.0 {
         return "received nothing".into();
     }
-    if difference.abs() <= CLOSE * part.owed {
+    if difference.abs() <= CLOSE * part.entitled {
         if part.backlogged_ms > 0.0 {
             return "received its share".into();
         }
         return "received all that it asked for".into();
     }
-    let percent = 100.0 * difference.abs() / part.owed.max(f64::MIN_POSITIVE);
-    if part.owed <= 0.0 {
+    let percent = 100.0 * difference.abs() / part.entitled.max(f64::MIN_POSITIVE);
+    if part.entitled <= 0.0 {
         return "received more than owed, which others went without".into();
     }
     if difference > 0.0 {
@@ -63,7 +63,7 @@
     }
 }
 
-fn waiting(part: &Part) -> Option<String> {
+fn waiting(part: &AccountUsage) -> Option<String> {
     let total: f64 = part.waited_ms.values().sum();
     if total <= 0.0 {
         return None;
@@ -76,26 +76,26 @@
     list.sort_by(|a, b| b.1.total_cmp(a.1));
     let words: Vec<String> = list
         .iter()
-        .map(|(reason, ms)| format!("{} ({:.0} %)", meaning(**reason), 100.0 * **ms / total))
+        .map(|(reason, ms)| format!("{} ({:.0} %)", describe(**reason), 100.0 * **ms / total))
         .collect();
     Some(format!("calls waited because {}", words.join(", ")))
 }
 
-fn refusals(part: &Part) -> Option<String> {
+fn refusals(part: &AccountUsage) -> Option<String> {
     let words: Vec<String> = part
         .refused
         .iter()
-        .map(|(reason, count)| format!("{count} refused: {}", meaning(*reason)))
+        .map(|(reason, count)| format!("{count} refused: {}", describe(*reason)))
         .collect();
     (!words.is_empty()).then(|| words.join(", "))
 }
 
 /// What can't be explained for want of records, one sentence for each process run.
-pub fn gaps(missing: &[Missing]) -> Vec<String> {
+pub fn describe_missing(missing: &[MissingRecords]) -> Vec<String> {
     missing.iter().map(gap).collect()
 }
 
-fn gap(missing: &Missing) -> String {
+fn gap(missing: &MissingRecords) -> String {
     let mut words = Vec::new();
     if missing.records > 0 {
         let ranges: Vec<String> = missing
--- a/crates/hawthornmill/src/usage/mod.rs
+++ b/crates/hawthornmill/src/usage/mod.rs
@@ -4,15 +4,15 @@
 //! refused. A record's id is the entry's incarnation and a sequence number without gaps, so that a
 //! reader can drop duplicates and tell which records are missing. A mark tells from time to time
 //! how far the numbers went and which calls are in flight, because a killed process can't. Records
-//! and marks go out as JSON lines; the instances keep none. [`causes`] finds out why a call
+//! and marks go out as JSON lines; the instances keep none. [`wait_reason`] finds out why a call
 //! waited, and [`explain`] divides what was served.
 
-pub mod causes;
 pub mod explain;
+pub mod wait_reason;
 
 use serde::{Deserialize, Serialize};
 
-pub use causes::{Causes, Reason};
+pub use wait_reason::{Reason, WaitTracker};
 
 /// What became of one attempt or refused call.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -70,7 +70,7 @@
 
 /// How far the numbers of one process run went.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct UsageMark {
+pub struct UsageCheckpoint {
     /// Entry instance by name.
     pub entry: Box<str>,
     /// Process run of the entry.
@@ -95,8 +95,10 @@
         usage: UsageRecord,
     },
     /// One mark.
-    UsageMark {
+    #[serde(rename = "usage_mark")]
+    Checkpoint {
         /// The mark.
-        mark: UsageMark,
+        #[serde(rename = "mark")]
+        checkpoint: UsageCheckpoint,
     },
 }
--- a/crates/hawthornmill/src/usage/causes.rs
+++ b/crates/hawthornmill/src/usage/wait_reason.rs
@@ -23,28 +23,33 @@
     /// It did not wait.
     None,
     /// Every slot that is open to the account was taken.
-    Slots,
+    #[serde(rename = "slots")]
+    SlotsBusy,
     /// Slots idled on servers that no grant opens to the account.
-    Confined,
+    #[serde(rename = "confined")]
+    SelectorLimit,
     /// A pool that is open to the account had no owner, or a new one.
     OwnerChange,
     /// Another region with servers for the account was out of reach.
-    RegionCut,
+    #[serde(rename = "region_cut")]
+    RegionUnreachable,
     /// The entry was paused and dispatched nothing until its view was confirmed.
-    View,
+    #[serde(rename = "view")]
+    ViewUnconfirmed,
     /// The account's queue at the entry was full, or too long for the deadline.
     QueueFull,
     /// The entry held as much as it may.
     InstanceFull,
     /// A backend server could not be reached or broke off.
-    Server,
+    #[serde(rename = "server")]
+    ServerFailed,
     /// The call itself could not be accepted: its body or its key.
     Rejected,
 }
 
 impl Reason {
     /// The reason of a refusal that has nothing to do with waiting.
-    pub fn of_code(code: Code) -> Option<Self> {
+    pub fn from_code(code: Code) -> Option<Self> {
         match code {
             Code::QueueFull | Code::QueueTooLong => Some(Self::QueueFull),
             Code::InstanceFull | Code::KeyTableFull => Some(Self::InstanceFull),
@@ -56,7 +61,7 @@
             | Code::KeyRejected
             | Code::HomeUnreachable => Some(Self::Rejected),
             Code::UpstreamFailed | Code::UpstreamUnreachable | Code::ResponseMismatch => {
-                Some(Self::Server)
+                Some(Self::ServerFailed)
             }
             _ => None,
         }
@@ -67,16 +72,16 @@
 
 /// When an entry last saw what keeps calls waiting.
 #[derive(Debug, Default)]
-pub struct Causes {
+pub struct WaitTracker {
     owners: BTreeMap<PoolId, Owner>,
     unsettled: BTreeMap<PoolId, Instant>,
     stale: Option<Instant>,
     cut: BTreeMap<RegionId, Instant>,
 }
 
-impl Causes {
+impl WaitTracker {
     /// Remembers what the board shows now.
-    pub fn look(&mut self, board: &Board, now: Instant) {
+    pub fn observe(&mut self, board: &Board, now: Instant) {
         if board.stale.is_some() {
             self.stale = Some(now);
         }
@@ -99,7 +104,7 @@
     }
 
     /// Why a call of `account` that arrived at `arrived` waited until `now`.
-    pub fn why(
+    pub fn reason(
         &self,
         board: &Board,
         service: ServiceId,
@@ -112,7 +117,7 @@
         }
         let during = |at: Option<Instant>| at.is_some_and(|at| at >= arrived);
         if during(self.stale) {
-            return Reason::View;
+            return Reason::ViewUnconfirmed;
         }
         let pools = board.config.pools_by_service.get(&service);
         let open: SmallVec<[PoolId; 4]> = pools
@@ -124,15 +129,15 @@
         // A cut also takes the owners of the pools behind it away, so it is looked for first.
         let is_cut = |p: &PoolId| during(self.cut.get(&board.config.pools[p].region).copied());
         if open.iter().any(is_cut) {
-            return Reason::RegionCut;
+            return Reason::RegionUnreachable;
         }
         if open.iter().any(|p| during(self.unsettled.get(p).copied())) {
             return Reason::OwnerChange;
         }
         if is_confined(board, service, account) {
-            return Reason::Confined;
+            return Reason::SelectorLimit;
         }
-        Reason::Slots
+        Reason::SlotsBusy
     }
 }
 
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hawthornmill::usage::explain::Log;
-use hawthornmill::usage::explain::shares::{Claim, max_min};
-use hawthornmill::usage::{OpenCalls, Reason, UsageLine, UsageMark, UsageRecord};
+use hawthornmill::usage::explain::UsageLog;
+use hawthornmill::usage::explain::intervals::{Claim, max_min};
+use hawthornmill::usage::{OpenCalls, Reason, UsageCheckpoint, UsageLine, UsageRecord};
 use hawthornmill_lab::demo::site::{Site, SitePlan};
 use hawthornmill_lab::load::plan::parse;
 use hawthornmill_lab::load::{Plan, Watcher, run};
@@ -39,7 +39,7 @@
         held_ms: 0.0,
         outcome: "ran".into(),
         code: 0,
-        reason: Reason::Slots,
+        reason: Reason::SlotsBusy,
     }
 }
 
@@ -54,8 +54,8 @@
         calls,
         estimate: 100.0 * calls as f64,
     };
-    write_line(&UsageLine::UsageMark {
-        mark: UsageMark {
+    write_line(&UsageLine::Checkpoint {
+        checkpoint: UsageCheckpoint {
             entry: entry.into(),
             incarnation: 7,
             seq,
@@ -136,7 +136,10 @@
 
 #[test]
 fn nobody_is_owed_more_than_it_wants() {
-    let claim = |share, want| Claim { share, want };
+    let claim = |share, want| Claim {
+        share,
+        demand: want,
+    };
     let claims = [
         claim(4.0, f64::INFINITY),
         claim(1.0, 5.0),
@@ -177,7 +180,7 @@
     let explained = Explained::new(&read_text(&lines.join("\n")), 60);
 
     let parts = explained.intervals[0].lines.iter().map(|l| &l.part);
-    let sums: Vec<(f64, f64)> = parts.map(|p| (p.owed, p.received)).collect();
+    let sums: Vec<(f64, f64)> = parts.map(|p| (p.entitled, p.received)).collect();
     assert_eq!(sums, [(6000.0, 7200.0), (1500.0, 300.0)]);
 }
 
@@ -204,7 +207,7 @@
     let explained = Explained::new(&read_text(&lines.join("\n")), 10);
 
     let lines = explained.intervals.iter().flat_map(|i| &i.lines);
-    let parts: Vec<(f64, f64)> = lines.map(|l| (l.part.share, l.part.owed)).collect();
+    let parts: Vec<(f64, f64)> = lines.map(|l| (l.part.share, l.part.entitled)).collect();
     assert_eq!(
         parts,
         [(4.0, 800.0), (1.0, 200.0), (1.0, 500.0), (1.0, 500.0)]
@@ -230,7 +233,7 @@
 
     let parts = explained.intervals.iter().flat_map(|i| &i.lines);
     for part in parts.filter(|l| &*l.account == "small").map(|l| &l.part) {
-        assert!((part.owed - 50.0).abs() < 1e-9, "{part:?}");
+        assert!((part.entitled - 50.0).abs() < 1e-9, "{part:?}");
     }
 }
 
@@ -290,7 +293,7 @@
 }
 
 fn explain(site: &Site) -> Explained {
-    let mut log = Log::default();
+    let mut log = UsageLog::default();
     for router in &site.routers {
         read_file(&router.log, &mut log).expect("the log can be read");
     }
