--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::server::Act;
+use crate::server::Behavior;
 use crate::store::Mode;
 
 /// Part of the run in which faults begin; the rest shows whether the fleet recovers.
@@ -49,7 +49,7 @@
     /// The second token is given back.
     Restore,
     /// A server does this with its next requests.
-    Script(usize, Act, usize),
+    Script(usize, Behavior, usize),
     /// A server says that it drains.
     Drain(usize),
     /// A server takes work again.
@@ -138,17 +138,17 @@
     }
 }
 
-fn act(rng: &mut StdRng) -> Act {
-    const ACTS: [Act; 9] = [
-        Act::Slow(400),
-        Act::NotRun,
-        Act::Moved,
-        Act::Reset,
-        Act::Fail,
-        Act::Twice,
-        Act::Short,
-        Act::Garble,
-        Act::Hang,
+fn act(rng: &mut StdRng) -> Behavior {
+    const ACTS: [Behavior; 9] = [
+        Behavior::RespondAfterMs(400),
+        Behavior::NotExecuted,
+        Behavior::Misdirected,
+        Behavior::Reset,
+        Behavior::ServerError,
+        Behavior::DuplicateResponse,
+        Behavior::TruncatedBody,
+        Behavior::InvalidResponse,
+        Behavior::Hang,
     ];
     ACTS[rng.random_range(0..ACTS.len())].clone()
 }
--- a/tests/soak/plant.rs
+++ b/tests/soak/plant.rs
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::server::{read_request, write_answer};
+use crate::server::{read_request, write_response};
 
 /// Requests of which one is treated wrongly.
 const EACH: u32 = 4;
@@ -86,14 +86,14 @@
         Plant::Twice if wrong => answer = forward(target, &ask(&id)).await,
         Plant::Denial if wrong => {
             // The caller may be gone by now.
-            let _written = write_answer(&mut link, 503, &[("Retry-After", "0.1")], b"").await;
+            let _written = write_response(&mut link, 503, &[("Retry-After", "0.1")], b"").await;
             return;
         }
         Plant::Mixed if wrong => answer = forward(target, &ask(&format!("{id}-other"))).await,
         Plant::Gap => answer = without_piece(&answer),
         Plant::Cut if wrong => return,
         Plant::Old if head.target.starts_with("/added") => {
-            let _written = write_answer(&mut link, 404, &[], b"").await;
+            let _written = write_response(&mut link, 404, &[], b"").await;
             return;
         }
         Plant::Dead => return,
--- a/tests/soak/promises.rs
+++ b/tests/soak/promises.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use crate::callers::{Kind, Outcome, Seen};
-use crate::server::{Act, Arrival};
+use crate::server::{Behavior, ReceivedRequest};
 
 /// Time without trouble after which a process must keep its bounds.
 const STABLE: Duration = Duration::from_secs(4);
@@ -38,7 +38,7 @@
     /// Attempts.
     pub seen: Vec<Seen>,
     /// Requests that reached servers, with the number of the server.
-    pub arrivals: Vec<(usize, Arrival)>,
+    pub arrivals: Vec<(usize, ReceivedRequest)>,
     /// Kills and pauses of each gateway.
     pub routers: Vec<Vec<Span>>,
     /// When a gateway was told to stop, and when it had ended.
@@ -92,7 +92,7 @@
 
 /// Every promise that was not kept.
 pub fn check(records: &Records) -> Vec<Breach> {
-    let mut arrivals: BTreeMap<&str, Vec<(usize, &Arrival)>> = BTreeMap::new();
+    let mut arrivals: BTreeMap<&str, Vec<(usize, &ReceivedRequest)>> = BTreeMap::new();
     for (server, arrival) in &records.arrivals {
         let id = arrival
             .head
@@ -129,14 +129,14 @@
     all
 }
 
-fn once(seen: &Seen, reached: &[(usize, &Arrival)]) -> Option<Breach> {
-    let runs = reached.iter().filter(|(_, a)| a.ran).count();
+fn once(seen: &Seen, reached: &[(usize, &ReceivedRequest)]) -> Option<Breach> {
+    let runs = reached.iter().filter(|(_, a)| a.executed).count();
     let single = matches!(seen.kind, Kind::Once | Kind::Whole);
     (single && runs > 1).then(|| breach("at most once", &seen.id, format!("{runs} runs")))
 }
 
-fn refused(seen: &Seen, reached: &[(usize, &Arrival)]) -> Option<Breach> {
-    let ran = reached.iter().any(|(_, a)| a.ran);
+fn refused(seen: &Seen, reached: &[(usize, &ReceivedRequest)]) -> Option<Breach> {
+    let ran = reached.iter().any(|(_, a)| a.executed);
     let said = matches!(seen.status(), 408 | 421 | 429 | 503);
     let single = matches!(seen.kind, Kind::Once | Kind::Whole);
     (said && ran && single).then(|| {
@@ -305,7 +305,7 @@
 fn answer_lost(
     records: &Records,
     seen: &Seen,
-    reached: &[(usize, &Arrival)],
+    reached: &[(usize, &ReceivedRequest)],
     lost: &mut Vec<Breach>,
 ) -> Option<Breach> {
     let cut = match &seen.outcome {
@@ -314,8 +314,10 @@
         _ => false,
     };
     let (server, arrival) = reached.last()?;
-    let sound =
-        matches!(arrival.act, Act::Serve | Act::Slow(_) | Act::Stream(_)) && reached.len() == 1;
+    let sound = matches!(
+        arrival.behavior,
+        Behavior::Respond | Behavior::RespondAfterMs(_) | Behavior::Stream(_)
+    ) && reached.len() == 1;
     let links: Vec<Span> = records
         .links
         .iter()
@@ -353,12 +355,12 @@
             .unwrap_or_default();
         let Some(seen) = by_id.get(id) else { continue };
         let late = records.drains.iter().find(|(s, (from, to))| {
-            s == server && arrival.at > *from + DRAINED && arrival.at < *to
+            s == server && arrival.received_at > *from + DRAINED && arrival.received_at < *to
         });
         if let Some((_, (from, _))) = late
             && left_alone(records, seen, *from)
         {
-            let after = arrival.at.duration_since(*from).as_millis();
+            let after = arrival.received_at.duration_since(*from).as_millis();
             all.push(breach(
                 "draining servers get nothing new",
                 id,
@@ -369,7 +371,10 @@
     all
 }
 
-fn budget(records: &Records, arrivals: &BTreeMap<&str, Vec<(usize, &Arrival)>>) -> Option<Breach> {
+fn budget(
+    records: &Records,
+    arrivals: &BTreeMap<&str, Vec<(usize, &ReceivedRequest)>>,
+) -> Option<Breach> {
     let again: usize = arrivals.values().map(|a| a.len() - 1).sum();
     let most = SENDS_PART * records.seen.len() as f64 + EXTRA_SENDS;
     (again as f64 > most).then(|| {
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -14,7 +14,7 @@
 use crate::plan::{Size, Step, Timed};
 use crate::plant::{self, Plant};
 use crate::promises::{EVENTS, Records, Span};
-use crate::server::Act;
+use crate::server::Behavior;
 use crate::store::Mode;
 
 /// Callers for each gateway.
@@ -78,11 +78,11 @@
     world.finish()
 }
 
-fn usual(head: &RequestHead) -> Act {
+fn usual(head: &RequestHead) -> Behavior {
     if head.target.starts_with("/stream/") || head.target.starts_with("/whole/") {
-        Act::Stream(EVENTS)
+        Behavior::Stream(EVENTS)
     } else {
-        Act::Slow(10)
+        Behavior::RespondAfterMs(10)
     }
 }
 
@@ -95,7 +95,7 @@
         let mut fleet = Fleet::prepare(size.routers, size.servers).await;
         let mut relays = Vec::new();
         for server in fleet.servers.clone() {
-            server.usually(usual);
+            server.set_default(usual);
             let relay = Relay::start(server.address).await.expect("a port is free");
             fleet.register_at(&server, relay.address, "ready");
             relays.push(relay);
@@ -307,7 +307,7 @@
         }
         self.records.seen = std::mem::take(&mut *self.field.seen.lock().expect("no holder panics"));
         for (number, server) in self.fleet.servers.iter().enumerate() {
-            let arrivals = server.arrivals().into_iter().map(|a| (number, a));
+            let arrivals = server.received().into_iter().map(|a| (number, a));
             self.records.arrivals.extend(arrivals);
         }
         (self.records, self.fleet)
--- a/tests/testsuite/gateway/answers.rs
+++ b/tests/testsuite/gateway/answers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::fleet::{Caller, Fleet, call, request, until};
-use super::server::Act;
+use super::server::Behavior;
 use crate::block_on;
 
 /// A server answers one request twice. The second answer arrives where the next one is due, and
@@ -14,7 +14,7 @@
         let fleet = Fleet::start(1, 1).await;
         let front = fleet.gateways[0].front();
         for pause in [0, 100] {
-            fleet.servers[0].script(&[Act::Twice]);
+            fleet.servers[0].script(&[Behavior::DuplicateResponse]);
             for number in 0..3 {
                 let id = format!("id-{pause}-{number}");
                 let answer = call(front, request("GET", "/get/", &id, "").as_bytes())
@@ -31,7 +31,7 @@
 fn an_answer_without_a_length_comes_whole() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
-        fleet.servers[0].script(&[Act::Unframed]);
+        fleet.servers[0].script(&[Behavior::NoLength]);
 
         let answer = call(
             fleet.gateways[0].front(),
@@ -51,7 +51,7 @@
 fn after_an_early_answer_the_rest_of_the_body_is_never_another_request() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
-        fleet.servers[0].script(&[Act::Early]);
+        fleet.servers[0].script(&[Behavior::EarlyResponse]);
         let body = "b".repeat(90_000);
         let head = request(
             "POST",
@@ -76,7 +76,7 @@
             next.expect("there is an answer").text(),
             "answer to next by i-0"
         );
-        let bodies = fleet.servers[0].arrivals();
+        let bodies = fleet.servers[0].received();
         assert!(bodies.iter().all(|a| a.body.iter().all(|b| *b == b'b')));
     });
 }
@@ -85,7 +85,7 @@
 fn a_caller_that_leaves_ends_the_work_at_the_server() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
-        fleet.servers[0].script(&[Act::Hang]);
+        fleet.servers[0].script(&[Behavior::Hang]);
         let mut caller = Caller::connect(fleet.gateways[0].front()).await;
         caller
             .send(request("GET", "/get/", "a", "").as_bytes())
@@ -95,7 +95,7 @@
         let left = std::time::Instant::now();
         drop(caller);
         until("the server sees the caller leave", || async {
-            fleet.servers[0].left() == 1
+            fleet.servers[0].client_disconnects() == 1
         })
         .await;
 
--- a/tests/testsuite/gateway/catching_up.rs
+++ b/tests/testsuite/gateway/catching_up.rs
@@ -204,13 +204,13 @@
         })
         .await;
         tokio::time::sleep(Duration::from_millis(2_600)).await;
-        let before = fleet.servers[0].arrivals().len();
+        let before = fleet.servers[0].received().len();
 
         for _ in 0..10 {
             assert_eq!(status(front, "/get/").await, 200);
         }
 
-        assert_eq!(fleet.servers[0].arrivals().len(), before);
+        assert_eq!(fleet.servers[0].received().len(), before);
     });
 }
 
@@ -294,12 +294,12 @@
             !fleet.gateways[0].logged("registration_leaving").is_empty()
         })
         .await;
-        let before = fleet.servers[0].arrivals().len();
+        let before = fleet.servers[0].received().len();
 
         for _ in 0..10 {
             assert_eq!(status(front, "/get/").await, 200);
         }
-        assert_eq!(fleet.servers[0].arrivals().len(), before);
+        assert_eq!(fleet.servers[0].received().len(), before);
     });
 }
 
--- a/tests/testsuite/gateway/explaining.rs
+++ b/tests/testsuite/gateway/explaining.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 use super::fleet::{Fleet, call, config, request, until};
-use super::server::Act;
+use super::server::Behavior;
 use crate::block_on;
 
 /// The story of `id` that the tool tells from the fleet's logs.
@@ -98,7 +98,7 @@
 fn a_broken_stream_shows_the_server_and_the_last_event() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
-        fleet.servers[0].script(&[Act::Break(3)]);
+        fleet.servers[0].script(&[Behavior::BrokenStream(3)]);
 
         let answer = call(
             fleet.gateways[0].front(),
--- a/tests/testsuite/gateway/fleet.rs
+++ b/tests/testsuite/gateway/fleet.rs
@@ -324,7 +324,7 @@
 
     /// Requests that all servers ran.
     pub fn runs(&self) -> usize {
-        self.servers.iter().map(Server::runs).sum()
+        self.servers.iter().map(Server::executed_count).sum()
     }
 }
 
--- a/tests/testsuite/gateway/ingress.rs
+++ b/tests/testsuite/gateway/ingress.rs
@@ -32,7 +32,7 @@
             (answer.field("x-own"), answer.field("server-stamp")),
             (Some("kept"), Some("i-0.1"))
         );
-        let arrival = &fleet.servers[0].arrivals()[0];
+        let arrival = &fleet.servers[0].received()[0];
         let field = |name| arrival.head.headers.get_str(name);
         assert_eq!(
             (&*arrival.head.method, &*arrival.head.target),
--- a/tests/testsuite/gateway/leaving.rs
+++ b/tests/testsuite/gateway/leaving.rs
@@ -5,7 +5,7 @@
 use nix::sys::signal::Signal;
 
 use super::fleet::{Caller, Fleet, call, request, until};
-use super::server::Act;
+use super::server::Behavior;
 use crate::block_on;
 
 /// An operator stops an instance in the middle of answers. Cut off, their callers could not tell
@@ -14,7 +14,7 @@
 fn a_stop_cuts_nothing_and_the_directory_names_others() {
     block_on(async {
         let mut fleet = Fleet::start(2, 1).await;
-        fleet.servers[0].script(&[Act::Slow(1_500)]);
+        fleet.servers[0].script(&[Behavior::RespondAfterMs(1_500)]);
         let mut caller = Caller::connect(fleet.gateways[0].front()).await;
         caller
             .send(request("POST", "/once/", "long", "").as_bytes())
@@ -74,7 +74,7 @@
         let after = call(gateway.front(), after.as_bytes()).await;
 
         assert_eq!(after.map(|a| a.status()), Some(200));
-        assert_eq!(fleet.servers[0].arrivals().len(), 2);
+        assert_eq!(fleet.servers[0].received().len(), 2);
     });
 }
 
@@ -154,7 +154,7 @@
     })
     .await;
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let before = fleet.servers[0].arrivals().len();
+    let before = fleet.servers[0].received().len();
 
     for number in 0..10 {
         let text = request("GET", "/get/", &format!("{number}"), "");
@@ -162,7 +162,7 @@
         assert_eq!(answer.expect("there is an answer").status(), 200);
     }
 
-    assert_eq!(fleet.servers[0].arrivals().len(), before);
+    assert_eq!(fleet.servers[0].received().len(), before);
 }
 
 /// A server drains while requests go on; none may reach it once its word is known.
--- a/tests/testsuite/gateway/once.rs
+++ b/tests/testsuite/gateway/once.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::fleet::{Fleet, call, request};
-use super::server::Act;
+use super::server::Behavior;
 use crate::block_on;
 
 /// A booking runs, and the server's connection breaks before the answer. Sent to another server, it
@@ -12,7 +12,11 @@
 fn a_request_that_may_have_run_is_not_sent_again_and_not_called_refused() {
     block_on(async {
         let fleet = Fleet::start(1, 3).await;
-        for act in [Act::Reset, Act::Short, Act::Garble] {
+        for act in [
+            Behavior::Reset,
+            Behavior::TruncatedBody,
+            Behavior::InvalidResponse,
+        ] {
             fleet
                 .servers
                 .iter()
@@ -54,7 +58,12 @@
 fn a_request_that_its_server_did_not_run_goes_to_another() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
-        fleet.servers[0].script(&[Act::NotRun, Act::NotRun, Act::NotRun, Act::NotRun]);
+        fleet.servers[0].script(&[
+            Behavior::NotExecuted,
+            Behavior::NotExecuted,
+            Behavior::NotExecuted,
+            Behavior::NotExecuted,
+        ]);
         let front = fleet.gateways[0].front();
 
         for number in 0..4 {
@@ -78,14 +87,14 @@
         // Whichever of the two has the request first, it breaks off there in one of the fleets.
         for broken in [0, 1] {
             let fleet = Fleet::start(1, 2).await;
-            fleet.servers[broken].script(&[Act::Reset]);
-            fleet.servers[1 - broken].script(&[Act::NotRun]);
+            fleet.servers[broken].script(&[Behavior::Reset]);
+            fleet.servers[1 - broken].script(&[Behavior::NotExecuted]);
 
             let text = request("GET", "/get/", "a", "");
             let answer = call(fleet.gateways[0].front(), text.as_bytes()).await;
 
             assert_eq!(answer.expect("there is an answer").status(), 502);
-            assert_eq!(fleet.servers[broken].runs(), 1);
+            assert_eq!(fleet.servers[broken].executed_count(), 1);
         }
     });
 }
@@ -99,7 +108,7 @@
         fleet
             .servers
             .iter()
-            .for_each(|s| s.script(&[Act::NotRun, Act::NotRun]));
+            .for_each(|s| s.script(&[Behavior::NotExecuted, Behavior::NotExecuted]));
 
         let answer = call(
             fleet.gateways[0].front(),
@@ -122,7 +131,7 @@
 fn a_server_with_anothers_address_is_not_taken_for_it() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
-        fleet.servers[0].script(&[Act::Moved]);
+        fleet.servers[0].script(&[Behavior::Misdirected]);
         let front = fleet.gateways[0].front();
 
         for number in 0..3 {
@@ -143,7 +152,12 @@
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
         let front = fleet.gateways[0].front();
-        for act in [Act::Reset, Act::Short, Act::Garble, Act::Fail] {
+        for act in [
+            Behavior::Reset,
+            Behavior::TruncatedBody,
+            Behavior::InvalidResponse,
+            Behavior::ServerError,
+        ] {
             fleet.servers[0].script(std::slice::from_ref(&act));
             for number in 0..3 {
                 let answer = call(
@@ -168,7 +182,10 @@
 fn a_failure_that_every_server_gives_is_passed_on_as_it_is() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
-        fleet.servers.iter().for_each(|s| s.script(&[Act::Fail]));
+        fleet
+            .servers
+            .iter()
+            .for_each(|s| s.script(&[Behavior::ServerError]));
 
         let answer = call(
             fleet.gateways[0].front(),
@@ -189,7 +206,12 @@
 fn a_silent_server_loses_a_request_that_may_repeat_to_another() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
-        fleet.servers[0].script(&[Act::Hang, Act::Hang, Act::Hang, Act::Hang]);
+        fleet.servers[0].script(&[
+            Behavior::Hang,
+            Behavior::Hang,
+            Behavior::Hang,
+            Behavior::Hang,
+        ]);
         let front = fleet.gateways[0].front();
         let texts: Vec<String> = (0..4)
             .map(|n| request("GET", "/get/", &format!("id-{n}"), ""))
@@ -206,7 +228,7 @@
             assert_eq!(answer.expect("there is an answer").status(), 200);
         }
         assert!(
-            fleet.servers[0].runs() > 0,
+            fleet.servers[0].executed_count() > 0,
             "the silent server had none of them"
         );
     });
@@ -218,7 +240,7 @@
 fn the_routes_time_ends_a_request_with_the_truth() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
-        fleet.servers[0].script(&[Act::Hang]);
+        fleet.servers[0].script(&[Behavior::Hang]);
         let began = std::time::Instant::now();
 
         let answer = call(
--- a/tests/testsuite/gateway/server.rs
+++ b/tests/testsuite/gateway/server.rs
@@ -12,65 +12,65 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Time after which a server that answered early reads the rest of the request.
-const READS_ON: Duration = Duration::from_millis(200);
+const EARLY_RESPONSE_PAUSE: Duration = Duration::from_millis(200);
 
 /// What the server does with one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Act {
+pub enum Behavior {
     /// Runs it and answers.
-    Serve,
+    Respond,
     /// Runs it after a pause and answers.
-    Slow(u64),
+    RespondAfterMs(u64),
     /// Refuses it without running it.
-    NotRun,
+    NotExecuted,
     /// Says that another server has the address.
-    Moved,
+    Misdirected,
     /// Runs it and resets the connection instead of an answer.
     Reset,
     /// Runs it and answers with 500.
-    Fail,
+    ServerError,
     /// Runs it and answers twice.
-    Twice,
+    DuplicateResponse,
     /// Runs it and ends the answer early.
-    Short,
+    TruncatedBody,
     /// Runs it and sends bytes that are no answer.
-    Garble,
+    InvalidResponse,
     /// Runs it and answers without a length, ending with the connection.
-    Unframed,
+    NoLength,
     /// Answers before it has read the body, and keeps the connection.
-    Early,
+    EarlyResponse,
     /// Runs it as a stream of so many events.
     Stream(u64),
     /// Runs it as a stream that breaks off in the middle of the event after so many.
-    Break(u64),
+    BrokenStream(u64),
     /// Never answers.
     Hang,
 }
 
 /// One request that reached the server.
 #[derive(Debug, Clone)]
-pub struct Arrival {
+pub struct ReceivedRequest {
     /// Its head.
     pub head: RequestHead,
     /// Its body.
     pub body: Vec<u8>,
     /// The server ran it.
-    pub ran: bool,
+    pub executed: bool,
     /// What the server did with it.
-    pub act: Act,
+    pub behavior: Behavior,
     /// When it was read.
-    pub at: Instant,
+    pub received_at: Instant,
 }
 
 /// What a server does with a request for which its script says nothing.
-pub type Usual = fn(&RequestHead) -> Act;
+pub type DefaultBehavior = fn(&RequestHead) -> Behavior;
 
 #[derive(Debug, Default)]
 struct State {
-    script: VecDeque<Act>,
-    usual: Option<Usual>,
-    arrivals: Vec<Arrival>,
-    left: usize,
+    script: VecDeque<Behavior>,
+    default: Option<DefaultBehavior>,
+    received: Vec<ReceivedRequest>,
+    client_disconnects: usize,
 }
 
 /// The server, listening until its process ends.
@@ -96,8 +96,8 @@
         };
         let serving = server.clone();
         tokio::spawn(async move {
-            while let Ok((link, _)) = listener.accept().await {
-                tokio::spawn(serving.clone().serve(link));
+            while let Ok((stream, _)) = listener.accept().await {
+                tokio::spawn(serving.clone().serve(stream));
             }
         });
         server
@@ -108,68 +108,74 @@
     }
 
     /// What it does with the next requests; it serves those after them.
-    pub fn script(&self, acts: &[Act]) {
-        self.lock().script.extend(acts.iter().cloned());
+    pub fn script(&self, behaviors: &[Behavior]) {
+        self.lock().script.extend(behaviors.iter().cloned());
     }
 
     /// What it does with requests beyond its script.
-    pub fn usually(&self, usual: Usual) {
-        self.lock().usual = Some(usual);
+    pub fn set_default(&self, default: DefaultBehavior) {
+        self.lock().default = Some(default);
     }
 
     /// Requests that reached it.
-    pub fn arrivals(&self) -> Vec<Arrival> {
-        self.lock().arrivals.clone()
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.lock().received.clone()
     }
 
     /// Requests that it ran.
-    pub fn runs(&self) -> usize {
-        self.lock().arrivals.iter().filter(|a| a.ran).count()
+    pub fn executed_count(&self) -> usize {
+        self.lock().received.iter().filter(|a| a.executed).count()
     }
 
     /// Callers that left while it was at work.
-    pub fn left(&self) -> usize {
-        self.lock().left
+    pub fn client_disconnects(&self) -> usize {
+        self.lock().client_disconnects
     }
 
-    async fn serve(self, mut link: TcpStream) {
+    async fn serve(self, mut stream: TcpStream) {
         let mut sent = 0;
         let mut buffer = BytesMut::new();
         loop {
-            let act = self.lock().script.front().cloned();
-            if act == Some(Act::Early) && self.early(&mut link, &mut buffer).await {
+            let behavior = self.lock().script.front().cloned();
+            if behavior == Some(Behavior::EarlyResponse)
+                && self.respond_early(&mut stream, &mut buffer).await
+            {
                 continue;
             }
-            let Some((head, body)) = read_request(&mut link, &mut buffer).await else {
+            let Some((head, body)) = read_request(&mut stream, &mut buffer).await else {
                 return;
             };
-            let act = self.next_act(&head);
-            let ran = !matches!(act, Act::NotRun | Act::Moved);
-            self.lock().arrivals.push(Arrival {
+            let behavior = self.next_behavior(&head);
+            let executed = !matches!(behavior, Behavior::NotExecuted | Behavior::Misdirected);
+            self.lock().received.push(ReceivedRequest {
                 head: head.clone(),
                 body,
-                ran,
-                act: act.clone(),
-                at: Instant::now(),
+                executed,
+                behavior: behavior.clone(),
+                received_at: Instant::now(),
             });
             sent += 1;
-            if !self.act(&mut link, &head, act, sent).await {
+            if !self.perform(&mut stream, &head, behavior, sent).await {
                 return;
             }
         }
     }
 
-    fn next_act(&self, head: &RequestHead) -> Act {
+    fn next_behavior(&self, head: &RequestHead) -> Behavior {
         let mut state = self.lock();
         let scripted = state.script.pop_front();
-        scripted.unwrap_or_else(|| state.usual.map_or(Act::Serve, |usual| usual(head)))
+        scripted.unwrap_or_else(|| {
+            state
+                .default
+                .map_or(Behavior::Respond, |default| default(head))
+        })
     }
 
     /// Answers once the head of a request is here, and reads its body a while later.
     ///
     /// By then the next request may stand behind the body; it stays in `buffer`.
-    async fn early(&self, link: &mut TcpStream, buffer: &mut BytesMut) -> bool {
-        let Some(head) = read_head(link, buffer).await else {
+    async fn respond_early(&self, stream: &mut TcpStream, buffer: &mut BytesMut) -> bool {
+        let Some(head) = read_head(stream, buffer).await else {
             return false;
         };
         self.lock().script.pop_front();
@@ -179,21 +185,27 @@
             .unwrap_or_default()
             .to_owned();
         let fields = [("Attempt-Id", id.as_str()), ("Server-Stamp", "early")];
-        let written = write_answer(link, 400, &fields, b"too long").await;
-        tokio::time::sleep(READS_ON).await;
-        let body = read_body(link, buffer, &head).await.unwrap_or_default();
-        self.lock().arrivals.push(Arrival {
+        let written = write_response(stream, 400, &fields, b"too long").await;
+        tokio::time::sleep(EARLY_RESPONSE_PAUSE).await;
+        let body = read_body(stream, buffer, &head).await.unwrap_or_default();
+        self.lock().received.push(ReceivedRequest {
             head,
             body,
-            ran: false,
-            act: Act::Early,
-            at: Instant::now(),
+            executed: false,
+            behavior: Behavior::EarlyResponse,
+            received_at: Instant::now(),
         });
         written.is_ok()
     }
 
     /// Does one act; false when the connection is over.
-    async fn act(&self, link: &mut TcpStream, head: &RequestHead, act: Act, sent: usize) -> bool {
+    async fn perform(
+        &self,
+        stream: &mut TcpStream,
+        head: &RequestHead,
+        behavior: Behavior,
+        sent: usize,
+    ) -> bool {
         let id = head
             .headers
             .get_str("attempt-id")
@@ -206,61 +218,65 @@
             ("X-Own", "kept"),
         ];
         let body = format!("answer to {id} by {}", self.name);
-        let sound = match act {
-            Act::Serve => write_answer(link, 200, &fields, body.as_bytes()).await,
-            Act::Slow(millis) => {
-                if !self.work(link, Duration::from_millis(millis)).await {
+        let written = match behavior {
+            Behavior::Respond => write_response(stream, 200, &fields, body.as_bytes()).await,
+            Behavior::RespondAfterMs(millis) => {
+                if !self.work(stream, Duration::from_millis(millis)).await {
                     return false;
                 }
-                write_answer(link, 200, &fields, body.as_bytes()).await
+                write_response(stream, 200, &fields, body.as_bytes()).await
             }
-            Act::NotRun => write_answer(link, 503, &[("Not-Executed", "1"), fields[0]], b"").await,
-            Act::Moved => write_answer(link, 421, &[("Instance-Id", "other")], b"").await,
-            Act::Fail => write_answer(link, 500, &fields, b"failed").await,
-            Act::Twice => {
-                let first = write_answer(link, 200, &fields, body.as_bytes()).await;
+            Behavior::NotExecuted => {
+                write_response(stream, 503, &[("Not-Executed", "1"), fields[0]], b"").await
+            }
+            Behavior::Misdirected => {
+                write_response(stream, 421, &[("Instance-Id", "other")], b"").await
+            }
+            Behavior::ServerError => write_response(stream, 500, &fields, b"failed").await,
+            Behavior::DuplicateResponse => {
+                let first = write_response(stream, 200, &fields, body.as_bytes()).await;
                 let again = async {
                     tokio::time::sleep(Duration::from_millis(30)).await;
-                    write_answer(link, 200, &fields, b"a second answer").await
+                    write_response(stream, 200, &fields, b"a second answer").await
                 };
                 first.and(again.await)
             }
-            Act::Reset => {
-                let _set = link.set_zero_linger();
+            Behavior::Reset => {
+                let _set = stream.set_zero_linger();
                 return false;
             }
-            Act::Short => {
+            Behavior::TruncatedBody => {
                 let text = format!(
                     "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nContent-Length: 100\r\n\r\nhalf"
                 );
-                let _written = link.write_all(text.as_bytes()).await;
+                let _written = stream.write_all(text.as_bytes()).await;
                 return false;
             }
-            Act::Garble => link.write_all(b"\0\0nonsense\r\n\r\n").await,
-            Act::Unframed => {
+            Behavior::InvalidResponse => stream.write_all(b"\0\0nonsense\r\n\r\n").await,
+            Behavior::NoLength => {
                 let text =
                     format!("HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\n\r\nwhole without a length");
-                let _written = link.write_all(text.as_bytes()).await;
+                let _written = stream.write_all(text.as_bytes()).await;
                 return false;
             }
-            Act::Stream(count) => return self.stream(link, head, count, false).await,
-            Act::Break(count) => return self.stream(link, head, count, true).await,
-            Act::Early => Ok(()),
-            Act::Hang => {
-                self.work(link, Duration::from_mins(1)).await;
+            Behavior::Stream(count) => return self.stream(stream, head, count, false).await,
+            Behavior::BrokenStream(count) => return self.stream(stream, head, count, true).await,
+            Behavior::EarlyResponse => Ok(()),
+            Behavior::Hang => {
+                self.work(stream, Duration::from_mins(1)).await;
                 return false;
             }
         };
-        sound.is_ok()
+        written.is_ok()
     }
 
     /// Works for `time`; false when the caller left meanwhile.
-    async fn work(&self, link: &mut TcpStream, time: Duration) -> bool {
+    async fn work(&self, stream: &mut TcpStream, time: Duration) -> bool {
         let mut byte = [0; 1];
         tokio::select! {
             () = tokio::time::sleep(time) => true,
-            _ = link.read(&mut byte) => {
-                self.lock().left += 1;
+            _ = stream.read(&mut byte) => {
+                self.lock().client_disconnects += 1;
                 false
             }
         }
@@ -269,7 +285,7 @@
     /// Sends the events after the one that the caller has, ten milliseconds apart.
     async fn stream(
         &self,
-        link: &mut TcpStream,
+        stream: &mut TcpStream,
         head: &RequestHead,
         count: u64,
         cut: bool,
@@ -285,14 +301,14 @@
              Transfer-Encoding: chunked\r\n\r\n",
             self.name
         );
-        if link.write_all(text.as_bytes()).await.is_err() {
+        if stream.write_all(text.as_bytes()).await.is_err() {
             return false;
         }
         for number in after + 1..=count {
             let event = format!("id: {number}\ndata: piece {number}\n\n");
             let chunk = format!("{:x}\r\n{event}\r\n", event.len());
-            if link.write_all(chunk.as_bytes()).await.is_err()
-                || !self.work(link, Duration::from_millis(10)).await
+            if stream.write_all(chunk.as_bytes()).await.is_err()
+                || !self.work(stream, Duration::from_millis(10)).await
             {
                 return false;
             }
@@ -302,24 +318,24 @@
         } else {
             b"0\r\n\r\n"
         };
-        link.write_all(end).await.is_ok() && !cut
+        stream.write_all(end).await.is_ok() && !cut
     }
 }
 
-async fn read_head(link: &mut TcpStream, buffer: &mut BytesMut) -> Option<RequestHead> {
+async fn read_head(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<RequestHead> {
     loop {
         if let Some((head, length)) = head::parse_request(buffer).ok()? {
             let _head = buffer.split_to(length);
             return Some(head);
         }
-        if link.read_buf(buffer).await.ok()? == 0 {
+        if stream.read_buf(buffer).await.ok()? == 0 {
             return None;
         }
     }
 }
 
 async fn read_body(
-    link: &mut TcpStream,
+    stream: &mut TcpStream,
     buffer: &mut BytesMut,
     head: &RequestHead,
 ) -> Option<Vec<u8>> {
@@ -330,7 +346,7 @@
             Decoded::Data(data) => body.extend_from_slice(&data),
             Decoded::End => return Some(body),
             Decoded::Incomplete => {
-                if link.read_buf(buffer).await.ok()? == 0 {
+                if stream.read_buf(buffer).await.ok()? == 0 {
                     return None;
                 }
             }
@@ -340,11 +356,11 @@
 
 /// Reads one request, and leaves in `buffer` what follows it; none when the connection ends first.
 pub async fn read_request(
-    link: &mut TcpStream,
+    stream: &mut TcpStream,
     buffer: &mut BytesMut,
 ) -> Option<(RequestHead, Vec<u8>)> {
-    let head = read_head(link, buffer).await?;
-    let body = read_body(link, buffer, &head).await?;
+    let head = read_head(stream, buffer).await?;
+    let body = read_body(stream, buffer, &head).await?;
     Some((head, body))
 }
 
@@ -352,8 +368,8 @@
 ///
 /// # Errors
 /// When the connection broke.
-pub async fn write_answer(
-    link: &mut TcpStream,
+pub async fn write_response(
+    stream: &mut TcpStream,
     status: u16,
     fields: &[(&str, &str)],
     body: &[u8],
@@ -365,5 +381,5 @@
     }
     text.extend_from_slice(b"\r\n");
     text.extend_from_slice(body);
-    link.write_all(&text).await
+    stream.write_all(&text).await
 }
--- a/tests/testsuite/gateway/store.rs
+++ b/tests/testsuite/gateway/store.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::server::{read_request, write_answer};
+use super::server::{read_request, write_response};
 
 /// How the store answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -151,7 +151,7 @@
                 (status, body)
             };
             let body = body.to_string();
-            if write_answer(&mut link, status, &[], body.as_bytes())
+            if write_response(&mut link, status, &[], body.as_bytes())
                 .await
                 .is_err()
             {
--- a/tests/testsuite/gateway/streams.rs
+++ b/tests/testsuite/gateway/streams.rs
@@ -1,7 +1,7 @@
 //! Streams: event by event, resumed where that is allowed, never ended falsely.
 
 use super::fleet::{Answer, Fleet, call, request};
-use super::server::Act;
+use super::server::Behavior;
 use crate::block_on;
 
 async fn stream(fleet: &Fleet, path: &str, id: &str) -> Answer {
@@ -22,7 +22,7 @@
 fn a_stream_passes_whole() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
-        fleet.servers[0].script(&[Act::Stream(12)]);
+        fleet.servers[0].script(&[Behavior::Stream(12)]);
 
         let answer = stream(&fleet, "/whole/", "a").await;
 
@@ -40,7 +40,7 @@
         fleet
             .servers
             .iter()
-            .for_each(|s| s.script(&[Act::Break(5), Act::Stream(9)]));
+            .for_each(|s| s.script(&[Behavior::BrokenStream(5), Behavior::Stream(9)]));
         // The first server of the two breaks off; the second one's script must begin with a stream.
         let answer = loop {
             let answer = stream(&fleet, "/stream/", "a").await;
@@ -53,7 +53,7 @@
         let resumed = fleet
             .servers
             .iter()
-            .flat_map(super::server::Server::arrivals);
+            .flat_map(super::server::Server::received);
         assert!(
             resumed
                 .filter(|a| a.head.headers.get_str("last-event-id") == Some("5"))
@@ -70,7 +70,7 @@
         fleet
             .servers
             .iter()
-            .for_each(|s| s.script(&[Act::Break(5)]));
+            .for_each(|s| s.script(&[Behavior::BrokenStream(5)]));
 
         let answer = stream(&fleet, "/whole/", "a").await;
 
