--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -9,9 +9,9 @@
 #[path = "../testsuite/gateway/fleet.rs"]
 #[expect(dead_code, reason = "the soak needs a part of the fixtures only")]
 mod fleet;
-#[path = "../testsuite/gateway/server.rs"]
+#[path = "../testsuite/gateway/scripted_server.rs"]
 #[expect(dead_code, reason = "the soak needs a part of the fixtures only")]
-mod server;
+mod scripted_server;
 #[path = "../testsuite/gateway/store.rs"]
 #[expect(dead_code, reason = "the soak needs a part of the fixtures only")]
 mod store;
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::server::Behavior;
+use crate::scripted_server::Behavior;
 use crate::store::Mode;
 
 /// Part of the run in which faults begin; the rest shows whether the fleet recovers.
--- a/tests/soak/plant.rs
+++ b/tests/soak/plant.rs
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::server::{read_request, write_response};
+use crate::scripted_server::{read_request, write_response};
 
 /// Requests of which one is treated wrongly.
 const EACH: u32 = 4;
--- a/tests/soak/promises.rs
+++ b/tests/soak/promises.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use crate::callers::{Kind, Outcome, Seen};
-use crate::server::{Behavior, ReceivedRequest};
+use crate::scripted_server::{Behavior, ReceivedRequest};
 
 /// Time without trouble after which a process must keep its bounds.
 const STABLE: Duration = Duration::from_secs(4);
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -14,7 +14,7 @@
 use crate::plan::{Size, Step, Timed};
 use crate::plant::{self, Plant};
 use crate::promises::{EVENTS, Records, Span};
-use crate::server::Behavior;
+use crate::scripted_server::Behavior;
 use crate::store::Mode;
 
 /// Callers for each gateway.
--- a/tests/testsuite/gateway/once.rs
+++ b/tests/testsuite/gateway/at_most_once.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::fleet::{Fleet, call, request};
-use super::server::Behavior;
+use super::scripted_server::Behavior;
 use crate::block_on;
 
 /// A booking runs, and the server's connection breaks before the answer. Sent to another server, it
--- a/tests/testsuite/gateway/streams.rs
+++ b/tests/testsuite/gateway/event_streams.rs
@@ -1,7 +1,7 @@
 //! Streams: event by event, resumed where that is allowed, never ended falsely.
 
 use super::fleet::{Answer, Fleet, call, request};
-use super::server::Behavior;
+use super::scripted_server::Behavior;
 use crate::block_on;
 
 async fn stream(fleet: &Fleet, path: &str, id: &str) -> Answer {
@@ -53,7 +53,7 @@
         let resumed = fleet
             .servers
             .iter()
-            .flat_map(super::server::Server::received);
+            .flat_map(super::scripted_server::Server::received);
         assert!(
             resumed
                 .filter(|a| a.head.headers.get_str("last-event-id") == Some("5"))
--- a/tests/testsuite/gateway/explaining.rs
+++ b/tests/testsuite/gateway/explaining.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 use super::fleet::{Fleet, call, config, request, until};
-use super::server::Behavior;
+use super::scripted_server::Behavior;
 use crate::block_on;
 
 /// The story of `id` that the tool tells from the fleet's logs.
--- a/tests/testsuite/gateway/fleet.rs
+++ b/tests/testsuite/gateway/fleet.rs
@@ -15,7 +15,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::server::Server;
+use super::scripted_server::Server;
 use super::store::Store;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hawthornmill-gateway");
--- a/tests/testsuite/gateway/leaving.rs
+++ b/tests/testsuite/gateway/leaving.rs
@@ -5,7 +5,7 @@
 use nix::sys::signal::Signal;
 
 use super::fleet::{Caller, Fleet, call, request, until};
-use super::server::Behavior;
+use super::scripted_server::Behavior;
 use crate::block_on;
 
 /// An operator stops an instance in the middle of answers. Cut off, their callers could not tell
--- a/tests/testsuite/gateway/answers.rs
+++ b/tests/testsuite/gateway/responses.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::fleet::{Caller, Fleet, call, request, until};
-use super::server::Behavior;
+use super::scripted_server::Behavior;
 use crate::block_on;
 
 /// A server answers one request twice. The second answer arrives where the next one is due, and
--- a/tests/testsuite/gateway/store.rs
+++ b/tests/testsuite/gateway/store.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::server::{read_request, write_response};
+use super::scripted_server::{read_request, write_response};
 
 /// How the store answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
