--- a/crates/hawthornmill-gateway/src/http/body.rs
+++ b/crates/hawthornmill-gateway/src/http/body.rs
@@ -1,56 +1,56 @@
-//! Bodies: finding their end in a stream of bytes.
+//! Decoding of message bodies.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use super::head::{Framing, Malformed};
 
-/// Bytes of a chunk's size line, or of one trailer line, at most.
-const MOST_LINE: usize = 256;
-/// Bytes of all trailer lines at most.
-const MOST_TRAILERS: usize = 4096;
+/// Maximum length of a chunk size line or of one trailer line.
+const MAX_LINE_BYTES: usize = 256;
+/// Maximum length of all trailer lines together.
+const MAX_TRAILER_BYTES: usize = 4096;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// So many bytes are left of the body, or of the chunk.
-    Left(u64),
-    /// A chunk's size line comes next.
-    Size,
-    /// The line end behind a chunk comes next.
+    /// Number of bytes left of the body or of the current chunk.
+    Remaining(u64),
+    /// Expects a chunk size line.
+    ChunkSize,
+    /// Expects the line end after a chunk.
     ChunkEnd,
-    /// Trailer lines come next; so many bytes of them have come.
+    /// Expects trailer lines; holds the number of trailer bytes read so far.
     Trailers(usize),
-    /// The body goes on until the connection ends.
-    Open,
+    /// The body ends when the connection closes.
+    UntilClose,
     /// The body is complete.
     Done,
 }
 
-/// Takes a body out of a buffer, piece by piece.
+/// Incremental decoder that takes the bytes of a body out of a buffer.
 #[derive(Debug, Clone)]
 pub struct BodyDecoder {
     chunked: bool,
     state: State,
 }
 
-/// What the buffer held.
+/// Result of decoding the bytes in the buffer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decoded {
-    /// Bytes of the body.
+    /// Part of the body.
     Data(Bytes),
-    /// The body is complete; what follows in the buffer is not part of it.
+    /// The body is complete; bytes left in the buffer are not part of it.
     End,
-    /// More bytes must be read first.
+    /// More bytes must be read into the buffer.
     Incomplete,
 }
 
 impl BodyDecoder {
-    /// A decoder for a body framed as `framing`.
+    /// Creates a decoder for a body with the given framing.
     pub const fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Empty => State::Done,
-            Framing::Length(bytes) => State::Left(bytes),
-            Framing::Chunked => State::Size,
-            Framing::UntilClose => State::Open,
+            Framing::Length(bytes) => State::Remaining(bytes),
+            Framing::Chunked => State::ChunkSize,
+            Framing::UntilClose => State::UntilClose,
         };
         Self {
             chunked: matches!(framing, Framing::Chunked),
@@ -58,47 +58,47 @@
         }
     }
 
-    /// Tells whether the end of the connection completes the body.
+    /// Returns whether the body ends when the connection closes.
     pub const fn ends_at_close(&self) -> bool {
-        matches!(self.state, State::Open)
+        matches!(self.state, State::UntilClose)
     }
 
-    /// Takes the next piece.
+    /// Decodes the next part of the body.
     ///
     /// # Errors
-    /// [`Malformed`] when the bytes are no body of this framing.
+    /// Returns [`Malformed`] if the bytes violate the framing.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Decoded, Malformed> {
         loop {
             match self.state {
                 State::Done => return Ok(Decoded::End),
-                State::Open if buffer.is_empty() => return Ok(Decoded::Incomplete),
-                State::Open => return Ok(Decoded::Data(buffer.split().freeze())),
-                State::Left(0) => {
+                State::UntilClose if buffer.is_empty() => return Ok(Decoded::Incomplete),
+                State::UntilClose => return Ok(Decoded::Data(buffer.split().freeze())),
+                State::Remaining(0) => {
                     self.state = if self.chunked {
                         State::ChunkEnd
                     } else {
                         State::Done
                     };
                 }
-                State::Left(_) if buffer.is_empty() => return Ok(Decoded::Incomplete),
-                State::Left(left) => {
-                    let take = left.min(buffer.len() as u64);
-                    self.state = State::Left(left - take);
-                    return Ok(Decoded::Data(buffer.split_to(take as usize).freeze()));
+                State::Remaining(_) if buffer.is_empty() => return Ok(Decoded::Incomplete),
+                State::Remaining(remaining) => {
+                    let taken = remaining.min(buffer.len() as u64);
+                    self.state = State::Remaining(remaining - taken);
+                    return Ok(Decoded::Data(buffer.split_to(taken as usize).freeze()));
                 }
-                State::Size => match line(buffer)? {
+                State::ChunkSize => match take_line(buffer)? {
                     None => return Ok(Decoded::Incomplete),
-                    Some(line) => self.state = size(&line)?,
+                    Some(line) => self.state = parse_chunk_size(&line)?,
                 },
-                State::ChunkEnd => match line(buffer)? {
+                State::ChunkEnd => match take_line(buffer)? {
                     None => return Ok(Decoded::Incomplete),
-                    Some(line) if line.is_empty() => self.state = State::Size,
+                    Some(line) if line.is_empty() => self.state = State::ChunkSize,
                     Some(_) => return Err(Malformed),
                 },
-                State::Trailers(seen) => match line(buffer)? {
+                State::Trailers(seen) => match take_line(buffer)? {
                     None => return Ok(Decoded::Incomplete),
                     Some(line) if line.is_empty() => self.state = State::Done,
-                    Some(line) if seen + line.len() > MOST_TRAILERS => return Err(Malformed),
+                    Some(line) if seen + line.len() > MAX_TRAILER_BYTES => return Err(Malformed),
                     Some(line) => self.state = State::Trailers(seen + line.len()),
                 },
             }
@@ -106,16 +106,16 @@
     }
 }
 
-/// Takes a line that ends with CR and LF.
-fn line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, Malformed> {
+/// Takes a line that ends with CRLF out of the buffer, without the CRLF.
+fn take_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, Malformed> {
     let Some(end) = buffer.iter().position(|b| *b == b'\n') else {
-        return if buffer.len() > MOST_LINE {
+        return if buffer.len() > MAX_LINE_BYTES {
             Err(Malformed)
         } else {
             Ok(None)
         };
     };
-    if end == 0 || buffer[end - 1] != b'\r' || end > MOST_LINE {
+    if end == 0 || buffer[end - 1] != b'\r' || end > MAX_LINE_BYTES {
         return Err(Malformed);
     }
     let line = buffer.split_to(end - 1);
@@ -123,11 +123,12 @@
     Ok(Some(line))
 }
 
-fn size(line: &[u8]) -> Result<State, Malformed> {
+fn parse_chunk_size(line: &[u8]) -> Result<State, Malformed> {
     let digits = line.split(|b| *b == b';').next().unwrap_or_default();
     let digits = digits.trim_ascii_end();
-    let hex = !digits.is_empty() && digits.len() <= 15 && digits.iter().all(u8::is_ascii_hexdigit);
-    if !hex {
+    let valid =
+        !digits.is_empty() && digits.len() <= 15 && digits.iter().all(u8::is_ascii_hexdigit);
+    if !valid {
         return Err(Malformed);
     }
     let text = std::str::from_utf8(digits).map_err(|_bytes| Malformed)?;
@@ -135,6 +136,6 @@
     Ok(if bytes == 0 {
         State::Trailers(0)
     } else {
-        State::Left(bytes)
+        State::Remaining(bytes)
     })
 }
--- a/crates/hawthornmill-gateway/src/http/head.rs
+++ b/crates/hawthornmill-gateway/src/http/head.rs
@@ -1,34 +1,34 @@
-//! Heads of requests and answers, and the framing of the body behind them.
+//! Heads of requests and responses, and the framing of their bodies.
 
-/// Fields of one head at most.
-const MOST_FIELDS: usize = 96;
+/// Maximum number of headers in one head.
+const MAX_HEADERS: usize = 96;
 
-/// One header field as it came.
+/// One header as received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Header {
-    /// Name in the sender's spelling.
+    /// Name, in the sender's case.
     pub name: Box<str>,
-    /// Value without surrounding blanks.
+    /// Value without surrounding whitespace.
     pub value: Box<[u8]>,
 }
 
-/// Header fields in their order.
+/// Headers in the order in which they were received.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Headers(Vec<Header>);
 
 impl Headers {
-    /// The fields in order.
+    /// Returns the headers in order.
     pub fn iter(&self) -> impl Iterator<Item = &Header> {
         self.0.iter()
     }
 
-    /// Every value of `name`.
+    /// Returns all values of `name`.
     pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         let same = move |f: &&Header| f.name.eq_ignore_ascii_case(name);
         self.0.iter().filter(same).map(|f| &*f.value)
     }
 
-    /// The first value of `name`.
+    /// Returns the first value of `name`.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         self.0
             .iter()
@@ -36,17 +36,17 @@
             .map(|f| &*f.value)
     }
 
-    /// The first value of `name` if it is text.
+    /// Returns the first value of `name` if it is valid UTF-8.
     pub fn get_str(&self, name: &str) -> Option<&str> {
         std::str::from_utf8(self.get(name)?).ok()
     }
 
-    /// Tells whether the comma-separated value of `name` has the word `token`.
+    /// Returns whether a comma-separated value of `name` contains `token`, ignoring case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.get_all(name)
             .filter_map(|v| std::str::from_utf8(v).ok())
             .flat_map(|v| v.split(','))
-            .any(|word| word.trim().eq_ignore_ascii_case(token))
+            .any(|item| item.trim().eq_ignore_ascii_case(token))
     }
 }
 
@@ -55,57 +55,57 @@
 pub struct RequestHead {
     /// Method.
     pub method: Box<str>,
-    /// Path and query as sent.
+    /// Request target as received: path and query.
     pub target: Box<str>,
-    /// Header fields.
+    /// Headers.
     pub headers: Headers,
-    /// HTTP/1.1, not 1.0.
+    /// Whether the version is HTTP/1.1, not 1.0.
     pub is_http11: bool,
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Status.
+    /// Status code.
     pub status: u16,
     /// Reason phrase.
     pub reason: Box<str>,
-    /// Header fields.
+    /// Headers.
     pub headers: Headers,
-    /// HTTP/1.1, not 1.0.
+    /// Whether the version is HTTP/1.1, not 1.0.
     pub is_http11: bool,
 }
 
-/// How the end of a body is found.
+/// How the length of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
     /// There is no body.
     Empty,
-    /// It has so many bytes.
+    /// `Content-Length` gives the number of bytes.
     Length(u64),
-    /// It comes in chunks.
+    /// The body uses the chunked transfer coding.
     Chunked,
-    /// It ends with its connection.
+    /// The body ends when the connection closes.
     UntilClose,
 }
 
-/// A head, or a framing, that can't be understood in one way only.
+/// Error for a head or body that is invalid or ambiguous.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Malformed;
 
-/// Reads the head of a request; none while it is incomplete. The number is its length in bytes.
+/// Parses the head of a request, and returns it with its length in bytes, or `None` if it is incomplete.
 ///
 /// # Errors
-/// [`Malformed`] when it is no head.
+/// Returns [`Malformed`] if the bytes are not a valid request head.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<(RequestHead, usize)>, Malformed> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_FIELDS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => {
             let head = RequestHead {
                 method: parsed.method.unwrap_or_default().into(),
                 target: parsed.path.unwrap_or_default().into(),
-                headers: own(parsed.headers),
+                headers: to_owned_headers(parsed.headers),
                 is_http11: parsed.version == Some(1),
             };
             Ok(Some((head, length)))
@@ -115,19 +115,19 @@
     }
 }
 
-/// Reads the head of an answer; none while it is incomplete. The number is its length in bytes.
+/// Parses the head of a response, and returns it with its length in bytes, or `None` if it is incomplete.
 ///
 /// # Errors
-/// [`Malformed`] when it is no head.
+/// Returns [`Malformed`] if the bytes are not a valid response head.
 pub fn parse_response(bytes: &[u8]) -> Result<Option<(ResponseHead, usize)>, Malformed> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_FIELDS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
     match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => {
             let head = ResponseHead {
                 status: parsed.code.unwrap_or_default(),
                 reason: parsed.reason.unwrap_or_default().into(),
-                headers: own(parsed.headers),
+                headers: to_owned_headers(parsed.headers),
                 is_http11: parsed.version == Some(1),
             };
             Ok(Some((head, length)))
@@ -137,27 +137,27 @@
     }
 }
 
-fn own(headers: &[httparse::Header<'_>]) -> Headers {
-    let own = |f: &httparse::Header<'_>| Header {
+fn to_owned_headers(headers: &[httparse::Header<'_>]) -> Headers {
+    let to_header = |f: &httparse::Header<'_>| Header {
         name: f.name.into(),
         value: f.value.trim_ascii().into(),
     };
-    Headers(headers.iter().map(own).collect())
+    Headers(headers.iter().map(to_header).collect())
 }
 
 impl RequestHead {
-    /// How the body's end is found.
+    /// Returns the framing of the request body.
     ///
-    /// Whoever stands behind must find the same end, or bytes of the body pass for a request of
-    /// their own. So everything that two readers could take in two ways is refused: two lengths,
-    /// a length beside chunks, an encoding other than chunks, chunks in HTTP/1.0.
+    /// The backend server must find the same end of the body, or part of the body could be taken for
+    /// another request (request smuggling). Every ambiguous combination is therefore rejected: different
+    /// lengths, a length together with a transfer coding, codings other than chunked, and chunked in HTTP/1.0.
     ///
     /// # Errors
-    /// [`Malformed`] when there is more than one reading.
+    /// Returns [`Malformed`] if the framing is ambiguous or invalid.
     pub fn framing(&self) -> Result<Framing, Malformed> {
-        let coded = self.headers.get("transfer-encoding").is_some();
-        let length = length(&self.headers)?;
-        match (coded, length) {
+        let has_coding = self.headers.get("transfer-encoding").is_some();
+        let length = content_length(&self.headers)?;
+        match (has_coding, length) {
             (false, None | Some(0)) => Ok(Framing::Empty),
             (false, Some(bytes)) => Ok(Framing::Length(bytes)),
             (true, None) if self.is_http11 && is_chunked(&self.headers) => Ok(Framing::Chunked),
@@ -165,30 +165,30 @@
         }
     }
 
-    /// The path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         let end = self.target.find('?').unwrap_or(self.target.len());
         &self.target[..end]
     }
 
-    /// The caller wants the connection to end after the answer.
+    /// Returns whether the client closes the connection after the response.
     pub fn closes_connection(&self) -> bool {
         !self.is_http11 || self.headers.has_token("connection", "close")
     }
 }
 
 impl ResponseHead {
-    /// How the body's end is found, for an answer to a request of `method`.
+    /// Returns the framing of the body of a response to a `method` request.
     ///
     /// # Errors
-    /// [`Malformed`] when there is more than one reading.
+    /// Returns [`Malformed`] if the framing is ambiguous or invalid.
     pub fn framing(&self, method: &str) -> Result<Framing, Malformed> {
-        let bare = method == "HEAD" || matches!(self.status, 100..=199 | 204 | 304);
-        if bare {
+        let no_body = method == "HEAD" || matches!(self.status, 100..=199 | 204 | 304);
+        if no_body {
             return Ok(Framing::Empty);
         }
-        let coded = self.headers.get("transfer-encoding").is_some();
-        match (coded, length(&self.headers)?) {
+        let has_coding = self.headers.get("transfer-encoding").is_some();
+        match (has_coding, content_length(&self.headers)?) {
             (true, None) if is_chunked(&self.headers) => Ok(Framing::Chunked),
             (true, _) => Err(Malformed),
             (false, Some(bytes)) => Ok(Framing::Length(bytes)),
@@ -196,7 +196,7 @@
         }
     }
 
-    /// The server ends the connection after this answer.
+    /// Returns whether the server closes the connection after this response.
     pub fn closes_connection(&self) -> bool {
         !self.is_http11 || self.headers.has_token("connection", "close")
     }
@@ -210,16 +210,16 @@
     only && values.next().is_none()
 }
 
-fn length(headers: &Headers) -> Result<Option<u64>, Malformed> {
-    let mut found = None;
+fn content_length(headers: &Headers) -> Result<Option<u64>, Malformed> {
+    let mut length = None;
     for value in headers.get_all("content-length") {
         let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
         let text = std::str::from_utf8(value).map_err(|_bytes| Malformed)?;
         let number: u64 = text.parse().map_err(|_range| Malformed)?;
-        if !digits || found.is_some_and(|f| f != number) {
+        if !digits || length.is_some_and(|l| l != number) {
             return Err(Malformed);
         }
-        found = Some(number);
+        length = Some(number);
     }
-    Ok(found)
+    Ok(length)
 }
--- a/crates/hawthornmill-gateway/src/http/mod.rs
+++ b/crates/hawthornmill-gateway/src/http/mod.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 as both sides of the gateway need it.
+//! HTTP/1.1 parsing and encoding, for client and server connections.
 //!
-//! `httparse` reads the heads. The rest is done here, since a gateway must see what HTTP libraries
-//! hide: whether a byte of a request was sent before its connection failed, bytes that follow a
-//! complete answer, an answer that belongs to an earlier request, and a caller that closes while
-//! its answer is being made.
+//! `httparse` parses the heads. The rest is implemented here because a proxy needs details that HTTP
+//! libraries hide: whether any byte of a request was sent before its connection failed, bytes that
+//! follow a complete response, a response that belongs to an earlier request, and a client that
+//! disconnects before its response is ready.
 
 pub mod body;
 pub mod head;
--- a/crates/hawthornmill-gateway/src/proxy/admission.rs
+++ b/crates/hawthornmill-gateway/src/proxy/admission.rs
@@ -1,4 +1,4 @@
-//! Decides whether a request may be served at all, and under which terms.
+//! Admission: checks a request against the catalog in force.
 
 use std::time::Duration;
 
@@ -12,36 +12,36 @@
 use super::read::ClientRequest;
 use crate::gateway::{Gateway, Phase};
 
-/// Time to come back when the process lacks the newest catalog; the store and peers answer in milliseconds.
+/// Retry delay sent while the process lacks the newest catalog; the store and peers answer in milliseconds.
 const CATALOG_RETRY: Duration = Duration::from_millis(300);
-/// Time to come back when the process is about to end: at once, to another address.
+/// Retry delay sent while the process shuts down; the client reconnects to another address.
 const SHUTDOWN_RETRY: Duration = Duration::from_millis(10);
 
-/// A request that may be served.
+/// A request that passed admission, with the terms of its route.
 #[derive(Debug)]
 pub struct Admitted {
-    /// What the desk decides on.
+    /// The request as the desk sees it when it chooses a server.
     pub request: Request,
-    /// How often it may run.
+    /// Whether the request may be executed more than once.
     pub repeat: Repeat,
-    /// Its answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub streaming: bool,
-    /// Servers to which it may be sent at most.
+    /// Maximum number of servers to which the request may be sent.
     pub max_attempts: u32,
-    /// Account name that servers are shown.
+    /// Name of the client account, which is sent to the server.
     pub account_name: Option<Box<str>>,
-    /// Callers carry tokens here, so servers must not see the field that holds them.
+    /// Whether to remove the token header, because clients of this catalog authenticate with tokens.
     pub strip_token: bool,
-    /// Route name for logs.
+    /// Name of the route, for logs.
     pub route_name: Box<str>,
-    /// Service name for logs.
+    /// Name of the service, for logs.
     pub service_name: Box<str>,
 }
 
 /// Checks a request against the catalog in force.
 ///
 /// # Errors
-/// The answer that refuses it; it has not run then.
+/// Returns the response that rejects the request, which has not been executed.
 pub fn admit(gateway: &Gateway, request: &ClientRequest) -> Result<Admitted, ErrorResponse> {
     if gateway.phase() == Phase::Closed {
         return Err(ErrorResponse::with_retry_after(
@@ -110,9 +110,9 @@
     })
 }
 
-/// Answers that the catalog in force doesn't know a route or a token.
+/// Rejects a request whose route or token is not in the catalog in force.
 ///
-/// Only the newest catalog can say so for good.
+/// The rejection is temporary while a newer catalog exists, since that one may contain it.
 fn not_in_catalog(gateway: &Gateway, code: Code) -> ErrorResponse {
     if gateway.lag.borrow().is_some() {
         ErrorResponse::with_retry_after(Code::NotReady, CATALOG_RETRY)
--- a/crates/hawthornmill-gateway/src/proxy/error_response.rs
+++ b/crates/hawthornmill-gateway/src/proxy/error_response.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own.
+//! Error responses that the gateway generates itself.
 
 use std::time::Duration;
 
@@ -10,17 +10,17 @@
 use crate::gateway::Gateway;
 use crate::http::write::MessageBuffer;
 
-/// An answer that no server gave.
+/// An error response of the gateway, with a problem document as its body.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ErrorResponse {
-    /// Numbered reason; its status is the answer's.
+    /// Error code, which determines the status.
     pub code: Code,
-    /// When to come back, where the request has not run.
+    /// Delay after which the client may retry; set only if the request has not been executed.
     pub retry_after: Option<Duration>,
 }
 
 impl ErrorResponse {
-    /// An answer without a time to come back.
+    /// Creates a response without a retry delay.
     pub const fn new(code: Code) -> Self {
         Self {
             code,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// An answer to a request that has not run, with the time to come back.
+    /// Creates a response to a request that has not been executed, with a retry delay.
     pub const fn with_retry_after(code: Code, after: Duration) -> Self {
         Self {
             code,
@@ -36,34 +36,40 @@
         }
     }
 
-    /// Writes it; `attempt` is the request's identity where it could be read.
+    /// Writes the response; `attempt_id` is that of the request, if it could be read.
     ///
     /// # Errors
-    /// When the caller is gone.
+    /// Fails if the client has closed its connection.
     pub async fn write(
         &self,
         gateway: &Gateway,
-        attempt: Option<&str>,
-        last: bool,
+        attempt_id: Option<&str>,
+        close: bool,
         out: &mut OwnedWriteHalf,
     ) -> std::io::Result<()> {
-        out.write_all(&self.encode(gateway, attempt, last).0).await
+        out.write_all(&self.encode(gateway, attempt_id, close).0)
+            .await
     }
 
-    /// Its bytes; `attempt` is the request's identity where it could be read.
-    pub fn encode(&self, gateway: &Gateway, attempt: Option<&str>, last: bool) -> MessageBuffer {
+    /// Encodes the response; `attempt_id` is that of the request, if it could be read.
+    pub fn encode(
+        &self,
+        gateway: &Gateway,
+        attempt_id: Option<&str>,
+        close: bool,
+    ) -> MessageBuffer {
         let names = &gateway.dialect.names;
         let body = json!({"code": self.code.number(), "title": self.code.title()}).to_string();
         let mut bytes = MessageBuffer::response(self.code.status(), self.code.title());
-        if let Some(attempt) = attempt.filter(|a| !a.is_empty()) {
-            bytes.header(names.attempt, attempt);
+        if let Some(attempt_id) = attempt_id.filter(|a| !a.is_empty()) {
+            bytes.header(names.attempt, attempt_id);
         }
         if let Some(retry_after) = self.retry_after {
             bytes.header(names.again, format!("{:.3}", retry_after.as_secs_f64()));
         }
         bytes.header("Content-Type", "application/problem+json");
         bytes.header("Content-Length", body.len().to_string());
-        if last {
+        if close {
             bytes.header("Connection", "close");
         }
         bytes.end_head();
--- a/crates/hawthornmill-gateway/src/proxy/events.rs
+++ b/crates/hawthornmill-gateway/src/proxy/events.rs
@@ -1,33 +1,33 @@
-//! Splits a stream of events, so that only whole ones are passed on.
+//! Splits a server-sent event stream, so that only complete events are forwarded.
 //!
-//! A server that stops may stop in the middle of an event. A caller that had half of one could not
-//! be served on by another server, which begins with a whole event.
+//! A server can fail in the middle of an event. If the client had received half of it, no other server
+//! could resume the stream, because a resumed stream begins with a complete event.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of one event at most.
+/// Maximum size of one event.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Whole events, with the number of the last one.
+/// One or more complete events, with the id of the last one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompleteEvents {
-    /// Their bytes.
+    /// The events as received.
     pub bytes: Bytes,
-    /// Number of the last event that has one.
+    /// Id of the last event that has one.
     pub last_id: Option<u64>,
 }
 
-/// Bytes of a stream that are not whole events yet.
+/// Splits a stream into complete events and keeps the incomplete rest.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
 }
 
 impl EventSplitter {
-    /// Adds bytes and takes out the whole events that there are now.
+    /// Adds bytes and returns the events that are now complete.
     ///
-    /// `number` reads the number of one event. Events up to `seen` are left out: a server that goes
-    /// on for another may repeat the last one.
+    /// `event_id` parses the id of one event. Events with an id up to `seen` are dropped, because a server
+    /// that resumes a stream may repeat the last event.
     pub fn push(
         &mut self,
         data: &[u8],
@@ -56,18 +56,18 @@
         })
     }
 
-    /// What follows the last whole event.
+    /// Takes the bytes after the last complete event.
     pub fn take_rest(&mut self) -> Bytes {
         self.buffer.split().freeze()
     }
 
-    /// An event is longer than any should be.
+    /// Returns whether the incomplete event is larger than allowed.
     pub fn exceeds_limit(&self) -> bool {
         self.buffer.len() > MAX_EVENT_BYTES
     }
 }
 
-/// Length of the first event, the empty line behind it included.
+/// Returns the length of the first event, including the empty line that ends it.
 fn end_of_event(bytes: &[u8]) -> Option<usize> {
     let mut line = 0;
     for (at, byte) in bytes.iter().enumerate() {
--- a/crates/hawthornmill-gateway/src/proxy/forward.rs
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -1,7 +1,7 @@
-//! Passes a server's answer on: whole, or visibly broken off.
+//! Forwards a server's response to the client, complete or visibly truncated.
 //!
-//! A short answer is read to its end before a byte of it goes to the caller, so that one that breaks
-//! off can still be replaced by the truth. Streams and long answers go on as they come.
+//! A short response is buffered to its end before any of it is sent, so that one that is cut off can
+//! still be retried or replaced by an error. Streams and long responses are forwarded as they arrive.
 
 use bytes::BytesMut;
 use hawthornmill::routing::loads::Verdict;
@@ -18,21 +18,21 @@
 use crate::http::head::{Framing, ResponseHead};
 use crate::http::write::MessageBuffer;
 
-/// Bytes of an answer that is read whole before it is passed on.
+/// Maximum size of a response body that is buffered before it is forwarded.
 const MAX_BUFFERED_BYTES: usize = 64 << 10;
 
-/// How the delivery ended.
+/// How forwarding a response ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardOutcome {
-    /// The caller has the whole answer.
+    /// The client has the complete response.
     Complete,
-    /// The caller is gone.
+    /// The client closed its connection.
     ClientClosed,
-    /// The server broke off; what the caller has so far ends nowhere.
+    /// The server's response was cut off; what the client has received so far is incomplete.
     Truncated,
 }
 
-/// What the server's side of an answer brought.
+/// The next part of a response body.
 enum BodyPart {
     Data(bytes::Bytes),
     End,
@@ -48,7 +48,7 @@
             Err(_malformed) => return BodyPart::Truncated,
         }
         match response.upstream.more().await {
-            // Only an orderly close ends a body that has no length; a reset cuts it.
+            // Only an orderly close completes a body without a length; a reset truncates it.
             Ok(0) if decoder.ends_at_close() => return BodyPart::End,
             Ok(0) | Err(_) => return BodyPart::Truncated,
             Ok(_) => {}
@@ -56,7 +56,7 @@
     }
 }
 
-/// Passes `answer` on.
+/// Forwards `response` to the client.
 pub async fn forward_response(
     context: RequestContext<'_>,
     admitted: &Admitted,
@@ -79,12 +79,12 @@
     forward_buffered(context, progress, response, slot, out).await
 }
 
-/// The head of the answer for the caller.
+/// Encodes the head of the response for the client.
 fn encode_head(response: &ResponseHead, framing: Framing, close: bool) -> MessageBuffer {
     let mut bytes = MessageBuffer::response(response.status, &response.reason);
     bytes.forwarded_headers(&response.headers, &[]);
     if framing == Framing::Empty {
-        // No body, but the length of what would be there may be told, as for HEAD.
+        // A response without a body may still give the length that a body would have, as for HEAD.
         if let Some(length) = response.headers.get("content-length") {
             bytes.header("Content-Length", length);
         }
@@ -97,17 +97,17 @@
     bytes
 }
 
-/// How the reading of an answer ended.
+/// How buffering a response ended.
 enum Buffered {
-    /// It is whole.
+    /// The response is complete.
     Complete,
-    /// It goes on, and is longer than what is held.
+    /// The response exceeds the buffer limit and has not ended.
     TooLong,
-    /// The server broke off.
+    /// The response was cut off.
     Truncated,
 }
 
-/// Reads `answer` to its end, or until it is too long to be held; `part_came` is called with each part.
+/// Buffers the body of `response` to its end or to the limit, and calls `on_data` after each part.
 async fn buffer_body(
     response: &mut ServerResponse,
     decoder: &mut BodyDecoder,
@@ -152,7 +152,7 @@
     }
 }
 
-/// Reads the rest of a short answer; none when it breaks off or is long.
+/// Reads a short response to its end; `None` if it is cut off or exceeds the limit.
 pub async fn read_to_end(mut response: ServerResponse) -> Option<ServerResponse> {
     let mut decoder = BodyDecoder::new(response.framing);
     match buffer_body(&mut response, &mut decoder, || {}).await {
@@ -170,7 +170,7 @@
     retry::record_verdict(gateway, response.server, verdict);
 }
 
-/// Writes an answer whose body was read.
+/// Writes a response whose body was buffered.
 pub async fn write_buffered(
     context: RequestContext<'_>,
     progress: &mut RequestProgress,
@@ -188,11 +188,11 @@
     progress.start_response(response.head.status, context.gateway.now());
     match out.write_all(&bytes.0).await {
         Ok(()) => RequestOutcome::Complete,
-        Err(_gone) => RequestOutcome::ClientClosed,
+        Err(_closed) => RequestOutcome::ClientClosed,
     }
 }
 
-/// Passes on an answer too long to be held.
+/// Forwards a response that exceeds the buffer limit.
 async fn forward_long(
     context: RequestContext<'_>,
     progress: &mut RequestProgress,
@@ -231,9 +231,9 @@
     ForwardOutcome::Complete
 }
 
-/// Passes on a stream, event by event.
+/// Forwards an event stream, one complete event at a time.
 ///
-/// The head waits for the first whole event: until then another server may still have the request.
+/// The head is sent with the first complete event: until then the request may still be retried.
 async fn forward_stream(
     context: RequestContext<'_>,
     progress: &mut RequestProgress,
--- a/crates/hawthornmill-gateway/src/proxy/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -1,15 +1,15 @@
-//! One request, from its first byte to its settlement.
+//! Handling of one request, from its first byte to its log line.
 //!
-//! | step | takes | gives |
+//! | step | input | output |
 //! |---|---|---|
-//! | [`read`] | bytes of a caller | a [`read::ClientRequest`] |
-//! | [`admission`] | a call and the catalog | an [`admission::Admitted`], or a [`error_response::ErrorResponse`] |
-//! | wait | an admitted call | a server, from the desk |
-//! | [`mod@send`] | a call and its server | a [`send::SendOutcome`] |
-//! | [`forward`], [`events`] | a server's answer | bytes to the caller |
-//! | [`progress`] | how it ended | log line, counters |
+//! | [`read`] | bytes from a client | a [`read::ClientRequest`] |
+//! | [`admission`] | a request and the catalog | an [`admission::Admitted`], or an [`error_response::ErrorResponse`] |
+//! | queue | an admitted request | a server chosen by the desk |
+//! | [`mod@send`] | a request and its server | a [`send::SendOutcome`] |
+//! | [`forward`], [`events`] | a server's response | bytes to the client |
+//! | [`progress`] | the outcome | log line, counters |
 //!
-//! [`retry`] alone decides whether a request is sent once more.
+//! Only [`retry`] decides whether a request is sent again.
 
 pub mod admission;
 pub mod error_response;
@@ -40,38 +40,38 @@
 use retry::RetryDecision;
 use send::{SendOutcome, ServerResponse, send};
 
-/// How a request ended for its caller's connection.
+/// How a request ended, which determines whether its connection can be reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The caller has a whole answer; the connection may carry another request.
+    /// The client received a complete response; the connection can carry another request.
     Complete,
-    /// The answer was broken off, visibly.
+    /// The response was cut off, which the client can tell from its framing.
     Truncated,
-    /// The caller closed its connection before it had its answer.
+    /// The client closed its connection before it received a complete response.
     ClientClosed,
 }
 
-/// Whether the connection ends after the answer.
+/// Whether to close the client connection after the response.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionClose {
-    /// After any answer.
+    /// Close after any response.
     pub always: bool,
-    /// After a refusal.
+    /// Close after a rejection with a retry delay.
     pub on_rejection: bool,
 }
 
-/// What every step of a request looks at.
+/// Context that every step of a request shares.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContext<'a> {
-    /// The process.
+    /// State of the process.
     pub gateway: &'a Gateway,
-    /// The request as it came.
+    /// The request as received.
     pub request: &'a ClientRequest,
-    /// Whether the connection ends after the answer.
+    /// Whether to close the connection after the response.
     pub close: ConnectionClose,
 }
 
-/// Carries a request to its end, in the time that its route and its caller allow.
+/// Handles a request within the time that its route and its client allow.
 pub async fn handle_request(
     context: RequestContext<'_>,
     progress: &mut RequestProgress,
@@ -99,7 +99,7 @@
     send_error(context, progress, &response, out).await
 }
 
-/// A server's place for one request, released however that ends.
+/// A slot of a server that one request occupies; dropping it releases the slot.
 #[derive(Debug)]
 pub struct SlotGuard<'a> {
     gateway: &'a Gateway,
@@ -109,10 +109,10 @@
     responded: bool,
 }
 
-/// Times the objective after which a server that has not begun counts as silent.
+/// Multiple of the latency objective after which a server without a response counts as failed.
 ///
-/// A server that takes requests and answers none looks idle, and would draw more of them; no answer
-/// of its own ever says so. Under load all servers are late alike, so none is passed over for it.
+/// A server that accepts requests and never responds would look idle and attract more of them. Under
+/// load, all servers are late by the same measure, so none of them is put at a disadvantage.
 const SILENT_FACTOR: f64 = 1.5;
 
 impl Drop for SlotGuard<'_> {
@@ -127,7 +127,7 @@
 }
 
 impl SlotGuard<'_> {
-    /// The answer's first token is here; later calls change nothing.
+    /// Records the first token of the response; later calls have no effect.
     pub fn record_first_token(&mut self) {
         if std::mem::replace(&mut self.responded, true) {
             return;
@@ -140,14 +140,14 @@
             .borrow_mut()
             .began(request.service, &self.choice, time, now);
         self.gateway.tell_work();
-        let whole = now.duration_since(request.came);
+        let latency = now.duration_since(request.came);
         self.gateway
             .meters
-            .began(&self.admitted.service_name, whole);
+            .began(&self.admitted.service_name, latency);
     }
 }
 
-/// Sends the request to one server after another until it ends.
+/// Sends the request to one server after another until one responds or the retries are used up.
 async fn try_servers(
     context: RequestContext<'_>,
     admitted: &Admitted,
@@ -197,7 +197,7 @@
     }
 }
 
-/// Sends the request to one server; an error says what follows its failure there.
+/// Sends the request to one server; the error is the decision that follows a failure.
 async fn attempt(
     context: RequestContext<'_>,
     admitted: &Admitted,
@@ -236,12 +236,12 @@
                 }
             }
         }
-        SendOutcome::Unreachable(why) => Err(retry::on_unreachable(
+        SendOutcome::Unreachable(reason) => Err(retry::on_unreachable(
             gateway,
             context.request,
             progress,
             server,
-            &why,
+            &reason,
         )),
         SendOutcome::NotExecuted { misdirected } => Err(retry::on_not_executed(
             gateway,
@@ -250,20 +250,22 @@
             server,
             misdirected,
         )),
-        SendOutcome::Interrupted(why) => {
-            log_interruption(context, server, &why);
+        SendOutcome::Interrupted(reason) => {
+            log_interruption(context, server, &reason);
             Err(retry::on_interrupted(gateway, admitted, progress, server))
         }
     }
 }
 
-fn log_interruption(context: RequestContext<'_>, server: ServerId, why: &str) {
-    let fields = json!({"server": context.gateway.server_name(server), "why": why});
+fn log_interruption(context: RequestContext<'_>, server: ServerId, reason: &str) {
+    let fields = json!({"server": context.gateway.server_name(server), "why": reason});
     journal::trouble("server_broke_off", &context.request.attempt_id, fields);
 }
 
-/// Ends a request for which there is no further server: with a failure that a server gave, or with
-/// the truth about whether it may have run.
+/// Ends a request for which there is no further server.
+///
+/// The client receives the error response of a server if there is one, else an error that tells whether
+/// the request may have been executed.
 async fn end_without_server(
     context: RequestContext<'_>,
     progress: &mut RequestProgress,
@@ -304,6 +306,6 @@
         .await
     {
         Ok(()) => RequestOutcome::Complete,
-        Err(_gone) => RequestOutcome::ClientClosed,
+        Err(_closed) => RequestOutcome::ClientClosed,
     }
 }
--- a/crates/hawthornmill-gateway/src/proxy/progress.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -1,4 +1,4 @@
-//! The record of one request: how far it is, and its last line in the log.
+//! Progress of one request and its log lines.
 
 use std::time::Instant;
 
@@ -14,7 +14,7 @@
 use crate::gateway::Gateway;
 use crate::journal;
 
-/// Writes why the desk turned a request away.
+/// Logs why the desk rejected a request.
 pub fn log_rejection(context: RequestContext<'_>, request: &Request, refusal: &Refusal) {
     let (gateway, now) = (context.gateway, context.gateway.now());
     let desk = gateway.desk.borrow();
@@ -33,26 +33,26 @@
     journal::trouble("refused", &context.request.attempt_id, fields);
 }
 
-/// How long this instance has known of a newer catalog than its own.
+/// Returns for how long this instance has known of a catalog newer than its own.
 fn lag_ms(gateway: &Gateway) -> u64 {
     let lag = gateway.lag.borrow();
     lag.time(gateway.now()).as_millis() as u64
 }
 
-/// What is known of one request on its way.
+/// Progress of one request through the proxy.
 #[derive(Debug, Default)]
 pub struct RequestProgress {
-    /// Servers that had a byte of it.
+    /// Number of servers that were sent at least one byte of the request.
     pub sends: u32,
-    /// Servers that could not be reached.
+    /// Number of servers that could not be reached.
     pub unreachable: u32,
-    /// Number of the last whole event that the caller has.
+    /// Id of the last complete event that was forwarded to the client.
     pub last_event_id: Option<u64>,
-    /// Status that the caller got; 0 when none.
+    /// Status sent to the client, or 0 if none.
     pub status: u16,
-    /// An earlier server had a byte of it and never said that it did not run it.
+    /// An earlier server was sent bytes of the request and never reported that it did not execute it.
     earlier_uncertain: bool,
-    /// The server in turn has a byte of it.
+    /// The current server was sent at least one byte of the request.
     bytes_sent: bool,
     has_retry_after: bool,
     code: Option<Code>,
@@ -62,7 +62,7 @@
 }
 
 impl RequestProgress {
-    /// The request may be served.
+    /// Records and logs that the request passed admission.
     pub fn record_admitted(&mut self, request: &ClientRequest, admitted: &Admitted) {
         self.admitted = Some((admitted.route_name.clone(), admitted.service_name.clone()));
         let fields = json!({
@@ -74,7 +74,7 @@
         journal::step("admitted", &request.attempt_id, fields);
     }
 
-    /// The request goes to a server.
+    /// Records and logs that the request is sent to a server.
     pub fn start_attempt(&mut self, gateway: &Gateway, request: &ClientRequest, choice: &Choice) {
         let name = gateway.server_name(choice.server);
         let waited = gateway.now().duration_since(request.received);
@@ -88,7 +88,7 @@
         self.earlier_uncertain |= std::mem::take(&mut self.bytes_sent);
     }
 
-    /// The first bytes are with the server.
+    /// Records that bytes of the request were sent to the current server.
     pub const fn record_sent(&mut self) {
         if !self.bytes_sent {
             self.bytes_sent = true;
@@ -96,50 +96,50 @@
         }
     }
 
-    /// Tells whether the server in turn has a byte of it.
+    /// Returns whether the current server was sent at least one byte of the request.
     pub const fn bytes_sent(&self) -> bool {
         self.bytes_sent
     }
 
-    /// Tells whether a server may have run it, or still runs it.
+    /// Returns whether a server may have executed the request, or may still be executing it.
     pub const fn may_have_executed(&self) -> bool {
         self.earlier_uncertain || self.bytes_sent
     }
 
-    /// The server in turn says that it did not run it.
+    /// Records that the current server reported that it did not execute the request.
     pub const fn record_not_executed(&mut self) {
         self.bytes_sent = false;
     }
 
-    /// The answer has begun with `status`.
+    /// Records that a response with `status` begins.
     pub fn start_response(&mut self, status: u16, now: Instant) {
         self.status = status;
         self.response_start.get_or_insert(now);
     }
 
-    /// Tells whether its caller has the begin of an answer.
+    /// Returns whether a response to the client has begun.
     pub const fn response_started(&self) -> bool {
         self.response_start.is_some()
     }
 
-    /// The gateway refused it with a time to come back.
+    /// Returns whether the gateway rejected the request with a retry delay.
     pub const fn has_retry_after(&self) -> bool {
         self.has_retry_after
     }
 
-    /// Why it ends as it does.
+    /// Sets the code of the error that ends the request.
     pub const fn set_code(&mut self, code: Code) {
         self.code = Some(code);
     }
 
-    /// The gateway answers itself.
+    /// Records that the gateway sends an error response.
     pub const fn record_error(&mut self, response: &ErrorResponse) {
         self.code = Some(response.code);
         self.status = response.code.status();
         self.has_retry_after = response.retry_after.is_some();
     }
 
-    /// Writes the request's last line and counts it.
+    /// Writes the final log line of the request and counts its outcome.
     pub fn finish(&self, gateway: &Gateway, request: &ClientRequest, end: RequestOutcome) {
         let now = gateway.now();
         let outcome = match end {
--- a/crates/hawthornmill-gateway/src/proxy/read.rs
+++ b/crates/hawthornmill-gateway/src/proxy/read.rs
@@ -1,4 +1,4 @@
-//! Reads one request of a caller.
+//! Reading of client requests.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,21 +14,21 @@
 use crate::http::head::{self, Framing, RequestHead};
 use crate::serve::Reader;
 
-/// Bytes of bodies that one process holds at once; an instance has about a hundred megabytes.
-const MOST_BODIES: usize = 32 << 20;
+/// Maximum size of all request bodies in memory; an instance has about a hundred megabytes.
+const MAX_BODY_MEMORY_BYTES: usize = 32 << 20;
 
-/// A request as it came.
+/// A request as received from a client.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// Its head.
+    /// Head of the request.
     pub head: RequestHead,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
-    /// Identity that the caller gave this attempt.
+    /// Id that the client gave this attempt.
     pub attempt_id: Box<str>,
-    /// When its head had come.
+    /// When the head was complete.
     pub head_received: Instant,
-    /// When it had come whole.
+    /// When the body was complete.
     pub received: Instant,
     gateway: Rc<Gateway>,
 }
@@ -40,18 +40,18 @@
     }
 }
 
-/// What a connection brings next.
+/// Result of reading from a client connection.
 #[derive(Debug)]
 pub enum ReadOutcome {
-    /// A request.
+    /// A complete request.
     Request(ClientRequest),
-    /// Something that must be refused; the connection can't be used further.
+    /// A request to reject; the connection cannot be reused.
     Reject(Code),
-    /// Nothing more.
+    /// The connection ends without another request.
     Closed,
 }
 
-/// Reads the next request of a connection.
+/// Reads the next request of a client connection.
 pub async fn read_request(
     gateway: &Rc<Gateway>,
     reader: &mut Reader,
@@ -60,10 +60,10 @@
     let limits = gateway
         .table()
         .map_or_else(Limits::default, |t| *t.limits());
-    if reader.buffer.is_empty() && !first_byte(gateway, reader, limits.idle_time).await {
+    if reader.buffer.is_empty() && !wait_for_data(gateway, reader, limits.idle_time).await {
         return ReadOutcome::Closed;
     }
-    let head = tokio::time::timeout(limits.header_time, whole_head(reader, limits.header_bytes));
+    let head = tokio::time::timeout(limits.header_time, read_head(reader, limits.header_bytes));
     let head = match head.await {
         Ok(Ok(Some(head))) => head,
         Ok(Ok(None)) => return ReadOutcome::Closed,
@@ -73,24 +73,24 @@
     let Ok(framing) = head.framing() else {
         return ReadOutcome::Reject(Code::BadHeader);
     };
-    let known = match framing {
+    let declared = match framing {
         Framing::Length(bytes) => bytes as usize,
         _ => 0,
     };
-    if known > limits.body_bytes {
+    if declared > limits.body_bytes {
         return ReadOutcome::Reject(Code::BodyTooLarge);
     }
-    if gateway.bodies.get() + known > MOST_BODIES {
+    if gateway.bodies.get() + declared > MAX_BODY_MEMORY_BYTES {
         return ReadOutcome::Reject(Code::InstanceFull);
     }
     if framing != Framing::Empty && head.headers.has_token("expect", "100-continue") {
-        let go_on = out.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-        if go_on.is_err() {
+        let sent = out.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
+        if sent.is_err() {
             return ReadOutcome::Closed;
         }
     }
     let began = gateway.now();
-    let body = whole_body(reader, framing, limits.body_bytes, limits.idle_time).await;
+    let body = read_body(reader, framing, limits.body_bytes, limits.idle_time).await;
     match body {
         Ok(Some(body)) => ReadOutcome::Request(client_request(gateway, head, body, began)),
         Ok(None) => ReadOutcome::Closed,
@@ -119,11 +119,11 @@
     }
 }
 
-/// Waits for the first byte of a request; false when the connection is to end.
+/// Waits for the first byte of a request; returns false if the connection is to be closed.
 ///
-/// A process that takes no more requests closes idle connections; a request that crosses the close
-/// was not read, and its caller may send it elsewhere.
-async fn first_byte(gateway: &Gateway, reader: &mut Reader, idle: Duration) -> bool {
+/// A process that shuts down closes its idle connections. A request sent at the same moment has not been
+/// read, so its client can safely send it elsewhere.
+async fn wait_for_data(gateway: &Gateway, reader: &mut Reader, idle: Duration) -> bool {
     let mut phases = gateway.phases();
     tokio::select! {
         biased;
@@ -132,10 +132,11 @@
     }
 }
 
-async fn whole_head(reader: &mut Reader, most: usize) -> Result<Option<RequestHead>, Code> {
+/// Reads a request head; `None` if the client closed its connection first.
+async fn read_head(reader: &mut Reader, limit: usize) -> Result<Option<RequestHead>, Code> {
     loop {
         match head::parse_request(&reader.buffer) {
-            Ok(Some((_, length))) if length > most => return Err(Code::HeadersTooLarge),
+            Ok(Some((_, length))) if length > limit => return Err(Code::HeadersTooLarge),
             Ok(Some((head, length))) => {
                 let _taken = reader.buffer.split_to(length);
                 return if head.is_http11 {
@@ -144,10 +145,10 @@
                     Err(Code::OldVersion)
                 };
             }
-            Ok(None) if reader.buffer.len() > most => return Err(Code::HeadersTooLarge),
+            Ok(None) if reader.buffer.len() > limit => return Err(Code::HeadersTooLarge),
             Ok(None) => {}
-            // A head over the bound may have more fields than can be read.
-            Err(_malformed) if reader.buffer.len() > most => return Err(Code::HeadersTooLarge),
+            // A head above the limit can fail to parse because it has too many headers.
+            Err(_malformed) if reader.buffer.len() > limit => return Err(Code::HeadersTooLarge),
             Err(_malformed) => return Err(Code::BadHeader),
         }
         if !matches!(reader.more().await, Ok(bytes) if bytes > 0) {
@@ -156,11 +157,11 @@
     }
 }
 
-/// Reads the body; none when the caller closed before its end.
-async fn whole_body(
+/// Reads a request body; `None` if the client closed its connection before the end.
+async fn read_body(
     reader: &mut Reader,
     framing: Framing,
-    most: usize,
+    limit: usize,
     idle: Duration,
 ) -> Result<Option<Bytes>, Code> {
     let mut decoder = BodyDecoder::new(framing);
@@ -176,7 +177,7 @@
             },
             Err(_malformed) => return Err(Code::BadHeader),
         }
-        if body.len() > most {
+        if body.len() > limit {
             return Err(Code::BodyTooLarge);
         }
     }
--- a/crates/hawthornmill-gateway/src/proxy/retry.rs
+++ b/crates/hawthornmill-gateway/src/proxy/retry.rs
@@ -1,8 +1,8 @@
-//! Whether a request that failed at one server goes to another.
+//! Decides whether a request that failed at one server is sent to another.
 //!
-//! A request that reached no server may go on freely. One that a server refused, or that may have
-//! run, takes from the fleet's budget of second sends; one that may have run must besides be allowed
-//! to run again.
+//! A request of which no byte was sent is retried without a charge. One that a server rejected, or that
+//! may have been executed, takes from the fleet's retry budget; one that may have been executed must
+//! also belong to a route that allows repetition.
 
 use hawthornmill::ident::ServerId;
 use hawthornmill::routing::loads::Verdict;
@@ -15,41 +15,42 @@
 use crate::gateway::Gateway;
 use crate::journal;
 
-/// Servers that one request may fail to reach; each costs up to a connection's time.
+/// Number of unreachable servers after which a request fails; each one can cost a full connect timeout.
 const MAX_UNREACHABLE: u32 = 3;
 
-/// What follows a failure.
+/// What to do after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Another server gets the request.
+    /// Send the request to another server.
     Retry,
-    /// It has not run and is refused.
+    /// Reject the request, which has not been executed.
     Reject,
-    /// It may have run and fails.
+    /// Fail the request, which may have been executed.
     Fail,
 }
 
-/// Tells whether a server's answer is a failure that another server might not give.
+/// Returns whether the response has status 5xx, so that another server might succeed.
 pub fn is_server_error(response: &ServerResponse) -> bool {
     response.head.status >= 500
 }
 
-/// Notes how a request to `server` ended.
+/// Records how a request to `server` ended, for later choices of a server.
 pub fn record_verdict(gateway: &Gateway, server: ServerId, verdict: Verdict) {
     let now = gateway.now();
     gateway.desk.borrow_mut().loads.judge(server, verdict, now);
 }
 
-/// Takes a second send for a request that may have run.
+/// Takes a retry from the budget for a request that may have been executed.
 pub fn try_retry(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
     admitted.repeat.allowed() && take_budget(gateway, admitted, progress)
 }
 
-/// Tells whether the request may go to another server after one that may have run it.
+/// Returns whether the request could be sent to another server after one that may have executed it.
 pub fn can_retry(admitted: &Admitted, progress: &RequestProgress) -> bool {
     admitted.repeat.allowed() && progress.sends < admitted.max_attempts
 }
 
+/// Takes one retry from the budget of the service, unless the request has used all its attempts.
 fn take_budget(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
     if progress.sends >= admitted.max_attempts {
         return false;
@@ -66,7 +67,7 @@
     taken
 }
 
-/// What ends a request that no other server gets: only one that has not run may be called refused.
+/// Decision for a request without further attempts; it is rejected only if no server can have executed it.
 const fn final_decision(progress: &RequestProgress) -> RetryDecision {
     if progress.may_have_executed() {
         RetryDecision::Fail
@@ -75,15 +76,15 @@
     }
 }
 
-/// The server could not be reached.
+/// Handles a server that could not be reached.
 pub fn on_unreachable(
     gateway: &Gateway,
     request: &ClientRequest,
     progress: &mut RequestProgress,
     server: ServerId,
-    why: &str,
+    reason: &str,
 ) -> RetryDecision {
-    let fields = json!({"server": gateway.server_name(server), "why": why});
+    let fields = json!({"server": gateway.server_name(server), "why": reason});
     journal::trouble("server_unreached", &request.attempt_id, fields);
     gateway.pool.drop_idle(server);
     record_verdict(gateway, server, Verdict::Unreachable);
@@ -95,7 +96,7 @@
     }
 }
 
-/// The server says that it did not run the request.
+/// Handles a server that reports that it did not execute the request.
 pub fn on_not_executed(
     gateway: &Gateway,
     admitted: &Admitted,
@@ -117,7 +118,7 @@
     }
 }
 
-/// The server broke off, and may have run the request.
+/// Handles a connection that broke before the end of the response; the request may have been executed.
 pub fn on_interrupted(
     gateway: &Gateway,
     admitted: &Admitted,
--- a/crates/hawthornmill-gateway/src/proxy/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -1,8 +1,8 @@
-//! Sends a request to its server and reads the head of the answer.
+//! Sends a request to a backend server and reads the head of the response.
 //!
-//! What may be said of the request afterwards rests on one fact: whether a byte of it was handed to
-//! a connection. Before that, another server may have it whatever its kind. After that, only the
-//! server itself can say that it did not run it.
+//! Whether a request can be retried depends on whether any byte of it was written to a connection. Before
+//! that, any request can go to another server. After that, only the server itself can tell that it did
+//! not execute the request.
 
 use std::io;
 use std::time::Duration;
@@ -23,51 +23,53 @@
 use crate::http::write::MessageBuffer;
 use crate::pool::Upstream;
 
-/// Status of a server that is not the one expected; it has not run the request.
+/// Status of a server that is not the expected one and did not execute the request.
 const MISDIRECTED_REQUEST: u16 = 421;
-/// Times the objective after which a silent server is given up; besides, twice the expected time.
+/// Multiple of the latency objective after which a silent server is abandoned, in addition to twice the
+/// expected time.
 ///
-/// By then the answer is late anyway. Sooner, a server that is merely busy would lose what it has read.
+/// The response is late by then in any case. With a shorter limit, a server that is only busy would lose
+/// the prompts that it has already processed.
 const SILENCE_FACTOR: f64 = 2.0;
-/// Bytes of an answer's head at most.
+/// Maximum size of a response head.
 const MAX_HEAD_BYTES: usize = 64 << 10;
-/// Bytes of an answer to an earlier request that are read past at most.
+/// Maximum size of a response to an earlier request that is read and discarded.
 const MAX_SKIPPED_BYTES: usize = 1 << 20;
 
-/// The begin of a server's answer.
+/// A server's response whose head has been read.
 #[derive(Debug)]
 pub struct ServerResponse {
-    /// Its head.
+    /// Head of the response.
     pub head: ResponseHead,
-    /// How its body ends.
+    /// Framing of the body.
     pub framing: Framing,
-    /// Where the rest comes from.
+    /// Connection from which the rest is read.
     pub upstream: Upstream,
-    /// The server that answers.
+    /// Server that sent the response.
     pub server: ServerId,
-    /// The connection may carry another request afterwards.
+    /// Whether the connection can carry another request afterwards.
     pub reusable: bool,
-    /// The body, where it was read already.
+    /// The body, as far as it has been buffered.
     pub body: Option<BytesMut>,
 }
 
-/// What became of a send.
+/// Outcome of sending a request to a server.
 #[derive(Debug)]
 pub enum SendOutcome {
-    /// No byte was sent.
+    /// No byte was sent, for the reason given.
     Unreachable(Box<str>),
-    /// The server says that it did not run the request; `misdirected`: it is another server by now.
+    /// The server reports that it did not execute the request.
     NotExecuted {
-        /// Another server has the address.
+        /// Whether another server now has the address.
         misdirected: bool,
     },
-    /// It may have run.
+    /// The request may have been executed, and failed for the reason given.
     Interrupted(Box<str>),
-    /// It answers.
+    /// The server responds.
     Response(ServerResponse),
 }
 
-/// Sends `request` to the server of `choice`.
+/// Sends `request` to the chosen server.
 pub async fn send(
     gateway: &Gateway,
     request: &ClientRequest,
@@ -111,17 +113,17 @@
     if !retry::can_retry(admitted, progress) {
         return response.await;
     }
-    // Dropping the connection cancels the request there before another server gets it.
+    // A timeout drops the connection, which cancels the request before it is sent to another server.
     let response = tokio::time::timeout(silence_limit(admitted, choice), response).await;
     response.unwrap_or_else(|_elapsed| SendOutcome::Interrupted("no answer in time".into()))
 }
 
-/// Time for which a server may be silent before another one gets the request.
+/// Returns how long a server may be silent before the request is sent to another one.
 fn silence_limit(admitted: &Admitted, choice: &Choice) -> Duration {
     admitted.request.objective.mul_f64(SILENCE_FACTOR) + choice.expected * 2
 }
 
-/// The request as the server gets it.
+/// Encodes the request for the server.
 fn encode_request(
     gateway: &Gateway,
     request: &ClientRequest,
@@ -152,7 +154,7 @@
     if let Some(event) = progress.last_event_id {
         bytes.header(names.resume, event.to_string());
     }
-    // A body in chunks was read whole; its length says the same in fewer ways.
+    // A chunked body has been read completely, so it is sent with its length, which is less ambiguous.
     let sized = request.head.headers.get("content-length").is_some()
         || request.head.headers.get("transfer-encoding").is_some();
     if sized {
@@ -163,7 +165,7 @@
     bytes
 }
 
-/// Writes the request; false when the server answered before it had all of it.
+/// Writes the request; returns false if the server responded before all of it was written.
 async fn write_request(
     upstream: &mut Upstream,
     mut bytes: &[u8],
@@ -196,10 +198,10 @@
     Ok(true)
 }
 
-/// Reads what there is, and waits when there is nothing; for use while the connection is also written to.
+/// Reads available bytes, or waits for some, through a shared reference, so that a write can be pending.
 ///
 /// # Errors
-/// When the connection broke.
+/// Fails if the connection broke.
 async fn read_some(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
     loop {
         stream.readable().await?;
@@ -210,6 +212,7 @@
     }
 }
 
+/// Reads the head of the response, and skips interim responses and those to earlier requests.
 async fn receive_response(
     gateway: &Gateway,
     request: &ClientRequest,
@@ -222,7 +225,7 @@
     loop {
         let head = match read_head(&mut upstream).await {
             Ok(head) => head,
-            Err(why) => return SendOutcome::Interrupted(why),
+            Err(reason) => return SendOutcome::Interrupted(reason),
         };
         if (100..200).contains(&head.status) {
             continue;
@@ -232,7 +235,7 @@
         };
         let response_id = head.headers.get_str(names.attempt);
         if response_id.is_some_and(|id| id != &*request.attempt_id) {
-            // The answer to an earlier request on this connection, come late or twice.
+            // A late or duplicate response to an earlier request on this connection.
             reusable = false;
             if skip_body(&mut upstream, framing).await.is_err() {
                 return SendOutcome::Interrupted("an answer to another request doesn't end".into());
@@ -298,6 +301,7 @@
     }
 }
 
+/// Reads and discards a body; fails if it is too long or does not end.
 async fn skip_body(upstream: &mut Upstream, framing: Framing) -> Result<(), ()> {
     if framing == Framing::UntilClose {
         return Err(());
@@ -322,10 +326,10 @@
     }
 }
 
-/// Time for which the rest of a server's refusal is read, to keep its connection.
+/// Time allowed for reading the rest of a server's rejection, so that its connection can be reused.
 const REJECTION_DRAIN: Duration = Duration::from_millis(50);
 
-/// Keeps the connection of a server that refused, if the rest of its answer comes at once.
+/// Returns the connection of a server that rejected a request to the pool, if its response ends in time.
 async fn reuse_after_rejection(gateway: &Gateway, mut response: ServerResponse) {
     let rest = skip_body(&mut response.upstream, response.framing);
     if matches!(
@@ -337,7 +341,7 @@
 }
 
 impl ServerResponse {
-    /// The body is complete: keeps the connection if it can carry another request.
+    /// Returns the connection to the pool after a complete body, if it can be reused.
     pub fn recycle_connection(self, gateway: &Gateway) {
         if self.reusable {
             let keep_alive = keep_alive_timeout(&self.head);
@@ -349,7 +353,7 @@
     }
 }
 
-/// How long the server says that it keeps an idle connection.
+/// Returns the idle timeout that the server announces in `Keep-Alive`.
 fn keep_alive_timeout(head: &ResponseHead) -> Option<Duration> {
     let text = head.headers.get_str("keep-alive")?;
     let timeout = text
