--- a/crates/hawthornmill-gateway/src/proxy/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -103,7 +103,7 @@
     }
     let bytes = encode_request(gateway, request, admitted, progress, &name);
     let written = match write_request(&mut upstream, &bytes.0, progress).await {
-        Ok(whole) => whole,
+        Ok(complete) => complete,
         Err(error) if !progress.bytes_sent() => {
             return SendOutcome::Unreachable(error.to_string().into());
         }
