--- a/tests/testsuite/gateway/at_most_once.rs
+++ b/tests/testsuite/gateway/at_most_once.rs
@@ -9,7 +9,7 @@
 /// A booking runs, and the server's connection breaks before the answer. Sent to another server, it
 /// would be booked twice; refused with 503, the caller would send it again itself.
 #[test]
-fn a_request_that_may_have_run_is_not_sent_again_and_not_called_refused() {
+fn possibly_executed_request_is_not_retried_or_rejected() {
     block_on(async {
         let fleet = Fleet::start(1, 3).await;
         for act in [
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_request_that_its_server_did_not_run_goes_to_another() {
+fn unexecuted_request_is_retried_elsewhere() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
         fleet.servers[0].script(&[
@@ -82,7 +82,7 @@
 /// One server breaks off a request that may repeat, and another one says that it did not run it. The
 /// first may have run it all the same. Called refused, its caller would believe that nothing happened.
 #[test]
-fn a_refusal_is_not_said_of_a_request_that_an_earlier_server_may_have_run() {
+fn possible_earlier_execution_is_not_reported_as_rejection() {
     block_on(async {
         // Whichever of the two has the request first, it breaks off there in one of the fleets.
         for broken in [0, 1] {
@@ -102,7 +102,7 @@
 /// Every server says that it did not run the request. Then the refusal is true, and the caller may
 /// come back.
 #[test]
-fn a_refusal_after_servers_that_ran_nothing_promises_so() {
+fn rejection_tells_that_nothing_was_executed() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
         fleet
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_server_with_anothers_address_is_not_taken_for_it() {
+fn reused_server_address_is_detected() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
         fleet.servers[0].script(&[Behavior::Misdirected]);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_request_that_may_repeat_is_sent_again_when_its_answer_is_lost() {
+fn idempotent_request_is_retried_after_lost_response() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
         let front = fleet.gateways[0].front();
@@ -179,7 +179,7 @@
 
 /// Both servers fail. The caller gets the failure as the server gave it, with the server's stamp.
 #[test]
-fn a_failure_that_every_server_gives_is_passed_on_as_it_is() {
+fn server_error_from_all_servers_is_forwarded() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
         fleet
@@ -203,7 +203,7 @@
 /// A server takes requests and answers none of them, while its connections are good. A request that
 /// may repeat would wait there until its caller gives up, with another server idle.
 #[test]
-fn a_silent_server_loses_a_request_that_may_repeat_to_another() {
+fn silent_server_does_not_hold_idempotent_requests() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
         fleet.servers[0].script(&[
@@ -237,7 +237,7 @@
 /// A process must not hold a request beyond the route's time; what it says then depends on whether
 /// a server had the request.
 #[test]
-fn the_routes_time_ends_a_request_with_the_truth() {
+fn route_timeout_after_send_gets_504() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         fleet.servers[0].script(&[Behavior::Hang]);
--- a/tests/testsuite/gateway/connection_pool.rs
+++ b/tests/testsuite/gateway/connection_pool.rs
@@ -12,7 +12,7 @@
 /// Requests that must not run twice take only connections used a moment ago, so each burst makes new
 /// ones and leaves them idle. A server resets what is over its bound, and might reset one in use.
 #[test]
-fn idle_connections_stay_within_the_bound_and_the_newest_stay() {
+fn idle_limit_keeps_newest_connections() {
     block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn nothing_is_kept_for_a_server_that_is_gone_or_sent_more_than_its_answer() {
+fn connection_of_gone_server_or_with_extra_bytes_is_not_pooled() {
     block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
--- a/tests/testsuite/gateway/event_streams.rs
+++ b/tests/testsuite/gateway/event_streams.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_stream_passes_whole() {
+fn stream_is_forwarded_completely() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         fleet.servers[0].script(&[Behavior::Stream(12)]);
@@ -34,7 +34,7 @@
 /// A server breaks off in the middle of the sixth event. Another one goes on behind the fifth, and
 /// the caller sees one stream without a gap, a repetition or half an event.
 #[test]
-fn a_stream_that_may_be_resumed_goes_on_at_another_server() {
+fn resumable_stream_continues_at_another_server() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
         fleet
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_stream_that_runs_once_is_broken_off_visibly() {
+fn non_resumable_stream_is_visibly_truncated() {
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
         fleet
--- a/tests/testsuite/gateway/http_parsing.rs
+++ b/tests/testsuite/gateway/http_parsing.rs
@@ -15,7 +15,7 @@
 
 /// A body whose end two readers find in two places hides a second request in it.
 #[test]
-fn a_length_that_can_be_read_in_two_ways_is_refused() {
+fn ambiguous_body_length_is_rejected() {
     let refused = [
         "Content-Length: 5\r\nContent-Length: 6\r\n",
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_head_that_is_none_is_refused() {
+fn invalid_head_is_rejected() {
     for text in [
         "GET\r\n\r\n",
         "GET /a HTTP/1.1\r\nA B: c\r\n\r\n",
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn chunks_are_joined_wherever_the_bytes_are_cut_and_what_follows_is_left() {
+fn chunked_body_decodes_at_any_split() {
     let text = b"4\r\nWiki\r\n6;x=y\r\npedia \r\n0\r\nTrailer: t\r\n\r\nGET";
 
     for cut in 0..text.len() {
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn malformed_chunks_are_refused() {
+fn malformed_chunks_are_rejected() {
     let refused: [&[u8]; 6] = [
         b"x\r\n",
         b"\r\n",
@@ -117,7 +117,7 @@
     }
 
     #[test]
-    fn a_chunked_body_comes_back_whole(body in proptest::collection::vec(any::<u8>(), 1..500), size in 1_usize..50) {
+    fn chunked_body_round_trips(body in proptest::collection::vec(any::<u8>(), 1..500), size in 1_usize..50) {
         let mut text = hawthornmill_gateway::http::write::MessageBuffer::default();
         body.chunks(size).for_each(|chunk| text.chunk(chunk));
         text.last_chunk();
@@ -126,7 +126,7 @@
     }
 
     #[test]
-    fn events_come_whole_wherever_the_bytes_are_cut(cuts in proptest::collection::vec(0_usize..60, 0..6)) {
+    fn events_are_complete_at_any_split(cuts in proptest::collection::vec(0_usize..60, 0..6)) {
         let text = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\n".to_vec();
         let mut cuts: Vec<usize> = cuts.into_iter().map(|c| c.min(text.len())).collect();
         cuts.sort_unstable();
@@ -148,7 +148,7 @@
 
 /// A server goes on for another one and begins with the event that the caller has already.
 #[test]
-fn events_that_the_caller_has_are_left_out() {
+fn repeated_events_are_dropped() {
     let mut splitter = EventSplitter::default();
 
     let whole = splitter.push(
--- a/tests/testsuite/gateway/platform_adapter.rs
+++ b/tests/testsuite/gateway/platform_adapter.rs
@@ -19,7 +19,7 @@
  "tenants":[{"name":"t","apiKeys":["k1","k2"],"priority":2}]}"#;
 
 #[test]
-fn a_configuration_becomes_a_catalog() {
+fn configuration_parses_to_catalog() {
     let catalog = catalog::parse(CONFIG.as_bytes()).expect("the configuration can be read");
 
     let [first, second] = &*catalog.routes else {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_stream_that_may_not_be_resumed_runs_once() {
+fn non_resumable_stream_is_not_repeated() {
     let text = CONFIG.replace("\"resumable\":true", "\"resumable\":false");
 
     let catalog = catalog::parse(text.as_bytes()).expect("the configuration can be read");
@@ -57,7 +57,7 @@
 
 /// Entries of another writer: each names no server and says why; none of them ends the reading.
 #[test]
-fn registrations_with_faults_name_no_server() {
+fn invalid_registration_is_rejected() {
     let sound = r#"{"service":"s","address":"10.0.0.1:80","zone":"z","slots":6,"state":"ready","born":5,"new":[]}"#;
     let faulty = [
         "",
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_store_answer_becomes_a_page() {
+fn store_response_parses_to_page() {
     let list = br#"{"entries":[{"key":"servers/a","value":"e30=","revision":4,"created":2,"lease":0}],"hasMore":true,"asOf":9}"#;
     let wait = br#"{"events":[{"key":"servers/a","revision":5,"deleted":true}],"asOf":5}"#;
 
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_request_tells_its_size_and_parts() {
+fn request_size_and_parts_are_parsed() {
     let shape = shape_of(
         "Model: m\r\nToken-Usage: 1460,80\r\nPrompt-Prefix: 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\nLength-Hint: 33\r\n",
     );
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn the_directory_is_asked_and_answers() {
+fn directory_query_parses_and_addresses_encode() {
     let question =
         directory::parse_query("/v1/resolve?name=h&region=r&zone=z%2D1").expect("it is this call");
     let answer = directory::encode_addresses(&["10.1.0.33:8783".parse().expect("an address")], 1.5);
@@ -152,14 +152,14 @@
 
 proptest! {
     #[test]
-    fn random_bytes_are_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn random_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         prop_assert!(catalog::parse(&bytes).is_err());
         prop_assert!(registration::parse("i", &bytes).is_err());
         prop_assert!(store::parse_page(&bytes).is_err());
     }
 
     #[test]
-    fn a_configuration_that_is_cut_is_refused(end in 0_usize..CONFIG.len()) {
+    fn truncated_configuration_is_rejected(end in 0_usize..CONFIG.len()) {
         prop_assert!(catalog::parse(&CONFIG.as_bytes()[..end]).is_err());
     }
 }
--- a/tests/testsuite/gateway/platform_names.rs
+++ b/tests/testsuite/gateway/platform_names.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn no_name_of_the_platform_stands_outside_its_folder() {
+fn platform_names_occur_only_in_adapter() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
     for dir in ["crates", "src"] {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn the_adapter_stays_small() {
+fn adapter_stays_small() {
     let mut files = Vec::new();
     sources(
         &Path::new(env!("CARGO_MANIFEST_DIR")).join("platform"),
--- a/tests/testsuite/gateway/request_handling.rs
+++ b/tests/testsuite/gateway/request_handling.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 #[test]
-fn a_request_and_its_answer_pass_unchanged() {
+fn request_and_response_are_forwarded_unchanged() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let head = request(
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_may_not_be_served_is_refused_at_once_and_reaches_no_server() {
+fn invalid_request_reaches_no_server() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let front = fleet.gateways[0].front();
@@ -118,7 +118,7 @@
 /// A caller hides a second request in the body of the first. If the gateway and the server saw the
 /// body's end in two places, the server would run a request that nobody sent.
 #[test]
-fn what_follows_a_body_is_the_next_request_of_the_same_caller_only() {
+fn bytes_after_body_are_next_request_of_same_client() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let mut caller = Caller::connect(fleet.gateways[0].front()).await;
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_slow_head_ends_in_408_and_an_idle_connection_is_closed() {
+fn slow_head_gets_408_and_idle_connection_closes() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let mut slow = Caller::connect(fleet.gateways[0].front()).await;
@@ -153,7 +153,7 @@
 /// The process has started and the store is away. It knows no route yet; 404 would say that there
 /// is none, and the caller would give up.
 #[test]
-fn without_a_configuration_the_answer_is_503_and_the_process_is_not_ready() {
+fn missing_configuration_gets_503_and_not_ready() {
     block_on(async {
         let mut fleet = Fleet::prepare(1, 1).await;
         fleet.gateways[0].start();
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_new_configuration_is_in_force_at_once_and_an_older_one_never() {
+fn new_configuration_applies_and_older_is_ignored() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let front = fleet.gateways[0].front();
--- a/tests/testsuite/gateway/responses.rs
+++ b/tests/testsuite/gateway/responses.rs
@@ -9,7 +9,7 @@
 /// A server answers one request twice. The second answer arrives where the next one is due, and
 /// would be passed to another caller.
 #[test]
-fn a_second_answer_is_given_to_nobody() {
+fn duplicate_response_is_not_forwarded() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let front = fleet.gateways[0].front();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_comes_whole() {
+fn response_without_length_is_complete() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         fleet.servers[0].script(&[Behavior::NoLength]);
@@ -48,7 +48,7 @@
 /// A server answers while most of the body is still to come, and reads on. If the connection were
 /// used again at once, the next request's bytes would be read as the rest of that body.
 #[test]
-fn after_an_early_answer_the_rest_of_the_body_is_never_another_request() {
+fn rest_of_body_after_early_response_is_not_a_request() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         fleet.servers[0].script(&[Behavior::EarlyResponse]);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_the_work_at_the_server() {
+fn client_disconnect_cancels_server_request() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         fleet.servers[0].script(&[Behavior::Hang]);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_connection_carries_many_requests() {
+fn connection_carries_many_requests() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         let mut caller = Caller::connect(fleet.gateways[0].front()).await;
