--- a/tests/testsuite/gateway/at_most_once.rs
+++ b/tests/testsuite/gateway/at_most_once.rs
@@ -1,4 +1,4 @@
-//! What must not run twice, and what a refusal says.
+//! Requests that must not be executed twice, and what a rejection promises.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 use super::scripted_server::Behavior;
 use crate::block_on;
 
-/// A booking runs, and the server's connection breaks before the answer. Sent to another server, it
-/// would be booked twice; refused with 503, the caller would send it again itself.
+/// Failure: a booking is executed, but the connection breaks before the response. A retry would book twice,
+/// and so would the client if it received a 503.
 #[test]
 fn possibly_executed_request_is_not_retried_or_rejected() {
     block_on(async {
         let fleet = Fleet::start(1, 3).await;
-        for act in [
+        for behavior in [
             Behavior::Reset,
             Behavior::TruncatedBody,
             Behavior::InvalidResponse,
@@ -20,31 +20,31 @@
             fleet
                 .servers
                 .iter()
-                .for_each(|s| s.script(std::slice::from_ref(&act)));
+                .for_each(|s| s.script(std::slice::from_ref(&behavior)));
             let before = fleet.runs();
 
-            let answer = call(
+            let response = call(
                 fleet.gateways[0].front(),
                 request("POST", "/once/", "a", "").as_bytes(),
             )
             .await;
 
-            let status = answer.expect("there is an answer").status();
-            assert_eq!((status, fleet.runs() - before), (502, 1), "{act:?}");
-            drain(&fleet).await;
+            let status = response.expect("the gateway responds").status();
+            assert_eq!((status, fleet.runs() - before), (502, 1), "{behavior:?}");
+            use_up_scripts(&fleet).await;
         }
     });
 }
 
-/// Uses up what is left of the servers' scripts.
-async fn drain(fleet: &Fleet) {
+/// Uses up the remaining scripted behavior of the servers.
+async fn use_up_scripts(fleet: &Fleet) {
     for server in &fleet.servers {
         let text = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
         let mut link = tokio::net::TcpStream::connect(server.address)
             .await
-            .expect("the server listens");
+            .expect("the server accepts connections");
         let sent = tokio::io::AsyncWriteExt::write_all(&mut link, text.as_bytes()).await;
-        sent.expect("the server takes the bytes");
+        sent.expect("the server receives the request");
         let mut byte = [0; 1];
         let _read = tokio::time::timeout(
             Duration::from_secs(1),
@@ -67,40 +67,39 @@
         let front = fleet.gateways[0].front();
 
         for number in 0..4 {
-            let answer = call(
+            let response = call(
                 front,
                 request("POST", "/once/", &format!("id-{number}"), "").as_bytes(),
             )
             .await;
-            assert_eq!(answer.expect("there is an answer").status(), 200);
+            assert_eq!(response.expect("the gateway responds").status(), 200);
         }
 
         assert_eq!(fleet.runs(), 4);
     });
 }
 
-/// One server breaks off a request that may repeat, and another one says that it did not run it. The
-/// first may have run it all the same. Called refused, its caller would believe that nothing happened.
+/// Failure: one server resets the connection of an idempotent request, and another reports that it did not
+/// execute it. A rejection would tell the client that nothing was executed, but the first server may have.
 #[test]
 fn possible_earlier_execution_is_not_reported_as_rejection() {
     block_on(async {
-        // Whichever of the two has the request first, it breaks off there in one of the fleets.
+        // Covers both orders: in one of the fleets, the server that is tried first resets the connection.
         for broken in [0, 1] {
             let fleet = Fleet::start(1, 2).await;
             fleet.servers[broken].script(&[Behavior::Reset]);
             fleet.servers[1 - broken].script(&[Behavior::NotExecuted]);
 
             let text = request("GET", "/get/", "a", "");
-            let answer = call(fleet.gateways[0].front(), text.as_bytes()).await;
+            let response = call(fleet.gateways[0].front(), text.as_bytes()).await;
 
-            assert_eq!(answer.expect("there is an answer").status(), 502);
+            assert_eq!(response.expect("the gateway responds").status(), 502);
             assert_eq!(fleet.servers[broken].executed_count(), 1);
         }
     });
 }
 
-/// Every server says that it did not run the request. Then the refusal is true, and the caller may
-/// come back.
+/// All servers report that they did not execute the request, so the client may retry after a rejection.
 #[test]
 fn rejection_tells_that_nothing_was_executed() {
     block_on(async {
@@ -110,20 +109,20 @@
             .iter()
             .for_each(|s| s.script(&[Behavior::NotExecuted, Behavior::NotExecuted]));
 
-        let answer = call(
+        let response = call(
             fleet.gateways[0].front(),
             request("POST", "/once/", "a", "").as_bytes(),
         )
         .await;
 
-        let answer = answer.expect("there is an answer");
-        assert_eq!((answer.status(), fleet.runs()), (503, 0));
+        let response = response.expect("the gateway responds");
+        assert_eq!((response.status(), fleet.runs()), (503, 0));
         assert!(
-            answer
+            response
                 .field("retry-after")
                 .is_some_and(|t| t.parse::<f64>().is_ok_and(|s| s > 0.0))
         );
-        assert_eq!(answer.field("server-stamp"), None);
+        assert_eq!(response.field("server-stamp"), None);
     });
 }
 
@@ -135,12 +134,12 @@
         let front = fleet.gateways[0].front();
 
         for number in 0..3 {
-            let answer = call(
+            let response = call(
                 front,
                 request("POST", "/once/", &format!("id-{number}"), "").as_bytes(),
             )
             .await;
-            assert_eq!(answer.expect("there is an answer").status(), 200);
+            assert_eq!(response.expect("the gateway responds").status(), 200);
         }
 
         assert_eq!(fleet.runs(), 3);
@@ -152,32 +151,32 @@
     block_on(async {
         let fleet = Fleet::start(1, 2).await;
         let front = fleet.gateways[0].front();
-        for act in [
+        for behavior in [
             Behavior::Reset,
             Behavior::TruncatedBody,
             Behavior::InvalidResponse,
             Behavior::ServerError,
         ] {
-            fleet.servers[0].script(std::slice::from_ref(&act));
+            fleet.servers[0].script(std::slice::from_ref(&behavior));
             for number in 0..3 {
-                let answer = call(
+                let response = call(
                     front,
-                    request("GET", "/get/", &format!("{act:?}-{number}"), "").as_bytes(),
+                    request("GET", "/get/", &format!("{behavior:?}-{number}"), "").as_bytes(),
                 )
                 .await;
-                let answer = answer.expect("there is an answer");
-                assert_eq!(answer.status(), 200, "{act:?}");
+                let response = response.expect("the gateway responds");
+                assert_eq!(response.status(), 200, "{behavior:?}");
                 assert!(
-                    answer
+                    response
                         .text()
-                        .starts_with(&format!("answer to {act:?}-{number} by"))
+                        .starts_with(&format!("answer to {behavior:?}-{number} by"))
                 );
             }
         }
     });
 }
 
-/// Both servers fail. The caller gets the failure as the server gave it, with the server's stamp.
+/// Failure: all servers respond with an error, and the client does not receive it as the server sent it.
 #[test]
 fn server_error_from_all_servers_is_forwarded() {
     block_on(async {
@@ -187,21 +186,24 @@
             .iter()
             .for_each(|s| s.script(&[Behavior::ServerError]));
 
-        let answer = call(
+        let response = call(
             fleet.gateways[0].front(),
             request("GET", "/get/", "a", "").as_bytes(),
         )
         .await;
 
-        let answer = answer.expect("there is an answer");
-        assert_eq!((answer.status(), answer.text().as_str()), (500, "failed"));
-        assert!(answer.field("server-stamp").is_some());
+        let response = response.expect("the gateway responds");
+        assert_eq!(
+            (response.status(), response.text().as_str()),
+            (500, "failed")
+        );
+        assert!(response.field("server-stamp").is_some());
         assert_eq!(fleet.runs(), 2);
     });
 }
 
-/// A server takes requests and answers none of them, while its connections are good. A request that
-/// may repeat would wait there until its caller gives up, with another server idle.
+/// Failure: a server accepts requests and never responds. An idempotent request waits there until its
+/// client gives up, although another server is idle.
 #[test]
 fn silent_server_does_not_hold_idempotent_requests() {
     block_on(async {
@@ -224,18 +226,18 @@
             call(front, texts[3].as_bytes()),
         );
 
-        for answer in [a, b, c, d] {
-            assert_eq!(answer.expect("there is an answer").status(), 200);
+        for response in [a, b, c, d] {
+            assert_eq!(response.expect("the gateway responds").status(), 200);
         }
         assert!(
             fleet.servers[0].executed_count() > 0,
-            "the silent server had none of them"
+            "the silent server received none of them"
         );
     });
 }
 
-/// A process must not hold a request beyond the route's time; what it says then depends on whether
-/// a server had the request.
+/// Failure: a request outlives the timeout of its route, or its error hides that a server may have
+/// executed it.
 #[test]
 fn route_timeout_after_send_gets_504() {
     block_on(async {
@@ -243,13 +245,13 @@
         fleet.servers[0].script(&[Behavior::Hang]);
         let began = std::time::Instant::now();
 
-        let answer = call(
+        let response = call(
             fleet.gateways[0].front(),
             request("GET", "/brief/", "a", "").as_bytes(),
         )
         .await;
 
-        assert_eq!(answer.expect("there is an answer").status(), 504);
+        assert_eq!(response.expect("the gateway responds").status(), 504);
         assert!(began.elapsed() < Duration::from_secs(2));
     });
 }
--- a/tests/testsuite/gateway/connection_pool.rs
+++ b/tests/testsuite/gateway/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to servers.
+//! The pool of connections to backend servers.
 
 use std::time::{Duration, Instant};
 
@@ -9,8 +9,8 @@
 
 use crate::block_on;
 
-/// Requests that must not run twice take only connections used a moment ago, so each burst makes new
-/// ones and leaves them idle. A server resets what is over its bound, and might reset one in use.
+/// Failure: requests that must not be executed twice only reuse recently used connections, so each burst
+/// opens new ones. A server resets connections above its limit, and could reset one in use.
 #[test]
 fn idle_limit_keeps_newest_connections() {
     block_on(async {
@@ -24,7 +24,7 @@
         for _ in 0..5 {
             let stream = TcpStream::connect(address)
                 .await
-                .expect("the listener listens");
+                .expect("the listener accepts connections");
             kept.push(stream.local_addr().expect("the connection has an address"));
             let (buffer, reused) = (BytesMut::new(), false);
             pool.give(
@@ -44,7 +44,7 @@
         let taken = pool
             .take(server, address, true, later)
             .await
-            .expect("one is idle");
+            .expect("a connection is idle");
 
         assert_eq!(idle, 2);
         assert!(taken.reused);
@@ -63,18 +63,20 @@
         let link = || async {
             let stream = TcpStream::connect(address)
                 .await
-                .expect("the listener listens");
+                .expect("the listener accepts connections");
             Upstream {
                 stream,
                 buffer: BytesMut::new(),
                 reused: false,
             }
         };
-        let mut more = link().await;
-        more.buffer.extend_from_slice(b"HTTP/1.1 200 OK\r\n");
+        let mut with_extra_bytes = link().await;
+        with_extra_bytes
+            .buffer
+            .extend_from_slice(b"HTTP/1.1 200 OK\r\n");
 
         pool.give(server, link().await, None, 0, now);
-        pool.give(server, more, None, 2, now);
+        pool.give(server, with_extra_bytes, None, 2, now);
 
         assert_eq!(pool.idle_count(server), 0);
     });
--- a/tests/testsuite/gateway/event_streams.rs
+++ b/tests/testsuite/gateway/event_streams.rs
@@ -1,16 +1,16 @@
-//! Streams: event by event, resumed where that is allowed, never ended falsely.
+//! Event streams: resumed only where allowed, and never ended as if complete.
 
 use super::fleet::{Answer, Fleet, call, request};
 use super::scripted_server::Behavior;
 use crate::block_on;
 
 async fn stream(fleet: &Fleet, path: &str, id: &str) -> Answer {
-    let answer = call(
+    let response = call(
         fleet.gateways[0].front(),
         request("POST", path, id, "").as_bytes(),
     )
     .await;
-    answer.expect("there is an answer")
+    response.expect("the gateway responds")
 }
 
 fn events(first: u64, last: u64) -> String {
@@ -24,15 +24,15 @@
         let fleet = Fleet::start(1, 1).await;
         fleet.servers[0].script(&[Behavior::Stream(12)]);
 
-        let answer = stream(&fleet, "/whole/", "a").await;
+        let response = stream(&fleet, "/whole/", "a").await;
 
-        assert!(answer.whole);
-        assert_eq!(answer.text(), events(1, 12));
+        assert!(response.whole);
+        assert_eq!(response.text(), events(1, 12));
     });
 }
 
-/// A server breaks off in the middle of the sixth event. Another one goes on behind the fifth, and
-/// the caller sees one stream without a gap, a repetition or half an event.
+/// Failure: a server fails in the middle of the sixth event, and the resumed stream has a gap, a repeated
+/// event or half an event.
 #[test]
 fn resumable_stream_continues_at_another_server() {
     block_on(async {
@@ -41,15 +41,15 @@
             .servers
             .iter()
             .for_each(|s| s.script(&[Behavior::BrokenStream(5), Behavior::Stream(9)]));
-        // The first server of the two breaks off; the second one's script must begin with a stream.
-        let answer = loop {
-            let answer = stream(&fleet, "/stream/", "a").await;
-            if answer.whole {
-                break answer;
+        // Both scripts begin with a broken stream, so an attempt may fail on both servers.
+        let response = loop {
+            let response = stream(&fleet, "/stream/", "a").await;
+            if response.whole {
+                break response;
             }
         };
 
-        assert!(answer.text() == events(1, 9) || answer.text() == events(1, 5) + &events(6, 9));
+        assert!(response.text() == events(1, 9) || response.text() == events(1, 5) + &events(6, 9));
         let resumed = fleet
             .servers
             .iter()
@@ -72,10 +72,10 @@
             .iter()
             .for_each(|s| s.script(&[Behavior::BrokenStream(5)]));
 
-        let answer = stream(&fleet, "/whole/", "a").await;
+        let response = stream(&fleet, "/whole/", "a").await;
 
-        assert!(!answer.whole, "half a stream passes for a whole one");
-        assert_eq!(answer.text(), events(1, 5));
+        assert!(!response.whole, "a truncated stream looks complete");
+        assert_eq!(response.text(), events(1, 5));
         assert_eq!(fleet.runs(), 1);
     });
 }
--- a/tests/testsuite/gateway/http_parsing.rs
+++ b/tests/testsuite/gateway/http_parsing.rs
@@ -1,4 +1,4 @@
-//! Heads, bodies and events, byte by byte.
+//! Parsing of heads, bodies and stream events.
 
 use bytes::BytesMut;
 use hawthornmill_gateway::http::body::{BodyDecoder, Decoded};
@@ -9,11 +9,11 @@
 
 fn framing(fields: &str) -> Result<Framing, Malformed> {
     let text = format!("POST /a HTTP/1.1\r\nHost: h\r\n{fields}\r\n");
-    let (head, _) = head::parse_request(text.as_bytes())?.expect("the head is whole");
+    let (head, _) = head::parse_request(text.as_bytes())?.expect("the head is complete");
     head.framing()
 }
 
-/// A body whose end two readers find in two places hides a second request in it.
+/// Failure: gateway and server disagree on where a body ends, so that it can hide a second request.
 #[test]
 fn ambiguous_body_length_is_rejected() {
     let refused = [
@@ -59,7 +59,7 @@
     }
 }
 
-/// All pieces of a body; none when it is malformed or incomplete.
+/// Decodes a body and returns it with the bytes after it, or `None` if it is malformed or incomplete.
 fn decode(framing: Framing, parts: &[&[u8]]) -> Option<(Vec<u8>, Vec<u8>)> {
     let mut decoder = BodyDecoder::new(framing);
     let mut buffer = BytesMut::new();
@@ -134,9 +134,9 @@
         let (mut splitter, mut out, mut from, mut last) = (EventSplitter::default(), Vec::new(), 0, None);
 
         for cut in cuts {
-            if let Some(whole) = splitter.push(&text[from..cut], event_id, last) {
-                out.extend_from_slice(&whole.bytes);
-                last = whole.last_id.or(last);
+            if let Some(events) = splitter.push(&text[from..cut], event_id, last) {
+                out.extend_from_slice(&events.bytes);
+                last = events.last_id.or(last);
             }
             from = cut;
         }
@@ -146,19 +146,19 @@
     }
 }
 
-/// A server goes on for another one and begins with the event that the caller has already.
+/// Failure: a server that resumes a stream repeats an event that the client has already received.
 #[test]
 fn repeated_events_are_dropped() {
     let mut splitter = EventSplitter::default();
 
-    let whole = splitter.push(
+    let events = splitter.push(
         b"id: 4\ndata: x\n\nid: 5\ndata: y\n\nid: 6",
         event_id,
         Some(4),
     );
 
-    let whole = whole.expect("there is a whole event");
-    assert_eq!(&*whole.bytes, b"id: 5\ndata: y\n\n");
-    assert_eq!(whole.last_id, Some(5));
+    let events = events.expect("there is a complete event");
+    assert_eq!(&*events.bytes, b"id: 5\ndata: y\n\n");
+    assert_eq!(events.last_id, Some(5));
     assert_eq!(&*splitter.take_rest(), b"id: 6");
 }
--- a/tests/testsuite/gateway/platform_adapter.rs
+++ b/tests/testsuite/gateway/platform_adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter: names and encodings in both directions.
+//! Parsing and encoding in the platform's adapter.
 
 use std::time::Duration;
 
@@ -20,10 +20,10 @@
 
 #[test]
 fn configuration_parses_to_catalog() {
-    let catalog = catalog::parse(CONFIG.as_bytes()).expect("the configuration can be read");
+    let catalog = catalog::parse(CONFIG.as_bytes()).expect("the configuration is valid");
 
     let [first, second] = &*catalog.routes else {
-        panic!("two routes")
+        panic!("expected two routes")
     };
     assert_eq!(
         (catalog.version, &*first.host, first.repeat, first.streams),
@@ -50,16 +50,16 @@
 fn non_resumable_stream_is_not_repeated() {
     let text = CONFIG.replace("\"resumable\":true", "\"resumable\":false");
 
-    let catalog = catalog::parse(text.as_bytes()).expect("the configuration can be read");
+    let catalog = catalog::parse(text.as_bytes()).expect("the configuration is valid");
 
     assert_eq!(catalog.routes[0].repeat, Repeat::Never);
 }
 
-/// Entries of another writer: each names no server and says why; none of them ends the reading.
+/// Failure: an invalid entry in the store is taken for a server, or makes the adapter panic.
 #[test]
 fn invalid_registration_is_rejected() {
-    let sound = r#"{"service":"s","address":"10.0.0.1:80","zone":"z","slots":6,"state":"ready","born":5,"new":[]}"#;
-    let faulty = [
+    let valid = r#"{"service":"s","address":"10.0.0.1:80","zone":"z","slots":6,"state":"ready","born":5,"new":[]}"#;
+    let invalid = [
         "",
         "null",
         "[]",
@@ -73,13 +73,13 @@
         r#"{"service":"s","address":"10.0.0.1:80","zone":"z","slots":6,"state":"ready","born":"x"}"#,
     ];
 
-    let entry = registration::parse("i-1", sound.as_bytes()).expect("the entry can be read");
+    let entry = registration::parse("i-1", valid.as_bytes()).expect("the entry is valid");
 
     assert_eq!(
         (&*entry.name, entry.slots, entry.draining, entry.born),
         ("i-1", 6, false, 5)
     );
-    for text in faulty {
+    for text in invalid {
         assert!(
             registration::parse("i-1", text.as_bytes()).is_err(),
             "{text}"
@@ -90,17 +90,17 @@
 #[test]
 fn store_response_parses_to_page() {
     let list = br#"{"entries":[{"key":"servers/a","value":"e30=","revision":4,"created":2,"lease":0}],"hasMore":true,"asOf":9}"#;
-    let wait = br#"{"events":[{"key":"servers/a","revision":5,"deleted":true}],"asOf":5}"#;
+    let watch = br#"{"events":[{"key":"servers/a","revision":5,"deleted":true}],"asOf":5}"#;
 
-    let list = store::parse_page(list).expect("the list can be read");
-    let wait = store::parse_page(wait).expect("the answer can be read");
+    let list = store::parse_page(list).expect("the list is valid");
+    let watch = store::parse_page(watch).expect("the response is valid");
 
     assert!(list.more);
     assert_eq!(
         (list.revision, list.items[0].value.as_deref()),
         (9, Some(&b"{}"[..]))
     );
-    assert_eq!(wait.items[0].value, None);
+    assert_eq!(watch.items[0].value, None);
     assert_eq!(
         store::parse_page(br#"{"entries":[{"key":"a","rev"#).ok(),
         None
@@ -119,20 +119,23 @@
     let shape = shape_of(
         "Model: m\r\nToken-Usage: 1460,80\r\nPrompt-Prefix: 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\nLength-Hint: 33\r\n",
     );
-    let other = shape_of(
+    let other_model = shape_of(
         "Model: n\r\nToken-Usage: 1460,80\r\nPrompt-Prefix: 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\n",
     );
 
-    let (shape, other) = (shape.expect("a size"), other.expect("a size"));
+    let (shape, other_model) = (
+        shape.expect("the size is valid"),
+        other_model.expect("the size is valid"),
+    );
     assert_eq!(
         (shape.prompt, shape.shared(), shape.expected()),
         (1_460, 1_210, 33)
     );
-    assert_eq!(other.expected(), 80);
+    assert_eq!(other_model.expected(), 80);
     assert_ne!(
         shape.family(),
-        other.family(),
-        "prompts of two models share nothing"
+        other_model.family(),
+        "prompts of different models share no prefix"
     );
     assert!(shape_of("Token-Usage: x\r\n").is_none());
     assert!(shape_of("Token-Usage: 1,2\r\nPrompt-Prefix: zz\r\n").is_none());
@@ -141,13 +144,16 @@
 
 #[test]
 fn directory_query_parses_and_addresses_encode() {
-    let question =
-        directory::parse_query("/v1/resolve?name=h&region=r&zone=z%2D1").expect("it is this call");
-    let answer = directory::encode_addresses(&["10.1.0.33:8783".parse().expect("an address")], 1.5);
+    let question = directory::parse_query("/v1/resolve?name=h&region=r&zone=z%2D1")
+        .expect("it is a directory request");
+    let response = directory::encode_addresses(
+        &["10.1.0.33:8783".parse().expect("the address is valid")],
+        1.5,
+    );
 
     assert_eq!((&*question.domain, &*question.region), ("z-1", "r"));
     assert!(directory::parse_query("/v1/other").is_none());
-    assert_eq!(answer, br#"{"addresses":["10.1.0.33:8783"],"ttlS":1.5}"#);
+    assert_eq!(response, br#"{"addresses":["10.1.0.33:8783"],"ttlS":1.5}"#);
 }
 
 proptest! {
--- a/tests/testsuite/gateway/platform_names.rs
+++ b/tests/testsuite/gateway/platform_names.rs
@@ -1,9 +1,9 @@
-//! The platform's names stay in its adapter.
+//! Names of the platform are used only in its adapter.
 
 use std::path::{Path, PathBuf};
 
-/// Names of the wire that mean nothing elsewhere in the project.
-const NAMES: &[&str] = &[
+/// Names of the platform's wire format that no other crate may use.
+const PLATFORM_NAMES: &[&str] = &[
     "HAWTHORNMILL_CONFIG",
     "Attempt-Id",
     "Deadline-Ms",
@@ -41,12 +41,13 @@
     "enant",
 ];
 
-fn sources(dir: &Path, found: &mut Vec<PathBuf>) {
+/// Collects all Rust files under `dir`.
+fn collect_sources(dir: &Path, found: &mut Vec<PathBuf>) {
     let entries = std::fs::read_dir(dir).expect("the directory can be read");
     for entry in entries.flatten() {
         let path = entry.path();
         if path.is_dir() {
-            sources(&path, found);
+            collect_sources(&path, found);
         } else if path.extension().is_some_and(|e| e == "rs") {
             found.push(path);
         }
@@ -58,24 +59,24 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
     for dir in ["crates", "src"] {
-        sources(&root.join(dir), &mut files);
+        collect_sources(&root.join(dir), &mut files);
     }
 
-    let mut strays = Vec::new();
+    let mut violations = Vec::new();
     for file in &files {
         let text = std::fs::read_to_string(file).expect("the source can be read");
-        let named = NAMES.iter().filter(|n| text.contains(**n));
-        strays.extend(named.map(|n| format!("{}: {n}", file.display())));
+        let named = PLATFORM_NAMES.iter().filter(|n| text.contains(**n));
+        violations.extend(named.map(|n| format!("{}: {n}", file.display())));
     }
 
     assert!(files.len() > 100, "the sources were not found");
-    assert!(strays.is_empty(), "{}", strays.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 #[test]
 fn adapter_stays_small() {
     let mut files = Vec::new();
-    sources(
+    collect_sources(
         &Path::new(env!("CARGO_MANIFEST_DIR")).join("platform"),
         &mut files,
     );
--- a/tests/testsuite/gateway/request_handling.rs
+++ b/tests/testsuite/gateway/request_handling.rs
@@ -1,4 +1,4 @@
-//! What callers may send, and what reaches the server of it.
+//! Which requests are accepted, and what of them reaches the server.
 
 use std::time::Duration;
 
@@ -17,19 +17,19 @@
             "X-Own: As Is\r\nTenant: thief\r\nConnection: X-Hop\r\nX-Hop: 1\r\nPin-Ms: 9\r\nTransfer-Encoding: chunked\r\n",
         );
 
-        let answer = call(
+        let response = call(
             fleet.gateways[0].front(),
             format!("{head}3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n").as_bytes(),
         )
         .await;
 
-        let answer = answer.expect("there is an answer");
+        let response = response.expect("the gateway responds");
         assert_eq!(
-            (answer.status(), answer.text().as_str()),
+            (response.status(), response.text().as_str()),
             (200, "answer to id-1 by i-0")
         );
         assert_eq!(
-            (answer.field("x-own"), answer.field("server-stamp")),
+            (response.field("x-own"), response.field("server-stamp")),
             (Some("kept"), Some("i-0.1"))
         );
         let arrival = &fleet.servers[0].received()[0];
@@ -49,7 +49,7 @@
         );
         let left: u64 = field("deadline-ms")
             .and_then(|t| t.parse().ok())
-            .expect("a time left");
+            .expect("the deadline is a number");
         assert!(left <= 3_000 && left > 1_000, "{left}");
     });
 }
@@ -99,37 +99,43 @@
         ];
 
         for (text, status) in cases {
-            let answer = call(front, text.as_bytes())
+            let response = call(front, text.as_bytes())
                 .await
-                .expect("there is an answer");
-            assert_eq!(answer.status(), status, "{text}");
-            assert_eq!(answer.field("server-stamp"), None);
+                .expect("the gateway responds");
+            assert_eq!(response.status(), status, "{text}");
+            assert_eq!(response.field("server-stamp"), None);
         }
         let open = request("GET", "/open/", "m", "").replace("Authorization: Token key-1\r\n", "");
         let open = call(front, open.as_bytes())
             .await
-            .expect("there is an answer");
+            .expect("the gateway responds");
 
         assert_eq!(open.status(), 200);
         assert_eq!(fleet.runs(), 1);
     });
 }
 
-/// A caller hides a second request in the body of the first. If the gateway and the server saw the
-/// body's end in two places, the server would run a request that nobody sent.
+/// Failure: a client hides a second request in a body, and the server executes it because it finds the
+/// end of the body in another place than the gateway.
 #[test]
 fn bytes_after_body_are_next_request_of_same_client() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
-        let mut caller = Caller::connect(fleet.gateways[0].front()).await;
+        let mut client = Caller::connect(fleet.gateways[0].front()).await;
         let hidden = request("GET", "/get/hidden", "id-2", "").replace("key-1", "stolen");
         let first = request("POST", "/get/a", "id-1", "Content-Length: 2\r\n");
 
-        caller.send(format!("{first}ok{hidden}").as_bytes()).await;
-        let one = caller.read().await.expect("the first answer");
-        let two = caller.read().await.expect("the second answer");
+        client.send(format!("{first}ok{hidden}").as_bytes()).await;
+        let first_response = client
+            .read()
+            .await
+            .expect("the gateway responds to the first request");
+        let second = client
+            .read()
+            .await
+            .expect("the gateway responds to the second request");
 
-        assert_eq!((one.status(), two.status()), (200, 401));
+        assert_eq!((first_response.status(), second.status()), (200, 401));
         assert_eq!(fleet.runs(), 1);
     });
 }
@@ -142,16 +148,16 @@
         let mut idle = Caller::connect(fleet.gateways[0].front()).await;
 
         slow.send(b"GET /get/ HTTP/1.1\r\nHost:").await;
-        let answer = slow.read().await.expect("there is an answer");
+        let response = slow.read().await.expect("the gateway responds");
         let closed = idle.read().await;
 
-        assert_eq!(answer.status(), 408);
+        assert_eq!(response.status(), 408);
         assert!(closed.is_none());
     });
 }
 
-/// The process has started and the store is away. It knows no route yet; 404 would say that there
-/// is none, and the caller would give up.
+/// Failure: a process that has not yet read the configuration from the store responds with 404, and the
+/// client does not retry.
 #[test]
 fn missing_configuration_gets_503_and_not_ready() {
     block_on(async {
@@ -163,17 +169,17 @@
         })
         .await;
 
-        let answer = call(front, request("GET", "/get/", "a", "").as_bytes())
+        let response = call(front, request("GET", "/get/", "a", "").as_bytes())
             .await
-            .expect("an answer");
+            .expect("the gateway responds");
         let ready = fleet.gateways[0].is_ready().await;
         fleet
             .store
             .put("op/config", config(1).to_string().as_bytes());
         until("the gateway is ready", || fleet.gateways[0].is_ready()).await;
 
-        assert_eq!(answer.status(), 503);
-        assert!(answer.field("retry-after").is_some());
+        assert_eq!(response.status(), 503);
+        assert!(response.field("retry-after").is_some());
         assert!(!ready);
     });
 }
--- a/tests/testsuite/gateway/responses.rs
+++ b/tests/testsuite/gateway/responses.rs
@@ -1,4 +1,4 @@
-//! Answers that come twice, late, early, or without a length.
+//! Responses that are duplicate, late, early or without a length, and client connections.
 
 use std::time::Duration;
 
@@ -6,8 +6,7 @@
 use super::scripted_server::Behavior;
 use crate::block_on;
 
-/// A server answers one request twice. The second answer arrives where the next one is due, and
-/// would be passed to another caller.
+/// Failure: a server responds twice to one request, and the second response is forwarded to another client.
 #[test]
 fn duplicate_response_is_not_forwarded() {
     block_on(async {
@@ -17,10 +16,10 @@
             fleet.servers[0].script(&[Behavior::DuplicateResponse]);
             for number in 0..3 {
                 let id = format!("id-{pause}-{number}");
-                let answer = call(front, request("GET", "/get/", &id, "").as_bytes())
+                let response = call(front, request("GET", "/get/", &id, "").as_bytes())
                     .await
-                    .expect("an answer");
-                assert_eq!(answer.text(), format!("answer to {id} by i-0"));
+                    .expect("the gateway responds");
+                assert_eq!(response.text(), format!("answer to {id} by i-0"));
                 tokio::time::sleep(Duration::from_millis(pause)).await;
             }
         }
@@ -33,20 +32,20 @@
         let fleet = Fleet::start(1, 1).await;
         fleet.servers[0].script(&[Behavior::NoLength]);
 
-        let answer = call(
+        let response = call(
             fleet.gateways[0].front(),
             request("GET", "/get/", "a", "").as_bytes(),
         )
         .await;
 
-        let answer = answer.expect("there is an answer");
-        assert!(answer.whole);
-        assert_eq!(answer.text(), "whole without a length");
+        let response = response.expect("the gateway responds");
+        assert!(response.whole);
+        assert_eq!(response.text(), "whole without a length");
     });
 }
 
-/// A server answers while most of the body is still to come, and reads on. If the connection were
-/// used again at once, the next request's bytes would be read as the rest of that body.
+/// Failure: a server responds before it has read the whole body and keeps reading. If its connection is
+/// reused at once, the bytes of the next request are read as the rest of that body.
 #[test]
 fn rest_of_body_after_early_response_is_not_a_request() {
     block_on(async {
@@ -71,9 +70,9 @@
         )
         .await;
 
-        assert_eq!(early.expect("there is an answer").status(), 400);
+        assert_eq!(early.expect("the gateway responds").status(), 400);
         assert_eq!(
-            next.expect("there is an answer").text(),
+            next.expect("the gateway responds").text(),
             "answer to next by i-0"
         );
         let bodies = fleet.servers[0].received();
@@ -86,15 +85,15 @@
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
         fleet.servers[0].script(&[Behavior::Hang]);
-        let mut caller = Caller::connect(fleet.gateways[0].front()).await;
-        caller
+        let mut client = Caller::connect(fleet.gateways[0].front()).await;
+        client
             .send(request("GET", "/get/", "a", "").as_bytes())
             .await;
-        until("the server has it", || async { fleet.runs() == 1 }).await;
+        until("the server has the request", || async { fleet.runs() == 1 }).await;
 
         let left = std::time::Instant::now();
-        drop(caller);
-        until("the server sees the caller leave", || async {
+        drop(client);
+        until("the server sees the client disconnect", || async {
             fleet.servers[0].client_disconnects() == 1
         })
         .await;
@@ -111,15 +110,15 @@
 fn connection_carries_many_requests() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
-        let mut caller = Caller::connect(fleet.gateways[0].front()).await;
+        let mut client = Caller::connect(fleet.gateways[0].front()).await;
 
         for number in 0..20 {
             let id = format!("id-{number}");
-            caller
+            client
                 .send(request("GET", "/get/", &id, "").as_bytes())
                 .await;
-            let answer = caller.read().await.expect("there is an answer");
-            assert_eq!(answer.text(), format!("answer to {id} by i-0"));
+            let response = client.read().await.expect("the gateway responds");
+            assert_eq!(response.text(), format!("answer to {id} by i-0"));
         }
     });
 }
--- a/tests/testsuite/gateway/scripted_server.rs
+++ b/tests/testsuite/gateway/scripted_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a backend server, which does what its script says.
+//! A backend server for tests with scripted behavior.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -11,58 +11,58 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Time after which a server that answered early reads the rest of the request.
+/// Pause after which a server that responded early reads the rest of the request.
 const EARLY_RESPONSE_PAUSE: Duration = Duration::from_millis(200);
 
-/// What the server does with one request.
+/// How the server handles one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Behavior {
-    /// Runs it and answers.
+    /// Executes it and responds.
     Respond,
-    /// Runs it after a pause and answers.
+    /// Executes it and responds after a delay.
     RespondAfterMs(u64),
-    /// Refuses it without running it.
+    /// Rejects it without executing it.
     NotExecuted,
-    /// Says that another server has the address.
+    /// Responds that another server has the address.
     Misdirected,
-    /// Runs it and resets the connection instead of an answer.
+    /// Executes it and resets the connection instead of responding.
     Reset,
-    /// Runs it and answers with 500.
+    /// Executes it and responds with 500.
     ServerError,
-    /// Runs it and answers twice.
+    /// Executes it and responds twice.
     DuplicateResponse,
-    /// Runs it and ends the answer early.
+    /// Executes it and closes the connection in the middle of the body.
     TruncatedBody,
-    /// Runs it and sends bytes that are no answer.
+    /// Executes it and sends bytes that are not HTTP.
     InvalidResponse,
-    /// Runs it and answers without a length, ending with the connection.
+    /// Executes it and responds without a length, so that the connection's end delimits the body.
     NoLength,
-    /// Answers before it has read the body, and keeps the connection.
+    /// Responds before it has read the body, and keeps the connection open.
     EarlyResponse,
-    /// Runs it as a stream of so many events.
+    /// Executes it and responds with a stream of this many events.
     Stream(u64),
-    /// Runs it as a stream that breaks off in the middle of the event after so many.
+    /// Executes it and responds with a stream that is cut off in the event after this many.
     BrokenStream(u64),
-    /// Never answers.
+    /// Executes it and never responds.
     Hang,
 }
 
-/// One request that reached the server.
+/// One request that the server received.
 #[derive(Debug, Clone)]
 pub struct ReceivedRequest {
-    /// Its head.
+    /// Head of the request.
     pub head: RequestHead,
-    /// Its body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// The server ran it.
+    /// Whether the server executed it.
     pub executed: bool,
-    /// What the server did with it.
+    /// How the server handled it.
     pub behavior: Behavior,
-    /// When it was read.
+    /// When the server had read it.
     pub received_at: Instant,
 }
 
-/// What a server does with a request for which its script says nothing.
+/// Behavior for requests after the end of the script.
 pub type DefaultBehavior = fn(&RequestHead) -> Behavior;
 
 #[derive(Debug, Default)]
@@ -73,18 +73,18 @@
     client_disconnects: usize,
 }
 
-/// The server, listening until its process ends.
+/// The server, which listens until its process ends.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// Name of its run.
+    /// Name under which it registers.
     pub name: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl Server {
-    /// Starts a server called `name` at `address`, which serves everything until it gets a script.
+    /// Starts a server called `name` at `address` that responds to every request until it has a script.
     pub async fn start(name: &str, address: SocketAddr) -> Self {
         let listener = TcpListener::bind(address)
             .await
@@ -94,10 +94,10 @@
             address,
             state: Arc::default(),
         };
-        let serving = server.clone();
+        let handle = server.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(serving.clone().serve(stream));
+                tokio::spawn(handle.clone().serve(stream));
             }
         });
         server
@@ -107,33 +107,33 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// What it does with the next requests; it serves those after them.
+    /// Appends to the script, which gives the behavior for the next requests.
     pub fn script(&self, behaviors: &[Behavior]) {
         self.lock().script.extend(behaviors.iter().cloned());
     }
 
-    /// What it does with requests beyond its script.
+    /// Sets the behavior for requests after the end of the script.
     pub fn set_default(&self, default: DefaultBehavior) {
         self.lock().default = Some(default);
     }
 
-    /// Requests that reached it.
+    /// Returns the requests received so far.
     pub fn received(&self) -> Vec<ReceivedRequest> {
         self.lock().received.clone()
     }
 
-    /// Requests that it ran.
+    /// Returns the number of requests executed so far.
     pub fn executed_count(&self) -> usize {
         self.lock().received.iter().filter(|a| a.executed).count()
     }
 
-    /// Callers that left while it was at work.
+    /// Returns the number of clients that disconnected during a request.
     pub fn client_disconnects(&self) -> usize {
         self.lock().client_disconnects
     }
 
     async fn serve(self, mut stream: TcpStream) {
-        let mut sent = 0;
+        let mut request_count = 0;
         let mut buffer = BytesMut::new();
         loop {
             let behavior = self.lock().script.front().cloned();
@@ -154,8 +154,11 @@
                 behavior: behavior.clone(),
                 received_at: Instant::now(),
             });
-            sent += 1;
-            if !self.perform(&mut stream, &head, behavior, sent).await {
+            request_count += 1;
+            if !self
+                .perform(&mut stream, &head, behavior, request_count)
+                .await
+            {
                 return;
             }
         }
@@ -171,9 +174,9 @@
         })
     }
 
-    /// Answers once the head of a request is here, and reads its body a while later.
+    /// Responds after the head of a request, and reads its body later.
     ///
-    /// By then the next request may stand behind the body; it stays in `buffer`.
+    /// The next request may follow the body by then; it stays in `buffer`.
     async fn respond_early(&self, stream: &mut TcpStream, buffer: &mut BytesMut) -> bool {
         let Some(head) = read_head(stream, buffer).await else {
             return false;
@@ -184,8 +187,8 @@
             .get_str("attempt-id")
             .unwrap_or_default()
             .to_owned();
-        let fields = [("Attempt-Id", id.as_str()), ("Server-Stamp", "early")];
-        let written = write_response(stream, 400, &fields, b"too long").await;
+        let headers = [("Attempt-Id", id.as_str()), ("Server-Stamp", "early")];
+        let written = write_response(stream, 400, &headers, b"too long").await;
         tokio::time::sleep(EARLY_RESPONSE_PAUSE).await;
         let body = read_body(stream, buffer, &head).await.unwrap_or_default();
         self.lock().received.push(ReceivedRequest {
@@ -198,48 +201,48 @@
         written.is_ok()
     }
 
-    /// Does one act; false when the connection is over.
+    /// Performs one behavior; returns false if the connection has ended.
     async fn perform(
         &self,
         stream: &mut TcpStream,
         head: &RequestHead,
         behavior: Behavior,
-        sent: usize,
+        request_count: usize,
     ) -> bool {
         let id = head
             .headers
             .get_str("attempt-id")
             .unwrap_or_default()
             .to_owned();
-        let stamp = format!("{}.{sent}", self.name);
-        let fields = [
+        let stamp = format!("{}.{request_count}", self.name);
+        let headers = [
             ("Attempt-Id", id.as_str()),
             ("Server-Stamp", stamp.as_str()),
             ("X-Own", "kept"),
         ];
         let body = format!("answer to {id} by {}", self.name);
         let written = match behavior {
-            Behavior::Respond => write_response(stream, 200, &fields, body.as_bytes()).await,
-            Behavior::RespondAfterMs(millis) => {
-                if !self.work(stream, Duration::from_millis(millis)).await {
+            Behavior::Respond => write_response(stream, 200, &headers, body.as_bytes()).await,
+            Behavior::RespondAfterMs(delay_ms) => {
+                if !self.work(stream, Duration::from_millis(delay_ms)).await {
                     return false;
                 }
-                write_response(stream, 200, &fields, body.as_bytes()).await
+                write_response(stream, 200, &headers, body.as_bytes()).await
             }
             Behavior::NotExecuted => {
-                write_response(stream, 503, &[("Not-Executed", "1"), fields[0]], b"").await
+                write_response(stream, 503, &[("Not-Executed", "1"), headers[0]], b"").await
             }
             Behavior::Misdirected => {
                 write_response(stream, 421, &[("Instance-Id", "other")], b"").await
             }
-            Behavior::ServerError => write_response(stream, 500, &fields, b"failed").await,
+            Behavior::ServerError => write_response(stream, 500, &headers, b"failed").await,
             Behavior::DuplicateResponse => {
-                let first = write_response(stream, 200, &fields, body.as_bytes()).await;
-                let again = async {
+                let first = write_response(stream, 200, &headers, body.as_bytes()).await;
+                let second = async {
                     tokio::time::sleep(Duration::from_millis(30)).await;
-                    write_response(stream, 200, &fields, b"a second answer").await
+                    write_response(stream, 200, &headers, b"a second answer").await
                 };
-                first.and(again.await)
+                first.and(second.await)
             }
             Behavior::Reset => {
                 let _set = stream.set_zero_linger();
@@ -270,7 +273,7 @@
         written.is_ok()
     }
 
-    /// Works for `time`; false when the caller left meanwhile.
+    /// Waits for `time`; returns false if the client disconnects meanwhile.
     async fn work(&self, stream: &mut TcpStream, time: Duration) -> bool {
         let mut byte = [0; 1];
         tokio::select! {
@@ -282,13 +285,13 @@
         }
     }
 
-    /// Sends the events after the one that the caller has, ten milliseconds apart.
+    /// Sends the events after `Last-Event-Id`, ten milliseconds apart.
     async fn stream(
         &self,
         stream: &mut TcpStream,
         head: &RequestHead,
         count: u64,
-        cut: bool,
+        truncated: bool,
     ) -> bool {
         let id = head.headers.get_str("attempt-id").unwrap_or_default();
         let after: u64 = head
@@ -313,12 +316,12 @@
                 return false;
             }
         }
-        let end: &[u8] = if cut {
+        let end: &[u8] = if truncated {
             b"8\r\nid: 9999\r\n"
         } else {
             b"0\r\n\r\n"
         };
-        stream.write_all(end).await.is_ok() && !cut
+        stream.write_all(end).await.is_ok() && !truncated
     }
 }
 
@@ -354,7 +357,7 @@
     }
 }
 
-/// Reads one request, and leaves in `buffer` what follows it; none when the connection ends first.
+/// Reads one request and leaves the bytes after it in `buffer`; `None` if the connection ends first.
 pub async fn read_request(
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
@@ -364,19 +367,19 @@
     Some((head, body))
 }
 
-/// Writes one answer with a length.
+/// Writes one response with a length.
 ///
 /// # Errors
-/// When the connection broke.
+/// Fails if the connection broke.
 pub async fn write_response(
     stream: &mut TcpStream,
     status: u16,
-    fields: &[(&str, &str)],
+    headers: &[(&str, &str)],
     body: &[u8],
 ) -> std::io::Result<()> {
     let mut text =
         format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n", body.len()).into_bytes();
-    for (name, value) in fields {
+    for (name, value) in headers {
         text.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
     }
     text.extend_from_slice(b"\r\n");
