--- a/crates/hawthornmill-gateway/src/proxy/admission.rs
+++ b/crates/hawthornmill-gateway/src/proxy/admission.rs
@@ -13,9 +13,9 @@
 use crate::gateway::{Gateway, Phase};
 
 /// Retry delay sent while the process lacks the newest catalog; the store and peers answer in milliseconds.
-const CATALOG_RETRY: Duration = Duration::from_millis(300);
+const CATALOG_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Retry delay sent while the process shuts down; the client reconnects to another address.
-const SHUTDOWN_RETRY: Duration = Duration::from_millis(10);
+const SHUTDOWN_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// A request that passed admission, with the terms of its route.
 #[derive(Debug)]
@@ -46,19 +46,19 @@
     if gateway.phase() == Phase::Closed {
         return Err(ErrorResponse::with_retry_after(
             Code::NotReady,
-            SHUTDOWN_RETRY,
+            SHUTDOWN_RETRY_DELAY,
         ));
     }
     let Some(table) = gateway.table() else {
         return Err(ErrorResponse::with_retry_after(
             Code::NotReady,
-            CATALOG_RETRY,
+            CATALOG_RETRY_DELAY,
         ));
     };
     if !gateway.listed.get() || gateway.is_outdated() {
         return Err(ErrorResponse::with_retry_after(
             Code::NotReady,
-            CATALOG_RETRY,
+            CATALOG_RETRY_DELAY,
         ));
     }
     let headers = &request.head.headers;
@@ -78,11 +78,11 @@
     let caller = table
         .caller(route, token)
         .ok_or_else(|| not_in_catalog(gateway, Code::BadToken))?;
-    let left = parse_deadline(headers.get(names.deadline))?;
+    let remaining = parse_deadline(headers.get(names.deadline))?;
     let shape =
-        (gateway.dialect.shape)(headers).map_err(|_why| ErrorResponse::new(Code::BadHeader))?;
+        (gateway.dialect.shape)(headers).map_err(|_invalid| ErrorResponse::new(Code::BadHeader))?;
     let service = split(route, rand::random());
-    let known = table.service(service);
+    let known_service = table.service(service);
     let account = match caller {
         Caller::Known(account) => Some(account),
         Caller::Anyone => None,
@@ -90,12 +90,12 @@
     let pending = Request {
         account: account.map(|a| a.id),
         service,
-        engine: known.and_then(|s| s.engine),
+        engine: known_service.and_then(|s| s.engine),
         shape,
         priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
         objective: route.objective,
         came: request.received,
-        ends: request.received + left.map_or(route.timeout, |l| l.min(route.timeout)),
+        ends: request.received + remaining.map_or(route.timeout, |l| l.min(route.timeout)),
         tried: SmallVec::new(),
     };
     Ok(Admitted {
@@ -106,7 +106,7 @@
         account_name: account.map(|a| a.name.clone()),
         strip_token: table.has_accounts(),
         route_name: route.name.clone(),
-        service_name: known.map_or_else(|| "unknown".into(), |s| s.name.clone()),
+        service_name: known_service.map_or_else(|| "unknown".into(), |s| s.name.clone()),
     })
 }
 
@@ -115,16 +115,16 @@
 /// The rejection is temporary while a newer catalog exists, since that one may contain it.
 fn not_in_catalog(gateway: &Gateway, code: Code) -> ErrorResponse {
     if gateway.lag.borrow().is_some() {
-        ErrorResponse::with_retry_after(Code::NotReady, CATALOG_RETRY)
+        ErrorResponse::with_retry_after(Code::NotReady, CATALOG_RETRY_DELAY)
     } else {
         ErrorResponse::new(code)
     }
 }
 
 fn parse_token<'a>(value: &'a [u8], scheme: &str) -> Option<&'a [u8]> {
-    let (word, rest) = value.split_at_checked(scheme.len())?;
+    let (prefix, rest) = value.split_at_checked(scheme.len())?;
     let token = rest.trim_ascii();
-    (word.eq_ignore_ascii_case(scheme.as_bytes()) && rest.starts_with(b" ") && !token.is_empty())
+    (prefix.eq_ignore_ascii_case(scheme.as_bytes()) && rest.starts_with(b" ") && !token.is_empty())
         .then_some(token)
 }
 
@@ -133,9 +133,9 @@
         return Ok(None);
     };
     let text = std::str::from_utf8(value).map_err(|_bytes| ErrorResponse::new(Code::BadHeader))?;
-    let millis: u64 = text
+    let milliseconds: u64 = text
         .trim()
         .parse()
         .map_err(|_number| ErrorResponse::new(Code::BadHeader))?;
-    Ok(Some(Duration::from_millis(millis)))
+    Ok(Some(Duration::from_millis(milliseconds)))
 }
--- a/crates/hawthornmill-gateway/src/proxy/events.rs
+++ b/crates/hawthornmill-gateway/src/proxy/events.rs
@@ -37,7 +37,7 @@
         self.buffer.extend_from_slice(data);
         let mut out = BytesMut::new();
         let mut last_id = None;
-        let mut any = false;
+        let mut has_events = false;
         while let Some(end) = end_of_event(&self.buffer) {
             let event = self.buffer.split_to(end);
             let id = event_id(&event);
@@ -47,10 +47,10 @@
                 continue;
             }
             last_id = id.or(last_id);
-            any = true;
+            has_events = true;
             out.extend_from_slice(&event);
         }
-        any.then(|| CompleteEvents {
+        has_events.then(|| CompleteEvents {
             bytes: out.freeze(),
             last_id,
         })
@@ -69,16 +69,16 @@
 
 /// Returns the length of the first event, including the empty line that ends it.
 fn end_of_event(bytes: &[u8]) -> Option<usize> {
-    let mut line = 0;
-    for (at, byte) in bytes.iter().enumerate() {
+    let mut line_start = 0;
+    for (index, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
             continue;
         }
-        let text = &bytes[line..at];
+        let text = &bytes[line_start..index];
         if text.is_empty() || text == b"\r" {
-            return Some(at + 1);
+            return Some(index + 1);
         }
-        line = at + 1;
+        line_start = index + 1;
     }
     None
 }
--- a/crates/hawthornmill-gateway/src/proxy/forward.rs
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -68,12 +68,15 @@
     if progress.response_started() && response.head.status != 200 {
         return ForwardOutcome::Truncated;
     }
-    let kind = response
+    let content_type = response
         .head
         .headers
         .get_str("content-type")
         .unwrap_or_default();
-    if admitted.streaming && response.head.status == 200 && kind.starts_with("text/event-stream") {
+    if admitted.streaming
+        && response.head.status == 200
+        && content_type.starts_with("text/event-stream")
+    {
         return forward_stream(context, progress, response, slot, out).await;
     }
     forward_buffered(context, progress, response, slot, out).await
@@ -114,7 +117,7 @@
     mut on_data: impl FnMut(),
 ) -> Buffered {
     let mut body = response.body.take().unwrap_or_default();
-    let read = loop {
+    let outcome = loop {
         match next_part(response, decoder).await {
             BodyPart::Data(data) => body.extend_from_slice(&data),
             BodyPart::Truncated => break Buffered::Truncated,
@@ -126,7 +129,7 @@
         }
     };
     response.body = Some(body);
-    read
+    outcome
 }
 
 async fn forward_buffered(
@@ -144,9 +147,9 @@
     }
     slot.record_first_token();
     record_server_verdict(context.gateway, &response);
-    let end = write_buffered(context, progress, &response, out).await;
+    let outcome = write_buffered(context, progress, &response, out).await;
     response.recycle_connection(context.gateway);
-    match end {
+    match outcome {
         RequestOutcome::Complete => ForwardOutcome::Complete,
         RequestOutcome::Truncated | RequestOutcome::ClientClosed => ForwardOutcome::ClientClosed,
     }
@@ -177,8 +180,8 @@
     response: &ServerResponse,
     out: &mut OwnedWriteHalf,
 ) -> RequestOutcome {
-    let none = BytesMut::new();
-    let body = response.body.as_ref().unwrap_or(&none);
+    let empty = BytesMut::new();
+    let body = response.body.as_ref().unwrap_or(&empty);
     let framing = match response.framing {
         Framing::Empty => Framing::Empty,
         _ => Framing::Length(body.len() as u64),
--- a/crates/hawthornmill-gateway/src/proxy/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -82,10 +82,10 @@
         Err(response) => return send_error(context, progress, &response, out).await,
     };
     progress.record_admitted(context.request, &admitted);
-    let ends = tokio::time::Instant::from_std(admitted.request.ends);
-    let try_servers = try_servers(context, &admitted, progress, out);
-    if let Ok(end) = tokio::time::timeout_at(ends, try_servers).await {
-        return end;
+    let deadline = tokio::time::Instant::from_std(admitted.request.ends);
+    let attempts = try_servers(context, &admitted, progress, out);
+    if let Ok(outcome) = tokio::time::timeout_at(deadline, attempts).await {
+        return outcome;
     }
     if progress.response_started() {
         progress.set_code(Code::DeadlineWhileRunning);
@@ -113,13 +113,13 @@
 ///
 /// A server that accepts requests and never responds would look idle and attract more of them. Under
 /// load, all servers are late by the same measure, so none of them is put at a disadvantage.
-const SILENT_FACTOR: f64 = 1.5;
+const UNRESPONSIVE_FACTOR: f64 = 1.5;
 
 impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
-        let silent = self.admitted.request.objective.mul_f64(SILENT_FACTOR);
-        let time = self.gateway.now().duration_since(self.sent_at);
-        if !self.responded && time > silent {
+        let limit = self.admitted.request.objective.mul_f64(UNRESPONSIVE_FACTOR);
+        let elapsed = self.gateway.now().duration_since(self.sent_at);
+        if !self.responded && elapsed > limit {
             retry::record_verdict(self.gateway, self.choice.server, loads::Verdict::Failed);
         }
         self.gateway.release(&self.choice, self.responded);
@@ -134,11 +134,11 @@
         }
         let now = self.gateway.now();
         let request = &self.admitted.request;
-        let time = (!self.gateway.is_behind()).then(|| now.duration_since(self.sent_at));
+        let elapsed = (!self.gateway.is_behind()).then(|| now.duration_since(self.sent_at));
         self.gateway
             .desk
             .borrow_mut()
-            .began(request.service, &self.choice, time, now);
+            .began(request.service, &self.choice, elapsed, now);
         self.gateway.tell_work();
         let latency = now.duration_since(request.came);
         self.gateway
@@ -167,7 +167,7 @@
         request.tried.push(choice.server);
         let decision = match attempt(context, admitted, progress, choice, &mut fallback, out).await
         {
-            Ok(end) => return end,
+            Ok(outcome) => return outcome,
             Err(decision) => decision,
         };
         match decision {
@@ -295,12 +295,12 @@
     out: &mut OwnedWriteHalf,
 ) -> RequestOutcome {
     progress.record_error(response);
-    let last = context.close.always || (context.close.on_rejection && progress.has_retry_after());
+    let close = context.close.always || (context.close.on_rejection && progress.has_retry_after());
     match response
         .write(
             context.gateway,
             Some(&context.request.attempt_id),
-            last,
+            close,
             out,
         )
         .await
--- a/crates/hawthornmill-gateway/src/proxy/read.rs
+++ b/crates/hawthornmill-gateway/src/proxy/read.rs
@@ -14,7 +14,7 @@
 use crate::http::head::{self, Framing, RequestHead};
 use crate::serve::Reader;
 
-/// Maximum size of all request bodies in memory; an instance has about a hundred megabytes.
+/// Maximum size of all request bodies of the process; an instance has about a hundred megabytes of memory.
 const MAX_BODY_MEMORY_BYTES: usize = 32 << 20;
 
 /// A request as received from a client.
@@ -89,10 +89,10 @@
             return ReadOutcome::Closed;
         }
     }
-    let began = gateway.now();
+    let head_received = gateway.now();
     let body = read_body(reader, framing, limits.body_bytes, limits.idle_time).await;
     match body {
-        Ok(Some(body)) => ReadOutcome::Request(client_request(gateway, head, body, began)),
+        Ok(Some(body)) => ReadOutcome::Request(client_request(gateway, head, body, head_received)),
         Ok(None) => ReadOutcome::Closed,
         Err(code) => ReadOutcome::Reject(code),
     }
@@ -102,7 +102,7 @@
     gateway: &Rc<Gateway>,
     head: RequestHead,
     body: Bytes,
-    began: Instant,
+    head_received: Instant,
 ) -> ClientRequest {
     gateway.bodies.set(gateway.bodies.get() + body.len());
     let attempt = head
@@ -113,7 +113,7 @@
         attempt_id: attempt.into(),
         head,
         body,
-        head_received: began,
+        head_received,
         received: gateway.now(),
         gateway: Rc::clone(gateway),
     }
--- a/crates/hawthornmill-gateway/src/proxy/retry.rs
+++ b/crates/hawthornmill-gateway/src/proxy/retry.rs
@@ -15,7 +15,7 @@
 use crate::gateway::Gateway;
 use crate::journal;
 
-/// Number of unreachable servers after which a request fails; each one can cost a full connect timeout.
+/// Maximum number of unreachable servers after which a request is retried; each can cost a connect timeout.
 const MAX_UNREACHABLE: u32 = 3;
 
 /// What to do after a failed attempt.
@@ -67,7 +67,9 @@
     taken
 }
 
-/// Decision for a request without further attempts; it is rejected only if no server can have executed it.
+/// Returns the decision for a request without further attempts.
+///
+/// A rejection promises that no server executed the request.
 const fn final_decision(progress: &RequestProgress) -> RetryDecision {
     if progress.may_have_executed() {
         RetryDecision::Fail
--- a/crates/hawthornmill-gateway/src/proxy/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -30,7 +30,7 @@
 ///
 /// The response is late by then in any case. With a shorter limit, a server that is only busy would lose
 /// the prompts that it has already processed.
-const SILENCE_FACTOR: f64 = 2.0;
+const ABANDON_FACTOR: f64 = 2.0;
 /// Maximum size of a response head.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 /// Maximum size of a response to an earlier request that is read and discarded.
@@ -91,8 +91,8 @@
     let taken = gateway.pool.take(server, address, once, now).await;
     if !taken.as_ref().is_ok_and(|u| u.reused) {
         let after = gateway.now();
-        let took = after.duration_since(now);
-        gateway.link.borrow_mut().attempt(address, took, after);
+        let elapsed = after.duration_since(now);
+        gateway.link.borrow_mut().attempt(address, elapsed, after);
     }
     let mut upstream = match taken {
         Ok(upstream) => upstream,
@@ -120,7 +120,7 @@
 
 /// Returns how long a server may be silent before the request is sent to another one.
 fn silence_limit(admitted: &Admitted, choice: &Choice) -> Duration {
-    admitted.request.objective.mul_f64(SILENCE_FACTOR) + choice.expected * 2
+    admitted.request.objective.mul_f64(ABANDON_FACTOR) + choice.expected * 2
 }
 
 /// Encodes the request for the server.
@@ -142,11 +142,11 @@
     }
     let mut bytes = MessageBuffer::request(&request.head.method, &request.head.target);
     bytes.forwarded_headers(&request.head.headers, &excluded);
-    let left = admitted
+    let remaining = admitted
         .request
         .ends
         .saturating_duration_since(gateway.now());
-    bytes.header(names.deadline, left.as_millis().to_string());
+    bytes.header(names.deadline, remaining.as_millis().to_string());
     bytes.header(names.expect, server);
     if let Some(account) = &admitted.account_name {
         bytes.header(names.account, account.as_bytes());
@@ -155,9 +155,9 @@
         bytes.header(names.resume, event.to_string());
     }
     // A chunked body has been read completely, so it is sent with its length, which is less ambiguous.
-    let sized = request.head.headers.get("content-length").is_some()
+    let has_body = request.head.headers.get("content-length").is_some()
         || request.head.headers.get("transfer-encoding").is_some();
-    if sized {
+    if has_body {
         bytes.framing_header(Framing::Length(request.body.len() as u64));
     }
     bytes.end_head();
@@ -327,13 +327,13 @@
 }
 
 /// Time allowed for reading the rest of a server's rejection, so that its connection can be reused.
-const REJECTION_DRAIN: Duration = Duration::from_millis(50);
+const REJECTION_DRAIN_TIME: Duration = Duration::from_millis(50);
 
 /// Returns the connection of a server that rejected a request to the pool, if its response ends in time.
 async fn reuse_after_rejection(gateway: &Gateway, mut response: ServerResponse) {
     let rest = skip_body(&mut response.upstream, response.framing);
     if matches!(
-        tokio::time::timeout(REJECTION_DRAIN, rest).await,
+        tokio::time::timeout(REJECTION_DRAIN_TIME, rest).await,
         Ok(Ok(()))
     ) {
         response.recycle_connection(gateway);
