--- a/tests/testsuite/gateway/at_most_once.rs
+++ b/tests/testsuite/gateway/at_most_once.rs
@@ -40,15 +40,15 @@
 async fn use_up_scripts(fleet: &Fleet) {
     for server in &fleet.servers {
         let text = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
-        let mut link = tokio::net::TcpStream::connect(server.address)
+        let mut stream = tokio::net::TcpStream::connect(server.address)
             .await
             .expect("the server accepts connections");
-        let sent = tokio::io::AsyncWriteExt::write_all(&mut link, text.as_bytes()).await;
+        let sent = tokio::io::AsyncWriteExt::write_all(&mut stream, text.as_bytes()).await;
         sent.expect("the server receives the request");
         let mut byte = [0; 1];
         let _read = tokio::time::timeout(
             Duration::from_secs(1),
-            tokio::io::AsyncReadExt::read(&mut link, &mut byte),
+            tokio::io::AsyncReadExt::read(&mut stream, &mut byte),
         )
         .await;
     }
--- a/tests/testsuite/gateway/request_handling.rs
+++ b/tests/testsuite/gateway/request_handling.rs
@@ -130,12 +130,15 @@
             .read()
             .await
             .expect("the gateway responds to the first request");
-        let second = client
+        let second_response = client
             .read()
             .await
             .expect("the gateway responds to the second request");
 
-        assert_eq!((first_response.status(), second.status()), (200, 401));
+        assert_eq!(
+            (first_response.status(), second_response.status()),
+            (200, 401)
+        );
         assert_eq!(fleet.runs(), 1);
     });
 }
--- a/tests/testsuite/gateway/responses.rs
+++ b/tests/testsuite/gateway/responses.rs
@@ -91,7 +91,7 @@
             .await;
         until("the server has the request", || async { fleet.runs() == 1 }).await;
 
-        let left = std::time::Instant::now();
+        let disconnected = std::time::Instant::now();
         drop(client);
         until("the server sees the client disconnect", || async {
             fleet.servers[0].client_disconnects() == 1
@@ -99,9 +99,9 @@
         .await;
 
         assert!(
-            left.elapsed() < Duration::from_millis(500),
+            disconnected.elapsed() < Duration::from_millis(500),
             "{:?}",
-            left.elapsed()
+            disconnected.elapsed()
         );
     });
 }
