--- a/tests/testsuite/gateway/connection_pool.rs
+++ b/tests/testsuite/gateway/connection_pool.rs
@@ -60,7 +60,7 @@
             .expect("a port is free");
         let address = listener.local_addr().expect("the listener has an address");
         let (pool, server, now) = (Pool::default(), ServerId::of("s"), Instant::now());
-        let link = || async {
+        let connect = || async {
             let stream = TcpStream::connect(address)
                 .await
                 .expect("the listener accepts connections");
@@ -70,12 +70,12 @@
                 reused: false,
             }
         };
-        let mut with_extra_bytes = link().await;
+        let mut with_extra_bytes = connect().await;
         with_extra_bytes
             .buffer
             .extend_from_slice(b"HTTP/1.1 200 OK\r\n");
 
-        pool.give(server, link().await, None, 0, now);
+        pool.give(server, connect().await, None, 0, now);
         pool.give(server, with_extra_bytes, None, 2, now);
 
         assert_eq!(pool.idle_count(server), 0);
