--- a/crates/hawthornmill-gateway/src/proxy/admission.rs
+++ b/crates/hawthornmill-gateway/src/proxy/admission.rs
@@ -1,4 +1,4 @@
-//! Decides whether a request may be served at all, and under which terms.
+//! Admission: checks a request against the catalog in force.
 
 use std::time::Duration;
 
@@ -12,53 +12,53 @@
 use super::read::ClientRequest;
 use crate::gateway::{Gateway, Phase};
 
-/// Time to come back when the process lacks the newest catalog; the store and peers answer in milliseconds.
-const CATALOG_RETRY: Duration = Duration::from_millis(300);
-/// Time to come back when the process is about to end: at once, to another address.
-const SHUTDOWN_RETRY: Duration = Duration::from_millis(10);
+/// Retry delay sent while the process lacks the newest catalog; the store and peers answer in milliseconds.
+const CATALOG_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Retry delay sent while the process shuts down; the client reconnects to another address.
+const SHUTDOWN_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// A request that may be served.
+/// A request that passed admission, with the terms of its route.
 #[derive(Debug)]
 pub struct Admitted {
-    /// What the scheduler decides on.
+    /// The request as the desk sees it when it chooses a server.
     pub request: Request,
-    /// How often it may run.
+    /// Whether the request may be executed more than once.
     pub repeat: RetryPolicy,
-    /// Its answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub streaming: bool,
-    /// Servers to which it may be sent at most.
+    /// Maximum number of servers to which the request may be sent.
     pub max_attempts: u32,
-    /// Account name that servers are shown.
+    /// Name of the client account, which is sent to the server.
     pub account_name: Option<Box<str>>,
-    /// Callers carry tokens here, so servers must not see the field that holds them.
+    /// Whether to remove the token header, because clients of this catalog authenticate with tokens.
     pub strip_token: bool,
-    /// Route name for logs.
+    /// Name of the route, for logs.
     pub route_name: Box<str>,
-    /// Service name for logs.
+    /// Name of the service, for logs.
     pub service_name: Box<str>,
 }
 
 /// Checks a request against the catalog in force.
 ///
 /// # Errors
-/// The answer that refuses it; it has not run then.
+/// Returns the response that rejects the request, which has not been executed.
 pub fn admit(gateway: &Gateway, request: &ClientRequest) -> Result<Admitted, ErrorResponse> {
     if gateway.phase() == Phase::Draining {
         return Err(ErrorResponse::with_retry_after(
             Code::NotReady,
-            SHUTDOWN_RETRY,
+            SHUTDOWN_RETRY_DELAY,
         ));
     }
     let Some(table) = gateway.table() else {
         return Err(ErrorResponse::with_retry_after(
             Code::NotReady,
-            CATALOG_RETRY,
+            CATALOG_RETRY_DELAY,
         ));
     };
     if !gateway.has_registrations.get() || gateway.is_outdated() {
         return Err(ErrorResponse::with_retry_after(
             Code::NotReady,
-            CATALOG_RETRY,
+            CATALOG_RETRY_DELAY,
         ));
     }
     let headers = &request.head.headers;
@@ -78,11 +78,11 @@
     let caller = table
         .authenticate(route, token)
         .ok_or_else(|| not_in_catalog(gateway, Code::BadToken))?;
-    let left = parse_deadline(headers.get(names.deadline))?;
+    let remaining = parse_deadline(headers.get(names.deadline))?;
     let shape = (gateway.adapter.parse_shape)(headers)
-        .map_err(|_why| ErrorResponse::new(Code::BadHeader))?;
+        .map_err(|_invalid| ErrorResponse::new(Code::BadHeader))?;
     let service = pick_service(route, rand::random());
-    let known = table.service(service);
+    let known_service = table.service(service);
     let account = match caller {
         Caller::Account(account) => Some(account),
         Caller::Anonymous => None,
@@ -90,12 +90,12 @@
     let pending = Request {
         account: account.map(|a| a.id),
         service,
-        engine: known.and_then(|s| s.engine),
+        engine: known_service.and_then(|s| s.engine),
         shape,
         priority: account.and_then(|a| a.priority).unwrap_or(route.priority),
         objective: route.objective,
         arrival: request.received,
-        deadline: request.received + left.map_or(route.timeout, |l| l.min(route.timeout)),
+        deadline: request.received + remaining.map_or(route.timeout, |l| l.min(route.timeout)),
         tried: SmallVec::new(),
     };
     Ok(Admitted {
@@ -106,25 +106,25 @@
         account_name: account.map(|a| a.name.clone()),
         strip_token: table.has_accounts(),
         route_name: route.name.clone(),
-        service_name: known.map_or_else(|| "unknown".into(), |s| s.name.clone()),
+        service_name: known_service.map_or_else(|| "unknown".into(), |s| s.name.clone()),
     })
 }
 
-/// Answers that the catalog in force doesn't know a route or a token.
+/// Rejects a request whose route or token is not in the catalog in force.
 ///
-/// Only the newest catalog can say so for good.
+/// The rejection is temporary while a newer catalog exists, since that one may contain it.
 fn not_in_catalog(gateway: &Gateway, code: Code) -> ErrorResponse {
     if gateway.catalog_lag.borrow().is_behind() {
-        ErrorResponse::with_retry_after(Code::NotReady, CATALOG_RETRY)
+        ErrorResponse::with_retry_after(Code::NotReady, CATALOG_RETRY_DELAY)
     } else {
         ErrorResponse::new(code)
     }
 }
 
 fn parse_token<'a>(value: &'a [u8], scheme: &str) -> Option<&'a [u8]> {
-    let (word, rest) = value.split_at_checked(scheme.len())?;
+    let (prefix, rest) = value.split_at_checked(scheme.len())?;
     let token = rest.trim_ascii();
-    (word.eq_ignore_ascii_case(scheme.as_bytes()) && rest.starts_with(b" ") && !token.is_empty())
+    (prefix.eq_ignore_ascii_case(scheme.as_bytes()) && rest.starts_with(b" ") && !token.is_empty())
         .then_some(token)
 }
 
@@ -133,9 +133,9 @@
         return Ok(None);
     };
     let text = std::str::from_utf8(value).map_err(|_bytes| ErrorResponse::new(Code::BadHeader))?;
-    let millis: u64 = text
+    let milliseconds: u64 = text
         .trim()
         .parse()
         .map_err(|_number| ErrorResponse::new(Code::BadHeader))?;
-    Ok(Some(Duration::from_millis(millis)))
+    Ok(Some(Duration::from_millis(milliseconds)))
 }
--- a/crates/hawthornmill-gateway/src/proxy/read.rs
+++ b/crates/hawthornmill-gateway/src/proxy/read.rs
@@ -1,4 +1,4 @@
-//! Reads one request of a caller.
+//! Reading of client requests.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,21 +14,21 @@
 use crate::http::body::{BodyDecoder, Decoded};
 use crate::http::head::{self, Framing, RequestHead};
 
-/// Bytes of bodies that one process holds at once; an instance has about a hundred megabytes.
-const MOST_BODIES: usize = 32 << 20;
+/// Maximum size of all request bodies of the process; an instance has about a hundred megabytes of memory.
+const MAX_BODY_MEMORY_BYTES: usize = 32 << 20;
 
-/// A request as it came.
+/// A request as received from a client.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// Its head.
+    /// Head of the request.
     pub head: RequestHead,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
-    /// Identity that the caller gave this attempt.
+    /// Id that the client gave this attempt.
     pub attempt_id: Box<str>,
-    /// When its head had come.
+    /// When the head was complete.
     pub head_received: Instant,
-    /// When it had come whole.
+    /// When the body was complete.
     pub received: Instant,
     gateway: Rc<Gateway>,
 }
@@ -40,18 +40,18 @@
     }
 }
 
-/// What a connection brings next.
+/// Result of reading from a client connection.
 #[derive(Debug)]
 pub enum ReadOutcome {
-    /// A request.
+    /// A complete request.
     Request(ClientRequest),
-    /// Something that must be refused; the connection can't be used further.
+    /// A request to reject; the connection cannot be reused.
     Reject(Code),
-    /// Nothing more.
+    /// The connection ends without another request.
     Closed,
 }
 
-/// Reads the next request of a connection.
+/// Reads the next request of a client connection.
 pub async fn read_request(
     gateway: &Rc<Gateway>,
     reader: &mut RequestReader,
@@ -60,12 +60,12 @@
     let limits = gateway
         .table()
         .map_or_else(Limits::default, |t| *t.limits());
-    if reader.buffer.is_empty() && !first_byte(gateway, reader, limits.idle_timeout).await {
+    if reader.buffer.is_empty() && !wait_for_data(gateway, reader, limits.idle_timeout).await {
         return ReadOutcome::Closed;
     }
     let head = tokio::time::timeout(
         limits.header_timeout,
-        whole_head(reader, limits.header_bytes),
+        read_head(reader, limits.header_bytes),
     );
     let head = match head.await {
         Ok(Ok(Some(head))) => head,
@@ -76,26 +76,26 @@
     let Ok(framing) = head.framing() else {
         return ReadOutcome::Reject(Code::BadHeader);
     };
-    let known = match framing {
+    let declared = match framing {
         Framing::Length(bytes) => bytes as usize,
         _ => 0,
     };
-    if known > limits.body_bytes {
+    if declared > limits.body_bytes {
         return ReadOutcome::Reject(Code::BodyTooLarge);
     }
-    if gateway.body_bytes.get() + known > MOST_BODIES {
+    if gateway.body_bytes.get() + declared > MAX_BODY_MEMORY_BYTES {
         return ReadOutcome::Reject(Code::InstanceFull);
     }
     if framing != Framing::Empty && head.headers.has_token("expect", "100-continue") {
-        let go_on = out.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-        if go_on.is_err() {
+        let sent = out.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
+        if sent.is_err() {
             return ReadOutcome::Closed;
         }
     }
-    let began = gateway.now();
-    let body = whole_body(reader, framing, limits.body_bytes, limits.idle_timeout).await;
+    let head_received = gateway.now();
+    let body = read_body(reader, framing, limits.body_bytes, limits.idle_timeout).await;
     match body {
-        Ok(Some(body)) => ReadOutcome::Request(client_request(gateway, head, body, began)),
+        Ok(Some(body)) => ReadOutcome::Request(client_request(gateway, head, body, head_received)),
         Ok(None) => ReadOutcome::Closed,
         Err(code) => ReadOutcome::Reject(code),
     }
@@ -105,7 +105,7 @@
     gateway: &Rc<Gateway>,
     head: RequestHead,
     body: Bytes,
-    began: Instant,
+    head_received: Instant,
 ) -> ClientRequest {
     gateway
         .body_bytes
@@ -118,17 +118,17 @@
         attempt_id: attempt.into(),
         head,
         body,
-        head_received: began,
+        head_received,
         received: gateway.now(),
         gateway: Rc::clone(gateway),
     }
 }
 
-/// Waits for the first byte of a request; false when the connection is to end.
+/// Waits for the first byte of a request; returns false if the connection is to be closed.
 ///
-/// A process that takes no more requests closes idle connections; a request that crosses the close
-/// was not read, and its caller may send it elsewhere.
-async fn first_byte(gateway: &Gateway, reader: &mut RequestReader, idle: Duration) -> bool {
+/// A process that shuts down closes its idle connections. A request sent at the same moment has not been
+/// read, so its client can safely send it elsewhere.
+async fn wait_for_data(gateway: &Gateway, reader: &mut RequestReader, idle: Duration) -> bool {
     let mut phases = gateway.subscribe_phase();
     tokio::select! {
         biased;
@@ -137,10 +137,11 @@
     }
 }
 
-async fn whole_head(reader: &mut RequestReader, most: usize) -> Result<Option<RequestHead>, Code> {
+/// Reads a request head; `None` if the client closed its connection first.
+async fn read_head(reader: &mut RequestReader, limit: usize) -> Result<Option<RequestHead>, Code> {
     loop {
         match head::parse_request(&reader.buffer) {
-            Ok(Some((_, length))) if length > most => return Err(Code::HeadersTooLarge),
+            Ok(Some((_, length))) if length > limit => return Err(Code::HeadersTooLarge),
             Ok(Some((head, length))) => {
                 let _taken = reader.buffer.split_to(length);
                 return if head.is_http11 {
@@ -149,10 +150,10 @@
                     Err(Code::HttpVersionTooOld)
                 };
             }
-            Ok(None) if reader.buffer.len() > most => return Err(Code::HeadersTooLarge),
+            Ok(None) if reader.buffer.len() > limit => return Err(Code::HeadersTooLarge),
             Ok(None) => {}
-            // A head over the bound may have more fields than can be read.
-            Err(_malformed) if reader.buffer.len() > most => return Err(Code::HeadersTooLarge),
+            // A head above the limit can fail to parse because it has too many headers.
+            Err(_malformed) if reader.buffer.len() > limit => return Err(Code::HeadersTooLarge),
             Err(_malformed) => return Err(Code::BadHeader),
         }
         if !matches!(reader.read_more().await, Ok(bytes) if bytes > 0) {
@@ -161,11 +162,11 @@
     }
 }
 
-/// Reads the body; none when the caller closed before its end.
-async fn whole_body(
+/// Reads a request body; `None` if the client closed its connection before the end.
+async fn read_body(
     reader: &mut RequestReader,
     framing: Framing,
-    most: usize,
+    limit: usize,
     idle: Duration,
 ) -> Result<Option<Bytes>, Code> {
     let mut decoder = BodyDecoder::new(framing);
@@ -181,7 +182,7 @@
             },
             Err(_malformed) => return Err(Code::BadHeader),
         }
-        if body.len() > most {
+        if body.len() > limit {
             return Err(Code::BodyTooLarge);
         }
     }
--- a/crates/hawthornmill-gateway/src/proxy/retry.rs
+++ b/crates/hawthornmill-gateway/src/proxy/retry.rs
@@ -1,8 +1,8 @@
-//! Whether a request that failed at one server goes to another.
+//! Decides whether a request that failed at one server is sent to another.
 //!
-//! A request that reached no server may go on freely. One that a server refused, or that may have
-//! run, takes from the fleet's budget of second sends; one that may have run must besides be allowed
-//! to run again.
+//! A request of which no byte was sent is retried without a charge. One that a server rejected, or that
+//! may have been executed, takes from the fleet's retry budget; one that may have been executed must
+//! also belong to a route that allows repetition.
 
 use hawthornmill::ident::ServerId;
 use hawthornmill::routing::loads::ServerOutcome;
@@ -15,26 +15,26 @@
 use crate::event_log;
 use crate::gateway::Gateway;
 
-/// Servers that one request may fail to reach; each costs up to a connection's time.
+/// Maximum number of unreachable servers after which a request is retried; each can cost a connect timeout.
 const MAX_UNREACHABLE: u32 = 3;
 
-/// What follows a failure.
+/// What to do after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Another server gets the request.
+    /// Send the request to another server.
     Retry,
-    /// It has not run and is refused.
+    /// Reject the request, which has not been executed.
     Reject,
-    /// It may have run and fails.
+    /// Fail the request, which may have been executed.
     Fail,
 }
 
-/// Tells whether a server's answer is a failure that another server might not give.
+/// Returns whether the response has status 5xx, so that another server might succeed.
 pub fn is_server_error(response: &ServerResponse) -> bool {
     response.head.status >= 500
 }
 
-/// Notes how a request to `server` ended.
+/// Records how a request to `server` ended, for later choices of a server.
 pub fn record_verdict(gateway: &Gateway, server: ServerId, verdict: ServerOutcome) {
     let now = gateway.now();
     gateway
@@ -44,16 +44,17 @@
         .record_outcome(server, verdict, now);
 }
 
-/// Takes a second send for a request that may have run.
+/// Takes a retry from the budget for a request that may have been executed.
 pub fn try_retry(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
     admitted.repeat.allows_retry() && take_budget(gateway, admitted, progress)
 }
 
-/// Tells whether the request may go to another server after one that may have run it.
+/// Returns whether the request could be sent to another server after one that may have executed it.
 pub fn can_retry(admitted: &Admitted, progress: &RequestProgress) -> bool {
     admitted.repeat.allows_retry() && progress.sends < admitted.max_attempts
 }
 
+/// Takes one retry from the budget of the service, unless the request has used all its attempts.
 fn take_budget(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
     if progress.sends >= admitted.max_attempts {
         return false;
@@ -70,7 +71,9 @@
     taken
 }
 
-/// What ends a request that no other server gets: only one that has not run may be called refused.
+/// Returns the decision for a request without further attempts.
+///
+/// A rejection promises that no server executed the request.
 const fn final_decision(progress: &RequestProgress) -> RetryDecision {
     if progress.may_have_executed() {
         RetryDecision::Fail
@@ -79,15 +82,15 @@
     }
 }
 
-/// The server could not be reached.
+/// Handles a server that could not be reached.
 pub fn on_unreachable(
     gateway: &Gateway,
     request: &ClientRequest,
     progress: &mut RequestProgress,
     server: ServerId,
-    why: &str,
+    reason: &str,
 ) -> RetryDecision {
-    let fields = json!({"server": gateway.server_name(server), "why": why});
+    let fields = json!({"server": gateway.server_name(server), "why": reason});
     event_log::request_problem("server_unreached", &request.attempt_id, fields);
     gateway.pool.discard_idle(server);
     record_verdict(gateway, server, ServerOutcome::Unreachable);
@@ -99,7 +102,7 @@
     }
 }
 
-/// The server says that it did not run the request.
+/// Handles a server that reports that it did not execute the request.
 pub fn on_not_executed(
     gateway: &Gateway,
     admitted: &Admitted,
@@ -121,7 +124,7 @@
     }
 }
 
-/// The server broke off, and may have run the request.
+/// Handles a connection that broke before the end of the response; the request may have been executed.
 pub fn on_interrupted(
     gateway: &Gateway,
     admitted: &Admitted,
--- a/tests/testsuite/gateway/failed_requests.rs
+++ b/tests/testsuite/gateway/failed_requests.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 use super::fleet::{Fleet, config, request, send_request, wait_until};
-use super::server::Act;
+use super::scripted_server::Behavior;
 use crate::block_on;
 
 /// Runs the tool on the fleet's logs; returns its report on the request `id`.
@@ -100,7 +100,7 @@
 fn broken_stream_log_shows_server_and_last_event() {
     block_on(async {
         let fleet = Fleet::start(1, 1).await;
-        fleet.servers[0].script(&[Act::Break(3)]);
+        fleet.servers[0].script(&[Behavior::BrokenStream(3)]);
 
         let response = send_request(
             fleet.gateways[0].front(),
--- a/tests/testsuite/gateway/fleet.rs
+++ b/tests/testsuite/gateway/fleet.rs
@@ -15,7 +15,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::server::Server;
+use super::scripted_server::Server;
 use super::store::Store;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_hawthornmill-gateway");
@@ -327,7 +327,7 @@
 
     /// Returns the number of requests that the servers ran.
     pub fn runs(&self) -> usize {
-        self.servers.iter().map(Server::runs).sum()
+        self.servers.iter().map(Server::executed_count).sum()
     }
 }
 
--- a/tests/testsuite/gateway/missed_updates.rs
+++ b/tests/testsuite/gateway/missed_updates.rs
@@ -217,13 +217,13 @@
         })
         .await;
         tokio::time::sleep(Duration::from_millis(2_600)).await;
-        let before = fleet.servers[0].arrivals().len();
+        let before = fleet.servers[0].received().len();
 
         for _ in 0..10 {
             assert_eq!(status(front, "/get/").await, 200);
         }
 
-        assert_eq!(fleet.servers[0].arrivals().len(), before);
+        assert_eq!(fleet.servers[0].received().len(), before);
     });
 }
 
@@ -320,12 +320,12 @@
             !fleet.gateways[0].logged("registration_leaving").is_empty()
         })
         .await;
-        let before = fleet.servers[0].arrivals().len();
+        let before = fleet.servers[0].received().len();
 
         for _ in 0..10 {
             assert_eq!(status(front, "/get/").await, 200);
         }
-        assert_eq!(fleet.servers[0].arrivals().len(), before);
+        assert_eq!(fleet.servers[0].received().len(), before);
     });
 }
 
--- a/tests/testsuite/gateway/mod.rs
+++ b/tests/testsuite/gateway/mod.rs
@@ -1,20 +1,20 @@
 //! Tests of gateway processes against fakes of the platform, and of parts that need none.
 
-mod answers;
-mod boundary;
-mod connections;
+mod at_most_once;
+mod connection_pool;
+mod event_streams;
 mod failed_requests;
 #[expect(dead_code, reason = "the soak uses the other part of the fixtures")]
 mod fleet;
-mod http;
-mod ingress;
+mod http_parsing;
 mod invalid_config;
 mod missed_updates;
-mod once;
 mod overload;
+mod platform_adapter;
+mod platform_names;
+mod request_handling;
+mod responses;
 #[expect(dead_code, reason = "the soak uses the other part of the fixtures")]
-mod server;
+mod scripted_server;
 mod shutdown;
 mod store;
-mod streams;
-mod translation;
--- a/tests/testsuite/gateway/shutdown.rs
+++ b/tests/testsuite/gateway/shutdown.rs
@@ -5,7 +5,7 @@
 use nix::sys::signal::Signal;
 
 use super::fleet::{Client, Fleet, request, send_request, wait_until};
-use super::server::Act;
+use super::scripted_server::Behavior;
 use crate::block_on;
 
 /// Failure: a shutdown cuts off requests in flight, and their clients can't tell what ran.
@@ -15,7 +15,7 @@
 fn shutdown_cuts_no_request_and_directory_lists_others() {
     block_on(async {
         let mut fleet = Fleet::start(2, 1).await;
-        fleet.servers[0].script(&[Act::Slow(1_500)]);
+        fleet.servers[0].script(&[Behavior::RespondAfterMs(1_500)]);
         let mut client = Client::connect(fleet.gateways[0].front()).await;
         client
             .send(request("POST", "/once/", "long", "").as_bytes())
@@ -83,7 +83,7 @@
         let after = send_request(gateway.front(), after.as_bytes()).await;
 
         assert_eq!(after.map(|a| a.status()), Some(200));
-        assert_eq!(fleet.servers[0].arrivals().len(), 2);
+        assert_eq!(fleet.servers[0].received().len(), 2);
     });
 }
 
@@ -165,7 +165,7 @@
     })
     .await;
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let before = fleet.servers[0].arrivals().len();
+    let before = fleet.servers[0].received().len();
 
     for number in 0..10 {
         let text = request("GET", "/get/", &format!("{number}"), "");
@@ -173,7 +173,7 @@
         assert_eq!(response.expect("there is a response").status(), 200);
     }
 
-    assert_eq!(fleet.servers[0].arrivals().len(), before);
+    assert_eq!(fleet.servers[0].received().len(), before);
 }
 
 /// Failure: a server gets new requests after it registered as draining.
