--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -257,10 +257,8 @@
         member.map_or_else(|| "?".into(), |m| m.contact.name.clone())
     };
     match event {
-        Event::InstanceDown(id) => {
-            log::warn!(target: "membership", "{} is not heard any more", name(id));
-        }
-        Event::InstanceUp(id) => log::info!(target: "membership", "{} is heard", name(id)),
+        Event::Down(id) => log::warn!(target: "membership", "{} is not heard any more", name(id)),
+        Event::Up(id) => log::info!(target: "membership", "{} is heard", name(id)),
         Event::OwnerChanged(pool, id) => {
             let (service, domain) = pool_names(board, pool);
             log::info!(target: "pools", "owner of {service} in {domain} is {}", name(id));
--- a/crates/hawthornmill/src/events.rs
+++ b/crates/hawthornmill/src/events.rs
@@ -10,9 +10,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// A member timed out.
-    InstanceDown(InstanceId),
+    Down(InstanceId),
     /// A member is live again, or for the first time.
-    InstanceUp(InstanceId),
+    Up(InstanceId),
     /// The owner of a pool changed in this instance's view.
     OwnerChanged(PoolId, InstanceId),
     /// This process was stopped for about this time.
--- a/crates/hawthornmill/src/pools/ownership.rs
+++ b/crates/hawthornmill/src/pools/ownership.rs
@@ -155,12 +155,10 @@
             owned.remove_entry(*id);
         }
     }
-    board
-        .events
-        .extend(dead.into_iter().map(Event::InstanceDown));
+    board.events.extend(dead.into_iter().map(Event::Down));
     for id in std::mem::take(&mut board.members.newly_live) {
         board.reports.forget_sent(id);
-        board.events.push(Event::InstanceUp(id));
+        board.events.push(Event::Up(id));
         entry::resync(board, id);
     }
 }
