--- a/crates/hawthornmill/src/membership/startup.rs
+++ b/crates/hawthornmill/src/membership/startup.rs
@@ -26,10 +26,10 @@
 /// Returns true if the instance knows enough to serve; `began` is when the process started.
 ///
 /// A platform that serves an old revision must not revert a restarted instance while peers have a
-/// newer one. So the instance needs the highest revision reported to it, and a response from a
-/// serving peer, which has already checked its revision, or from every listed instance. After
-/// [`STARTUP_TIMEOUT`] any configuration will do: a fleet that starts after an outage must not wait
-/// for instances that are gone.
+/// newer one. So the instance needs the highest revision reported to it, and responses of the platform
+/// and of a serving peer, which has already checked its revision, or of every listed instance. After
+/// [`STARTUP_TIMEOUT`] the responses are no longer required: a fleet that starts after an outage must
+/// not wait for instances that are gone.
 pub fn is_ready(board: &Blackboard, began: Instant, now: Instant) -> bool {
     let others = board
         .members
