--- a/crates/hawthornmill/src/clock.rs
+++ b/crates/hawthornmill/src/clock.rs
@@ -1,7 +1,7 @@
-//! The clock that is passed in.
+//! An injectable clock.
 //!
-//! Decisions take `now` as an argument; the adapters around them read it from a [`Clock`], so that
-//! a test can move time by hand.
+//! Decision code takes `now` as an argument; the I/O code around it reads the time from a
+//! [`Clock`], which a test can replace by one that it advances itself.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -40,13 +40,13 @@
         (clock, time)
     }
 
-    /// The present instant.
+    /// The current time.
     pub fn now(&self) -> Instant {
         (self.read)()
     }
 }
 
-/// The hand that moves a manual [`Clock`].
+/// Controls the time of a manual [`Clock`].
 #[derive(Debug, Clone)]
 pub struct ManualClock {
     start: Instant,
@@ -60,7 +60,7 @@
             .fetch_add(step.as_nanos() as u64, Ordering::Relaxed);
     }
 
-    /// The present instant of the manual clock.
+    /// The current time of the manual clock.
     pub fn now(&self) -> Instant {
         self.start + Duration::from_nanos(self.nanos.load(Ordering::Relaxed))
     }
--- a/crates/hawthornmill/src/codes.rs
+++ b/crates/hawthornmill/src/codes.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-/// What is known of a request after the answer that carries this outcome.
+/// What is known about the execution of a request whose response carries this outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
@@ -15,7 +15,7 @@
 }
 
 impl Outcome {
-    /// The name used in answers and logs.
+    /// The name used in responses and logs.
     pub const fn name(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -27,7 +27,7 @@
 
 macro_rules! codes {
     ($($(#[$doc:meta])* $name:ident = $number:literal, $status:literal, $title:literal;)*) => {
-        /// A numbered result.
+        /// A numbered result code.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[non_exhaustive]
         pub enum Code {
@@ -38,17 +38,17 @@
             /// Every code, in ascending order of its number.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// The number that answers, logs and the table in the docs use.
+            /// The number used in responses, logs and docs/ERRORS.md.
             pub const fn number(self) -> u16 {
                 match self { $(Self::$name => $number,)* }
             }
 
-            /// The HTTP status of an answer with this code; 0 where no answer carries it.
+            /// The HTTP status of a response with this code; 0 for codes that no response carries.
             pub const fn status(self) -> u16 {
                 match self { $(Self::$name => $status,)* }
             }
 
-            /// A short title in plain words.
+            /// A short description.
             pub const fn title(self) -> &'static str {
                 match self { $(Self::$name => $title,)* }
             }
@@ -61,91 +61,91 @@
     FileUnreadable = 1001, 0, "file can't be read";
     /// The text is not well-formed INI.
     IniSyntax = 1002, 0, "INI syntax error";
-    /// A section that the format does not have.
+    /// A section of unknown kind.
     UnknownSection = 1003, 0, "unknown section";
-    /// A key that the section does not have.
+    /// A key that its section does not define.
     UnknownKey = 1004, 0, "unknown key";
-    /// A key without which the section means nothing.
+    /// A required key that is missing.
     MissingKey = 1005, 0, "missing key";
-    /// A value that can't be read as its key's type.
+    /// A value that can't be parsed as the type of its key.
     BadValue = 1006, 0, "bad value";
-    /// A section or key that stands twice.
+    /// A section or key that occurs twice.
     Duplicate = 1007, 0, "duplicate";
     /// An address that is in use or can't be bound.
     BindFailed = 1008, 0, "address can't be bound";
     /// A selector that doesn't parse.
     BadSelector = 2001, 0, "selector doesn't parse";
-    /// A name that refers to nothing.
+    /// A reference to an undefined name.
     UnknownReference = 2002, 0, "reference to nothing";
-    /// A configuration value over the platform's bound.
+    /// A configuration value over the platform's size limit.
     ValueTooLarge = 2003, 0, "configuration value over one megabyte";
-    /// A value whose digest is not the manifest's.
+    /// A value whose digest differs from the one in the manifest.
     DigestMismatch = 2004, 0, "value differs from its manifest";
-    /// A value that the manifest names and the platform did not serve.
+    /// A value that the manifest lists and the platform did not serve.
     ValueMissing = 2005, 0, "value named by the manifest is missing";
-    /// A revision below the one in force.
+    /// A revision older than the active one.
     OlderRevision = 2006, 0, "revision older than the one in force";
-    /// Two names with the same key.
+    /// Two names with the same identifier.
     KeyCollision = 2007, 0, "two names share one key";
     /// The platform's configuration service can't be reached.
     PlatformUnreachable = 2008, 0, "platform can't be reached";
-    /// No account goes by the bearer token.
+    /// No account has the bearer token.
     BadToken = 3001, 401, "unknown or missing bearer token";
-    /// No service goes by the name.
+    /// No service has the name.
     UnknownService = 3002, 404, "unknown service";
-    /// No grant gives the account a backend server of the service.
+    /// No grant allows the account to use a backend server of the service.
     NotGranted = 3003, 403, "no grant for this service";
-    /// A request body over the bound.
+    /// A request body over the size limit.
     BodyTooLarge = 3004, 413, "body over the bound";
-    /// Request headers over the bound.
+    /// Request headers over the size limit.
     HeadersTooLarge = 3005, 431, "headers over the bound";
-    /// A header whose value can't be used.
+    /// A header with an invalid value.
     BadHeader = 3006, 400, "bad header value";
     /// The deadline passed before the request was run.
     DeadlinePassed = 3007, 504, "deadline passed before the request was run";
     /// The account's queue is full.
     QueueFull = 3008, 429, "account's queue is full";
-    /// The instance is leaving or holds no configuration yet.
+    /// The instance is leaving the fleet or has no configuration yet.
     NotReady = 3009, 503, "instance takes no requests now";
-    /// A call that must not repeat came without a key.
+    /// A call that must run at most once has no idempotency key.
     KeyRequired = 3010, 428, "idempotency key required";
-    /// A key that no instance made.
+    /// A malformed idempotency key, or one that this fleet did not issue.
     BadKey = 3011, 400, "malformed or foreign idempotency key";
-    /// A key whose prefix is no longer in use.
+    /// A key whose prefix has expired.
     KeyExpired = 3012, 409, "idempotency key's prefix expired";
-    /// The key's call ran and its answer is no longer kept.
+    /// The call with this key ran, and its response is no longer stored.
     ResponseDiscarded = 3013, 410, "ran, answer no longer kept";
-    /// The key's home can't say what became of the call.
+    /// The key's home instance can't tell whether the call ran.
     HomeUnreachable = 3014, 503, "key's home instance unreachable";
-    /// The table of keys is full.
+    /// The table of idempotency keys is full.
     KeyTableFull = 3015, 503, "key table full";
-    /// The backend server broke off before it answered.
+    /// The backend server failed before it responded.
     UpstreamFailed = 3016, 502, "backend server failed";
     /// The backend server can't be reached.
     UpstreamUnreachable = 3017, 503, "backend server can't be reached";
-    /// The answer belonged to another request.
+    /// The response belonged to another request.
     ResponseMismatch = 3018, 502, "answer belonged to another request";
     /// The deadline passed while the request ran.
     DeadlineWhileRunning = 3019, 504, "deadline passed while the request ran";
-    /// The instance holds as much as it may.
+    /// The instance holds its maximum number of requests.
     InstanceFull = 3020, 503, "instance holds as many requests as it may";
-    /// The call's path or method is not served.
+    /// No endpoint matches the path and method of the request.
     NotFound = 3021, 404, "no such call";
-    /// The key's call was refused before, and a refusal is final.
+    /// The call with this key was rejected before; a rejection is final.
     KeyRejected = 3024, 409, "idempotency key was refused and stays so";
-    /// The account's queue is so long that the deadline would pass in it.
+    /// The account's queue is so long that the request would miss its deadline.
     QueueTooLong = 3030, 429, "account's queue is too long for the deadline";
-    /// A caller that is too slow with the head or the body of its request.
+    /// A client that sends the header or the body of its request too slowly.
     RequestTooSlow = 3031, 408, "request came too slowly";
     /// A request in an HTTP version before 1.1.
     HttpVersionTooOld = 3032, 505, "HTTP/1.1 is needed";
     /// A peer's frame that can't be decoded.
     FrameMalformed = 4001, 0, "malformed peer frame";
-    /// A peer's frame with a wrong authentication code.
+    /// A peer's frame with a wrong message authentication code.
     FrameUnauthenticated = 4002, 0, "peer frame not authenticated";
     /// A peer's frame that was seen before.
     FrameReplayed = 4003, 0, "peer frame replayed";
-    /// A peer's frame over the bound.
+    /// A peer's frame over the size limit.
     FrameTooLarge = 4004, 0, "peer frame over the bound";
     /// A peer's frame of another protocol version.
     FrameVersionMismatch = 4005, 0, "peer frame of another version";
--- a/crates/hawthornmill/src/config/accept.rs
+++ b/crates/hawthornmill/src/config/accept.rs
@@ -1,8 +1,8 @@
-//! Takes a revision whole or refuses it whole.
+//! Accepts or rejects a whole revision.
 //!
-//! A revision is a manifest and the values that it names. A value's size and digest must be the
-//! manifest's: a value cut in half, or one of another revision, shows as a different digest, so a
-//! mixture of two revisions can't be accepted.
+//! A revision is a manifest and the values that it lists. The digest of each value must match the
+//! manifest: a truncated value or one of another revision has a different digest, so a mixture of
+//! two revisions is never accepted.
 
 use std::collections::BTreeMap;
 
@@ -13,10 +13,10 @@
 use crate::codes::Code;
 use crate::ini::Diagnostic;
 
-/// Bytes that one configuration value may have, as the platform bounds it.
+/// Size limit of one configuration value, the platform's own.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// One value that a manifest names.
+/// A value listed in a manifest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ValueRef {
     /// Name of the value, for instance `servers-0`.
@@ -25,10 +25,10 @@
     pub digest: Box<str>,
 }
 
-/// What makes up a revision.
+/// The values that make up a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct Manifest {
-    /// Number of the revision; a later one is greater.
+    /// Number of the revision; later revisions have greater numbers.
     pub revision: u64,
     /// Every value of the revision.
     pub values: Vec<ValueRef>,
@@ -54,18 +54,18 @@
     Manifest { revision, values }
 }
 
-/// Checks a revision whole and builds the configuration that it describes.
+/// Validates a revision and builds its configuration.
 ///
 /// # Errors
-/// Every fault found; the caller keeps what was in force.
+/// Every error found; the caller keeps the configuration in force.
 pub fn accept(manifest: &Manifest, values: &Values) -> Result<FleetConfig, Vec<Diagnostic>> {
-    let faults: Vec<Diagnostic> = manifest
+    let errors: Vec<Diagnostic> = manifest
         .values
         .iter()
         .filter_map(|v| check_value(v, values))
         .collect();
-    if !faults.is_empty() {
-        return Err(faults);
+    if !errors.is_empty() {
+        return Err(errors);
     }
     let texts: Vec<(&str, &str)> = manifest
         .values
@@ -76,7 +76,7 @@
 }
 
 fn check_value(value: &ValueRef, values: &Values) -> Option<Diagnostic> {
-    let fault = |code, what: String| {
+    let error = |code, what: String| {
         Some(Diagnostic {
             code,
             file: value.name.clone(),
@@ -86,9 +86,9 @@
         })
     };
     let Some(text) = values.get(&value.name) else {
-        return fault(
+        return error(
             Code::ValueMissing,
-            "named by the manifest, not served".into(),
+            "listed in the manifest but not served by the platform".into(),
         );
     };
     if text.len() > MAX_VALUE_BYTES {
@@ -96,10 +96,13 @@
             "{} bytes; at most {MAX_VALUE_BYTES} are allowed",
             text.len()
         );
-        return fault(Code::ValueTooLarge, what);
+        return error(Code::ValueTooLarge, what);
     }
     if digest(text) != value.digest {
-        return fault(Code::DigestMismatch, "text is not the manifest's".into());
+        return error(
+            Code::DigestMismatch,
+            "the digest differs from the manifest".into(),
+        );
     }
     None
 }
--- a/crates/hawthornmill/src/config/compare.rs
+++ b/crates/hawthornmill/src/config/compare.rs
@@ -1,4 +1,4 @@
-//! What a candidate would change, and what in it looks like a mistake.
+//! Compares a candidate configuration with the present one and warns about likely mistakes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,45 +7,45 @@
 use crate::ident::{AccountId, ServerId};
 use crate::labels::{Labels, Selector};
 
-/// Labels that every server has; nobody has to use them.
-const IMPLICIT: &[&str] = &["name", "service", "domain", "region"];
-/// Smallest change of an owed part that is told.
-const TOLD: f64 = 0.001;
+/// Labels that every server has, so that an unused_keys one is no mistake.
+const IMPLICIT_LABELS: &[&str] = &["name", "service", "domain", "region"];
+/// Smallest change of an entitlement that is reported, as a fraction of the service.
+const MIN_CHANGE: f64 = 0.001;
 
 /// Servers that accounts gain and lose.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Access {
-    /// Servers that become open, by name.
+    /// Names of servers that the account may use from now on.
     pub gained: Vec<Box<str>>,
-    /// Servers that are open no longer, by name.
+    /// Names of servers that the account may no longer use.
     pub lost: Vec<Box<str>>,
 }
 
-/// An owed part before and after, from 0 to 1.
+/// An entitlement before and after, from 0 to 1.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EntitlementChange {
     /// Service by name.
     pub service: Box<str>,
     /// Account by name.
     pub account: Box<str>,
-    /// Part of the service's slots before; 0 where there was none.
+    /// Fraction of the service's slots before; 0 if there was none.
     pub before: f64,
     /// The same after.
     pub after: f64,
 }
 
-/// What a candidate would change.
+/// Differences between two configurations.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Comparison {
-    /// Accounts by name that gain or lose the same servers, with those.
+    /// Names of the accounts that gain and lose the same servers, by those servers.
     pub access: BTreeMap<Access, Vec<Box<str>>>,
-    /// Entitlements parts that change.
+    /// Entitlements that change.
     pub entitlements: Vec<EntitlementChange>,
-    /// Number of owed parts that stay as they are.
+    /// Number of entitlements that stay the same.
     pub unchanged: usize,
 }
 
-/// Compares `after` with `before`. A leaving server is open to nobody.
+/// Compares `after` with `before`. No account may use a leaving server.
 pub fn compare(before: &FleetConfig, after: &FleetConfig) -> Comparison {
     let mut result = Comparison::default();
     let accounts: BTreeSet<AccountId> = before
@@ -55,7 +55,10 @@
         .copied()
         .collect();
     for account in accounts {
-        let (old, new) = (open(before, account), open(after, account));
+        let (old, new) = (
+            usable_servers(before, account),
+            usable_servers(after, account),
+        );
         let access = Access {
             gained: new.difference(&old).cloned().collect(),
             lost: old.difference(&new).cloned().collect(),
@@ -67,27 +70,28 @@
             names.extend(name.map(|a| a.name.clone()));
         }
     }
-    compare_owed(before, after, &mut result);
+    compare_entitlements(before, after, &mut result);
     result
 }
 
-fn open(config: &FleetConfig, account: AccountId) -> BTreeSet<Box<str>> {
-    let is_open = |id: ServerId| config.share(account, id).is_some();
+fn usable_servers(config: &FleetConfig, account: AccountId) -> BTreeSet<Box<str>> {
+    let is_usable = |id: ServerId| config.share(account, id).is_some();
     config
         .servers
         .iter()
-        .filter(|(id, server)| !server.leaving && is_open(**id))
+        .filter(|(id, server)| !server.leaving && is_usable(**id))
         .map(|(_, server)| server.name.clone())
         .collect()
 }
 
-fn compare_owed(before: &FleetConfig, after: &FleetConfig, result: &mut Comparison) {
+fn compare_entitlements(before: &FleetConfig, after: &FleetConfig, result: &mut Comparison) {
     let (old, new) = (entitlements(before), entitlements(after));
     let keys: BTreeSet<_> = old.keys().chain(new.keys()).copied().collect();
     for key in keys {
-        let of = |parts: &super::entitlement::Entitlements| parts.get(&key).copied().unwrap_or(0.0);
-        let (was, is) = (of(&old), of(&new));
-        if (is - was).abs() < TOLD {
+        let entitled =
+            |parts: &super::entitlement::Entitlements| parts.get(&key).copied().unwrap_or(0.0);
+        let (old_part, new_part) = (entitled(&old), entitled(&new));
+        if (new_part - old_part).abs() < MIN_CHANGE {
             result.unchanged += 1;
             continue;
         }
@@ -97,8 +101,8 @@
             result.entitlements.push(EntitlementChange {
                 service: service.name.clone(),
                 account: account.name.clone(),
-                before: was,
-                after: is,
+                before: old_part,
+                after: new_part,
             });
         }
     }
@@ -107,7 +111,7 @@
         .sort_by(|a, b| (&a.service, &a.account).cmp(&(&b.service, &b.account)));
 }
 
-/// What in a good configuration looks like a mistake, in words.
+/// Describes what in a valid configuration is probably a mistake.
 pub fn warnings(config: &FleetConfig) -> Vec<String> {
     let mut list = Vec::new();
     for (id, account) in &config.accounts {
@@ -143,23 +147,23 @@
     }
     let of_accounts: Vec<&Selector> = config.grants.iter().map(|g| &g.accounts).collect();
     let of_servers: Vec<&Selector> = config.grants.iter().map(|g| &g.servers).collect();
-    for key in unused(&accounts, &of_accounts) {
+    for key in unused_keys(&accounts, &of_accounts) {
         list.push(format!("label {key} of accounts is used by no selector"));
     }
-    for key in unused(&servers, &of_servers) {
+    for key in unused_keys(&servers, &of_servers) {
         list.push(format!("label {key} of servers is used by no selector"));
     }
     list.sort();
     list
 }
 
-/// Label keys that no selector looks at.
-fn unused<'a>(labels: &[&'a Labels], selectors: &[&Selector]) -> BTreeSet<&'a str> {
+/// Label keys that no selector uses.
+fn unused_keys<'a>(labels: &[&'a Labels], selectors: &[&Selector]) -> BTreeSet<&'a str> {
     let used: BTreeSet<&str> = selectors.iter().flat_map(|s| s.keys()).collect();
     labels
         .iter()
         .flat_map(|l| l.keys())
         .map(|key| &**key)
-        .filter(|key| !used.contains(key) && !IMPLICIT.contains(key))
+        .filter(|key| !used.contains(key) && !IMPLICIT_LABELS.contains(key))
         .collect()
 }
--- a/crates/hawthornmill/src/config/mod.rs
+++ b/crates/hawthornmill/src/config/mod.rs
@@ -1,9 +1,9 @@
 //! The fleet configuration that the platform publishes.
 //!
 //! Operators write `[domain]`, `[account]`, `[service]`, `[server]` and `[grant]` sections in INI
-//! values that the platform serves under one revision. [`accept::accept`] takes all values of a
-//! revision together or refuses them together; its verdict depends on nothing but the values and
-//! the revision in force, so it is the same on every instance.
+//! values that the platform serves under one revision. [`accept::accept`] accepts or rejects all
+//! values of a revision together. The result depends only on the manifest and the values, so it is
+//! the same on every instance.
 
 pub mod accept;
 pub mod compare;
--- a/crates/hawthornmill/src/config/model.rs
+++ b/crates/hawthornmill/src/config/model.rs
@@ -6,10 +6,10 @@
 use crate::ident::{AccountId, DomainId, PoolId, RegionId, ServerId, ServiceId};
 use crate::labels::{Labels, Selector};
 
-/// May a call of a service be run again.
+/// Whether a call of a service may be run again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// A call may be retried while nothing of its answer was passed on.
+    /// A call may be retried until a part of its response was forwarded.
     Allowed,
     /// A call runs at most once and needs an idempotency key.
     Never,
@@ -18,29 +18,30 @@
 /// How a finished call is charged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CostKind {
-    /// What the backend server reports with the answer.
+    /// What the backend server reports with the response.
     Reported,
     /// Milliseconds that the call held its slot.
     Time,
 }
 
-/// What makes an answer whole.
+/// How the end of a complete response is recognized.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Completion {
-    /// The length or end that HTTP names.
+    /// By HTTP framing alone.
     Length,
-    /// A last line with `"done":true` besides.
+    /// By HTTP framing and a last line with `"done":true`.
     DoneLine,
 }
 
-/// Rules for the answers of a service.
+/// Rules for the responses of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResponseRules {
-    /// What makes an answer whole.
+    /// How the end of a complete response is recognized.
     pub completion: Completion,
-    /// A broken answer can be resumed: the field `from` of the request counts lines to leave out.
+    /// An interrupted response can be resumed: the field `from` of the request is the number of
+    /// lines to skip.
     pub resume: bool,
-    /// Longest silence within an answer.
+    /// Longest time without data within a response.
     pub idle_timeout: Duration,
 }
 
@@ -64,15 +65,15 @@
 pub struct Service {
     /// Name in the configuration and in the call path.
     pub name: Box<str>,
-    /// May a call be run again.
+    /// Whether a call may be run again.
     pub retry: RetryPolicy,
     /// How a call is charged.
     pub cost: CostKind,
-    /// Cost assumed of an account's first call, in the service's unit.
+    /// Cost assumed for an account's first call, in the service's unit.
     pub estimate: f64,
-    /// Deadline of a call that names none.
+    /// Timeout of a call without a deadline of its own.
     pub timeout: Duration,
-    /// Rules for its answers.
+    /// Rules for its responses.
     pub response: ResponseRules,
 }
 
@@ -83,11 +84,11 @@
     pub name: Box<str>,
     /// Service that it offers.
     pub service: ServiceId,
-    /// Failure domain in which it stands.
+    /// Failure domain that it is in.
     pub domain: DomainId,
     /// `host:port` of its HTTP interface.
     pub address: Box<str>,
-    /// Requests that it runs at one time.
+    /// Number of requests that it runs concurrently.
     pub slots: u16,
     /// Labels, the implicit `name`, `service`, `domain` and `region` among them.
     pub labels: Labels,
@@ -97,7 +98,7 @@
     pub class: u16,
 }
 
-/// A grant: which accounts may use which servers, and the share each is owed there.
+/// A grant: which accounts may use which servers, and with which share.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Grant {
     /// Name in the configuration.
@@ -110,7 +111,7 @@
     pub share: f64,
 }
 
-/// Servers that the same grants select.
+/// A class of servers: those that the same grants select.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ServerClass {
     /// Share of each account that may use the class: the largest of its grants.
@@ -126,7 +127,7 @@
     pub domain: DomainId,
     /// Region of that failure domain.
     pub region: RegionId,
-    /// Servers in the order of their keys.
+    /// Servers in the order of their identifiers.
     pub servers: Vec<ServerId>,
 }
 
@@ -160,7 +161,7 @@
 }
 
 impl FleetConfig {
-    /// The share of `account` on `server`; none where no grant joins them.
+    /// The share of `account` on `server`; `None` if no grant covers both.
     pub fn share(&self, account: AccountId, server: ServerId) -> Option<f64> {
         let class = self.servers.get(&server)?.class;
         self.class_share(account, class)
@@ -175,14 +176,14 @@
             .copied()
     }
 
-    /// Tells whether any server of `pool` is open to `account`.
+    /// Returns whether `account` may use any server of `pool`.
     pub fn can_use_pool(&self, account: AccountId, pool: PoolId) -> bool {
         self.pools
             .get(&pool)
             .is_some_and(|p| p.servers.iter().any(|s| self.share(account, *s).is_some()))
     }
 
-    /// Tells whether any server of `service` is open to `account`.
+    /// Returns whether `account` may use any server of `service`.
     pub fn can_use_service(&self, account: AccountId, service: ServiceId) -> bool {
         self.pools_by_service
             .get(&service)
--- a/crates/hawthornmill/src/config/parse.rs
+++ b/crates/hawthornmill/src/config/parse.rs
@@ -16,21 +16,21 @@
 use crate::labels::{Labels, Selector, parse_labels};
 
 const KINDS: &[&str] = &["domain", "account", "service", "server", "grant"];
-const DEFAULT_QUEUE: usize = 256;
+const DEFAULT_QUEUE_REQUESTS: usize = 256;
 const DEFAULT_QUEUE_BYTES: usize = 16 << 20;
 const DEFAULT_ESTIMATE: f64 = 100.0;
 const DEFAULT_TIMEOUT_MS: f64 = 30_000.0;
-const DEFAULT_STALL_MS: f64 = 30_000.0;
+const DEFAULT_IDLE_TIMEOUT_MS: f64 = 30_000.0;
 const DEFAULT_SLOTS: f64 = 8.0;
-const MOST_SLOTS: f64 = 4096.0;
-const MOST_SHARE: f64 = 1e6;
+const MAX_SLOTS: f64 = 4096.0;
+const MAX_SHARE: f64 = 1e6;
 
 /// Parses the texts of one revision.
 ///
 /// # Errors
-/// Every fault of every text.
+/// Every error of every text.
 pub fn parse(revision: u64, texts: &[(&str, &str)]) -> Result<FleetConfig, Vec<Diagnostic>> {
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     let mut config = FleetConfig {
         revision,
         ..FleetConfig::default()
@@ -39,26 +39,26 @@
     for (file, text) in texts {
         match parse_sections(file, text) {
             Ok(sections) => parts.extend(sections.into_iter().map(|s| (*file, s))),
-            Err(found) => faults.extend(found),
+            Err(found) => errors.extend(found),
         }
     }
-    // Servers refer to domains and services, so those come first whatever file they stand in.
+    // Servers refer to domains and services, so those are added first, whichever file defines them.
     let mut names = NameRegistry::default();
     for kinds in [&["domain", "account", "service"][..], &["server", "grant"]] {
         for (file, section) in parts.iter().filter(|(_, s)| kinds.contains(&&*s.kind)) {
             let mut reader = Reader::new(file);
-            claim_keys(&mut names, &mut reader, section);
+            register_names(&mut names, &mut reader, section);
             add_section(&mut config, &mut reader, section);
-            faults.extend(reader.diagnostics);
+            errors.extend(reader.diagnostics);
         }
     }
     for (file, section) in parts.iter().filter(|(_, s)| !KINDS.contains(&&*s.kind)) {
         let mut reader = Reader::new(file);
         reader.reject_unknown_section(section, KINDS);
-        faults.extend(reader.diagnostics);
+        errors.extend(reader.diagnostics);
     }
-    if !faults.is_empty() {
-        return Err(faults);
+    if !errors.is_empty() {
+        return Err(errors);
     }
     config.grants.sort_by(|a, b| a.name.cmp(&b.name));
     classify(&mut config);
@@ -66,8 +66,8 @@
     Ok(config)
 }
 
-/// Refuses a section with a name whose key is another's.
-fn claim_keys(names: &mut NameRegistry, reader: &mut Reader<'_>, section: &Section) {
+/// Reports a section whose name has the identifier of another name.
+fn register_names(names: &mut NameRegistry, reader: &mut Reader<'_>, section: &Section) {
     let name = &*section.name;
     let value = |key: &str| section.get(key).map(|e| e.value.clone());
     let mut keys: SmallVec<[(&'static str, u64, Box<str>); 2]> = SmallVec::new();
@@ -89,7 +89,9 @@
     }
     for (kind, key, name) in keys {
         if let Some(other) = names.register(kind, key, &name) {
-            let what = format!("{kind}s `{other}` and `{name}` have one key; rename either");
+            let what = format!(
+                "{kind}s `{other}` and `{name}` have the same identifier; rename one of them"
+            );
             reader.report(Code::KeyCollision, section.line, 0, what);
         }
     }
@@ -119,7 +121,7 @@
     let earlier = config.domains.insert(id, RegionId::of(&region));
     config.region_names.insert(RegionId::of(&region), region);
     config.domain_names.insert(id, section.name.clone());
-    once(reader, section, earlier.is_some());
+    report_duplicate(reader, section, earlier.is_some());
 }
 
 fn add_account(config: &mut FleetConfig, reader: &mut Reader<'_>, section: &Section) {
@@ -138,7 +140,7 @@
         name: section.name.clone(),
         labels,
         token: *token.as_bytes(),
-        max_queue: reader.parse_or(section, "max_queue", DEFAULT_QUEUE),
+        max_queue: reader.parse_or(section, "max_queue", DEFAULT_QUEUE_REQUESTS),
         max_bytes: reader.parse_or(section, "max_bytes", DEFAULT_QUEUE_BYTES),
     };
     if config.tokens.insert(account.token, id).is_some() {
@@ -146,7 +148,7 @@
         reader.report(Code::Duplicate, line, 0, "another account has this token");
     }
     let earlier = config.accounts.insert(id, account);
-    once(reader, section, earlier.is_some());
+    report_duplicate(reader, section, earlier.is_some());
 }
 
 fn add_service(config: &mut FleetConfig, reader: &mut Reader<'_>, section: &Section) {
@@ -178,16 +180,21 @@
         ),
         estimate: reader.number_in(section, "estimate", DEFAULT_ESTIMATE, 0.001..=1e9),
         timeout: Duration::from_secs_f64(timeout / 1000.0),
-        response: answer_rule(reader, section),
+        response: response_rules(reader, section),
     };
     let earlier = config
         .services
         .insert(ServiceId::of(&section.name), service);
-    once(reader, section, earlier.is_some());
+    report_duplicate(reader, section, earlier.is_some());
 }
 
-fn answer_rule(reader: &mut Reader<'_>, section: &Section) -> ResponseRules {
-    let stall = reader.number_in(section, "stall_ms", DEFAULT_STALL_MS, 1.0..=3_600_000.0);
+fn response_rules(reader: &mut Reader<'_>, section: &Section) -> ResponseRules {
+    let idle_timeout = reader.number_in(
+        section,
+        "stall_ms",
+        DEFAULT_IDLE_TIMEOUT_MS,
+        1.0..=3_600_000.0,
+    );
     ResponseRules {
         completion: reader.choice(
             section,
@@ -198,7 +205,7 @@
             ],
         ),
         resume: reader.choice(section, "resume", &[("no", false), ("from", true)]),
-        idle_timeout: Duration::from_secs_f64(stall / 1000.0),
+        idle_timeout: Duration::from_secs_f64(idle_timeout / 1000.0),
     }
 }
 
@@ -216,10 +223,10 @@
     };
     let ids = (ServiceId::of(&service), DomainId::of(&domain));
     if !config.services.contains_key(&ids.0) {
-        unknown(reader, section, "service", &service);
+        report_unknown(reader, section, "service", &service);
     }
     if !config.domains.contains_key(&ids.1) {
-        unknown(reader, section, "domain", &domain);
+        report_unknown(reader, section, "domain", &domain);
     }
     if address.parse::<std::net::SocketAddr>().is_err() {
         let line = section.get("address").map_or(0, |e| e.line);
@@ -239,13 +246,13 @@
         service: ids.0,
         domain: ids.1,
         address,
-        slots: reader.number_in(section, "slots", DEFAULT_SLOTS, 1.0..=MOST_SLOTS) as u16,
+        slots: reader.number_in(section, "slots", DEFAULT_SLOTS, 1.0..=MAX_SLOTS) as u16,
         labels,
         leaving: reader.choice(section, "leaving", &[("no", false), ("yes", true)]),
         class: 0,
     };
     let earlier = config.servers.insert(ServerId::of(&section.name), server);
-    once(reader, section, earlier.is_some());
+    report_duplicate(reader, section, earlier.is_some());
 }
 
 fn add_grant(config: &mut FleetConfig, reader: &mut Reader<'_>, section: &Section) {
@@ -254,11 +261,11 @@
         name: section.name.clone(),
         accounts: selector_of(reader, section, "accounts"),
         servers: selector_of(reader, section, "servers"),
-        share: reader.number_in(section, "share", 1.0, 0.001..=MOST_SHARE),
+        share: reader.number_in(section, "share", 1.0, 0.001..=MAX_SHARE),
     };
     let twice = config.grants.iter().any(|g| g.name == grant.name);
     config.grants.push(grant);
-    once(reader, section, twice);
+    report_duplicate(reader, section, twice);
 }
 
 fn labels_of(reader: &mut Reader<'_>, section: &Section) -> Labels {
@@ -293,28 +300,28 @@
     }
 }
 
-fn once(reader: &mut Reader<'_>, section: &Section, twice: bool) {
+fn report_duplicate(reader: &mut Reader<'_>, section: &Section, twice: bool) {
     if twice {
-        let what = format!("[{} {}] stands twice", section.kind, section.name);
+        let what = format!("[{} {}] is defined twice", section.kind, section.name);
         reader.report(Code::Duplicate, section.line, 0, what);
     }
 }
 
-fn unknown(reader: &mut Reader<'_>, section: &Section, key: &str, name: &str) {
+fn report_unknown(reader: &mut Reader<'_>, section: &Section, key: &str, name: &str) {
     let line = section.get(key).map_or(0, |e| e.line);
     reader.report(
         Code::UnknownReference,
         line,
         0,
-        format!("no {key} is called `{name}`"),
+        format!("no {key} is named `{name}`"),
     );
 }
 
-/// Groups servers that the same grants select, so that a share is looked up by class.
+/// Groups servers that the same grants select, so that shares are looked up by class.
 fn classify(config: &mut FleetConfig) {
     let mut classes: BTreeMap<Vec<usize>, u16> = BTreeMap::new();
     for server in config.servers.values_mut() {
-        let signature: Vec<usize> = config
+        let grant_set: Vec<usize> = config
             .grants
             .iter()
             .enumerate()
@@ -322,15 +329,19 @@
             .map(|(index, _)| index)
             .collect();
         let next = classes.len() as u16;
-        server.class = *classes.entry(signature).or_insert(next);
+        server.class = *classes.entry(grant_set).or_insert(next);
     }
-    let members: Vec<Vec<AccountId>> = config.grants.iter().map(|g| members(config, g)).collect();
+    let granted_accounts: Vec<Vec<AccountId>> = config
+        .grants
+        .iter()
+        .map(|g| granted_accounts(config, g))
+        .collect();
     config.classes = vec![ServerClass::default(); classes.len()];
-    for (signature, class) in classes {
+    for (grant_set, class) in classes {
         let shares = &mut config.classes[usize::from(class)].shares;
-        for index in signature {
+        for index in grant_set {
             let share = config.grants[index].share;
-            for account in &members[index] {
+            for account in &granted_accounts[index] {
                 let entry = shares.entry(*account).or_insert(share);
                 *entry = entry.max(share);
             }
@@ -338,7 +349,7 @@
     }
 }
 
-fn members(config: &FleetConfig, grant: &Grant) -> Vec<AccountId> {
+fn granted_accounts(config: &FleetConfig, grant: &Grant) -> Vec<AccountId> {
     config
         .accounts
         .iter()
--- a/crates/hawthornmill/src/config/revisions.rs
+++ b/crates/hawthornmill/src/config/revisions.rs
@@ -1,4 +1,4 @@
-//! What an instance does about revisions that it does not hold.
+//! Tracks revisions that an instance doesn't have: requested from a peer, or rejected.
 
 use std::time::{Duration, Instant};
 
@@ -6,62 +6,63 @@
 use crate::codes::Code;
 use crate::ini::Diagnostic;
 
-/// Time after which a revision that was asked of a peer is asked again, of whoever names it then.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+/// Time after which a revision is requested again, from the next peer that announces it.
+const REQUEST_RETRY: Duration = Duration::from_millis(500);
 
-/// Revisions that were refused, and the one that a peer was asked for.
+/// The last rejected revision and the one requested from a peer.
 #[derive(Debug, Clone, Default)]
 pub struct RevisionTracker {
-    refused: Option<Manifest>,
-    asked: Option<(u64, Instant)>,
+    rejected: Option<Manifest>,
+    requested: Option<(u64, Instant)>,
 }
 
 impl RevisionTracker {
-    /// Tells whether a peer that names `revision` should be asked for it; a yes is remembered.
+    /// Returns whether to request `revision` from a peer that announces it, and records the request.
     ///
-    /// Every heartbeat and report names a revision. Without this, an instance that is behind would
-    /// ask each peer with each of them and be sent the same values many times over.
+    /// Every heartbeat and report carries a revision. Without this check, an instance that is
+    /// behind would request the same values once for each of them.
     pub fn should_request(&mut self, revision: u64, have: u64, now: Instant) -> bool {
         if revision <= have {
             return false;
         }
-        let waits = self
-            .asked
-            .is_some_and(|(r, at)| r >= revision && now.duration_since(at) < ASK_AGAIN);
-        if waits {
+        let pending = self
+            .requested
+            .is_some_and(|(r, at)| r >= revision && now.duration_since(at) < REQUEST_RETRY);
+        if pending {
             return false;
         }
-        self.asked = Some((revision, now));
+        self.requested = Some((revision, now));
         true
     }
 
-    /// Remembers that `manifest` was refused for `faults`.
+    /// Records that `manifest` was rejected because of `errors`.
     ///
-    /// The verdict on a whole revision never changes, so fetching it again would only load the
-    /// platform. A value that is missing, or of another revision, is no verdict: the platform was
-    /// read in the middle of a change, and the same manifest may be good a moment later.
-    pub fn reject(&mut self, manifest: &Manifest, faults: &[Diagnostic]) {
+    /// A complete revision is always rejected for the same errors, so fetching it again would only
+    /// load the platform. A missing value, or one of another revision, is different: the platform
+    /// was read in the middle of a change, and the same manifest may be valid a moment later.
+    pub fn reject(&mut self, manifest: &Manifest, errors: &[Diagnostic]) {
         let partial = |f: &Diagnostic| matches!(f.code, Code::ValueMissing | Code::DigestMismatch);
-        if !faults.iter().any(partial) {
-            self.refused = Some(manifest.clone());
+        if !errors.iter().any(partial) {
+            self.rejected = Some(manifest.clone());
         }
     }
 
-    /// Tells whether `manifest` was refused before.
+    /// Returns whether `manifest` was rejected before.
     pub fn is_rejected(&self, manifest: &Manifest) -> bool {
-        self.refused.as_ref() == Some(manifest)
+        self.rejected.as_ref() == Some(manifest)
     }
 
-    /// The revision after which a watch waits for news.
+    /// The revision after which to watch the platform for a newer one.
     ///
-    /// A platform that was put back to an older state names revisions below the refused one again;
-    /// `newest` is the revision that it named last, and one that fell lifts the refusal's bound.
+    /// A platform restored from a backup publishes revisions below the rejected one again. `newest`
+    /// is the revision that it published last; if it is lower than the rejected one, the rejected
+    /// one no longer counts.
     pub fn watch_after(&self, have: u64, newest: u64) -> u64 {
-        let refused = self.refused.as_ref().map_or(0, |m| m.revision);
-        if newest < refused {
+        let rejected = self.rejected.as_ref().map_or(0, |m| m.revision);
+        if newest < rejected {
             have
         } else {
-            have.max(refused)
+            have.max(rejected)
         }
     }
 }
--- a/crates/hawthornmill/src/ident.rs
+++ b/crates/hawthornmill/src/ident.rs
@@ -1,8 +1,8 @@
-//! Small `Copy` keys.
+//! Identifiers of instances, accounts, services, servers, failure domains and pools.
 //!
-//! A key on the wire is the first eight bytes of the BLAKE3 hash of a name, so every instance
-//! derives the same key from the same configuration without an agreement on numbers. Two names of
-//! one kind whose keys collide are refused when a configuration is checked.
+//! An identifier is the first eight bytes of the BLAKE3 hash of a name, so every instance derives
+//! the same identifiers from the same configuration without coordination. A configuration in which
+//! two names of one kind have the same identifier is rejected.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,14 +17,14 @@
     u64::from_le_bytes(first)
 }
 
-macro_rules! name_key {
-    ($(#[$doc:meta])* $key:ident, $kind:literal) => {
+macro_rules! name_id {
+    ($(#[$doc:meta])* $id:ident, $kind:literal) => {
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-        pub struct $key(#[serde(with = "postcard::fixint::le")] pub u64);
+        pub struct $id(#[serde(with = "postcard::fixint::le")] pub u64);
 
-        impl $key {
-            /// The key of `name`.
+        impl $id {
+            /// The identifier of `name`.
             pub fn of(name: &str) -> Self {
                 Self(hash_name($kind, name))
             }
@@ -32,33 +32,33 @@
     };
 }
 
-name_key!(
-    /// A router process's place in the fleet; it outlives restarts.
+name_id!(
+    /// An instance of the fleet; the identifier stays the same across restarts.
     InstanceId,
     "instance"
 );
-name_key!(
+name_id!(
     /// A client account.
     AccountId,
     "account"
 );
-name_key!(
+name_id!(
     /// A service that backend servers offer.
     ServiceId,
     "service"
 );
-name_key!(
+name_id!(
     /// A backend server.
     ServerId,
     "server"
 );
-name_key!(
+name_id!(
     /// A failure domain.
     DomainId,
     "domain"
 );
-name_key!(
-    /// A region: failure domains joined by fast links.
+name_id!(
+    /// A region: failure domains connected by fast links.
     RegionId,
     "region"
 );
@@ -80,7 +80,7 @@
 )]
 pub struct Incarnation(#[serde(with = "postcard::fixint::le")] pub u64);
 
-/// A 64-bit finaliser (the one of `SplitMix64`), used for rendezvous scores.
+/// The 64-bit finalizer of `SplitMix64`, used for rendezvous hashing.
 pub fn mix(value: u64) -> u64 {
     let mut z = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/hawthornmill/src/ini.rs
+++ b/crates/hawthornmill/src/ini.rs
@@ -1,8 +1,8 @@
-//! INI text with the line of each section and key.
+//! A strict INI parser that knows the line of each section and key.
 //!
-//! `rust-ini` reads the text; it keeps no positions, so a second pass over the lines finds where
-//! each section and key stands. Settings files and configuration values share this reader, and
-//! both refuse what they do not know instead of passing over it.
+//! `rust-ini` checks the syntax but keeps no positions, so a second pass over the lines locates
+//! each section and key. Settings files and configuration values share this parser; both reject
+//! unknown sections and keys instead of ignoring them.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,23 +13,23 @@
 
 use crate::codes::Code;
 
-/// One fault in an INI text: where it stands and what it is.
+/// An error in a configuration text, with its position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Numbered result.
+    /// Numbered result code.
     pub code: Code,
     /// File or value name.
     pub file: Box<str>,
-    /// Line from 1; 0 where the fault belongs to the whole text.
+    /// Line from 1; 0 if the error concerns the whole text.
     pub line: usize,
-    /// Column from 1; 0 where the fault belongs to the whole line.
+    /// Column from 1; 0 if the error concerns the whole line.
     pub column: usize,
-    /// What is wrong, in words.
+    /// Description of the error.
     pub message: Box<str>,
 }
 
 impl Diagnostic {
-    /// A file that can't be read, and why.
+    /// The diagnostic for a file that can't be read.
     pub fn unreadable(file: &Path, what: &str) -> Self {
         Self {
             code: Code::FileUnreadable,
@@ -57,9 +57,9 @@
 /// A key with its value.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// Key as written.
+    /// Name of the key.
     pub key: Box<str>,
-    /// Value without surrounding blanks.
+    /// Value without surrounding whitespace.
     pub value: Box<str>,
     /// Line from 1.
     pub line: usize,
@@ -67,24 +67,24 @@
     pub column: usize,
 }
 
-/// Longest time that a key in milliseconds can say: an hour.
-const MOST_MS: f64 = 3_600_000.0;
+/// Longest duration that a setting in milliseconds accepts: one hour.
+const MAX_DURATION_MS: f64 = 3_600_000.0;
 
 /// A section `[kind name]` with its keys.
 #[derive(Debug, Clone)]
 pub struct Section {
     /// First word of the header.
     pub kind: Box<str>,
-    /// The rest of the header; empty where there is none.
+    /// The rest of the header; empty if there is none.
     pub name: Box<str>,
     /// Line of the header, from 1.
     pub line: usize,
-    /// Keys in the order of the text.
+    /// Keys in file order.
     pub entries: Vec<Entry>,
 }
 
 impl Section {
-    /// The first section of `kind`, or one without keys where there is none.
+    /// The first section of `kind`, or an empty one if there is none.
     pub fn first_or_empty(sections: &[Self], kind: &str) -> Self {
         let found = sections.iter().find(|s| &*s.kind == kind).cloned();
         found.unwrap_or_else(|| Self {
@@ -101,10 +101,10 @@
     }
 }
 
-/// Reads `text` into sections.
+/// Parses `text` into sections.
 ///
 /// # Errors
-/// Every fault of the text: syntax, keys outside a section, sections or keys that stand twice.
+/// Every error of the text: syntax, keys outside a section, duplicate sections or keys.
 pub fn parse_sections(file: &str, text: &str) -> Result<Vec<Section>, Vec<Diagnostic>> {
     let option = ParseOption {
         enabled_quote: false,
@@ -120,18 +120,18 @@
             message: error.msg.to_string().into(),
         }]);
     }
-    let (sections, mut faults) = locate(file, text);
-    faults.extend(duplicates(file, &sections));
-    if faults.is_empty() {
+    let (sections, mut errors) = locate_sections(file, text);
+    errors.extend(duplicates(file, &sections));
+    if errors.is_empty() {
         Ok(sections)
     } else {
-        Err(faults)
+        Err(errors)
     }
 }
 
-fn locate(file: &str, text: &str) -> (Vec<Section>, Vec<Diagnostic>) {
+fn locate_sections(file: &str, text: &str) -> (Vec<Section>, Vec<Diagnostic>) {
     let mut sections: Vec<Section> = Vec::new();
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for (index, raw) in text.lines().enumerate() {
         let line = raw.trim();
         if line.is_empty() || line.starts_with(['#', ';']) {
@@ -142,7 +142,7 @@
             continue;
         }
         let Some((key, value)) = line.split_once('=') else {
-            faults.push(syntax(
+            errors.push(syntax(
                 file,
                 index + 1,
                 "line is neither a section nor a key",
@@ -150,7 +150,7 @@
             continue;
         };
         let Some(section) = sections.last_mut() else {
-            faults.push(syntax(file, index + 1, "key stands before any section"));
+            errors.push(syntax(file, index + 1, "key before the first section"));
             continue;
         };
         let start = raw.find('=').unwrap_or(0) + 1;
@@ -162,7 +162,7 @@
             column: start + blank + 1,
         });
     }
-    (sections, faults)
+    (sections, errors)
 }
 
 fn new_section(header: &str, line: usize) -> Section {
@@ -186,25 +186,25 @@
 }
 
 fn duplicates(file: &str, sections: &[Section]) -> Vec<Diagnostic> {
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     let mut headers = std::collections::BTreeMap::new();
     for section in sections {
         if let Some(first) = headers.insert((&section.kind, &section.name), section.line) {
             let what = format!(
-                "section [{} {}] stands already at line {first}",
+                "section [{} {}] is already defined at line {first}",
                 section.kind, section.name
             );
-            faults.push(duplicate(file, section.line, what));
+            errors.push(duplicate(file, section.line, what));
         }
         let mut keys = std::collections::BTreeMap::new();
         for entry in &section.entries {
             if let Some(first) = keys.insert(&entry.key, entry.line) {
-                let what = format!("key `{}` stands already at line {first}", entry.key);
-                faults.push(duplicate(file, entry.line, what));
+                let what = format!("key `{}` is already defined at line {first}", entry.key);
+                errors.push(duplicate(file, entry.line, what));
             }
         }
     }
-    faults
+    errors
 }
 
 fn duplicate(file: &str, line: usize, what: String) -> Diagnostic {
@@ -217,19 +217,19 @@
     }
 }
 
-/// Reads typed values out of sections and collects every fault on the way.
+/// Reads typed values from sections and collects every error.
 #[derive(Debug)]
 pub struct Reader<'a> {
     file: &'a str,
-    /// Faults found so far.
+    /// Errors found so far.
     pub diagnostics: Vec<Diagnostic>,
 }
 
 impl<'a> Reader<'a> {
-    /// Reads `text` into sections and notes those of a kind that is not in `kinds`.
+    /// Parses `text` into sections and reports those of a kind that is not in `kinds`.
     ///
     /// # Errors
-    /// As [`read`].
+    /// As for [`parse_sections`].
     pub fn open(
         file: &'a str,
         text: &str,
@@ -243,7 +243,7 @@
         Ok((reader, sections))
     }
 
-    /// A reader for the text called `file`.
+    /// A reader for the text named `file`.
     pub fn new(file: &'a str) -> Self {
         Self {
             file,
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Notes a fault.
+    /// Adds a diagnostic.
     pub fn report(&mut self, code: Code, line: usize, column: usize, what: impl Into<Box<str>>) {
         self.diagnostics.push(Diagnostic {
             code,
@@ -262,27 +262,31 @@
         });
     }
 
-    /// Refuses keys of `section` that are not in `known`, each with the nearest known key.
+    /// Reports keys of `section` that are not in `known`, each with the most similar known key.
     pub fn reject_unknown_keys(&mut self, section: &Section, known: &[&str]) {
         for entry in &section.entries {
             if !known.contains(&&*entry.key) {
-                let what = format!("unknown key `{}`{}", entry.key, nearest(&entry.key, known));
+                let what = format!(
+                    "unknown key `{}`{}",
+                    entry.key,
+                    suggestion(&entry.key, known)
+                );
                 self.report(Code::UnknownKey, entry.line, 0, what);
             }
         }
     }
 
-    /// Refuses a section of a kind that is not in `known`.
+    /// Reports a section of a kind that is not in `known`.
     pub fn reject_unknown_section(&mut self, section: &Section, known: &[&str]) {
         let what = format!(
             "unknown section [{}]{}",
             section.kind,
-            nearest(&section.kind, known)
+            suggestion(&section.kind, known)
         );
         self.report(Code::UnknownSection, section.line, 0, what);
     }
 
-    /// The value of `key`, or a fault where it is missing.
+    /// The value of `key`; reports it if it is missing.
     pub fn required(&mut self, section: &Section, key: &str) -> Option<Box<str>> {
         let found = section.get(key).map(|e| e.value.clone());
         if found.is_none() {
@@ -292,7 +296,7 @@
         found
     }
 
-    /// The value of `key` as a `T`, or `default` where the key is missing.
+    /// The value of `key` as a `T`, or `default` if the key is missing or can't be parsed.
     pub fn parse_or<T: std::str::FromStr>(
         &mut self,
         section: &Section,
@@ -310,7 +314,7 @@
         default
     }
 
-    /// The value of `key` if it lies in `[least, most]`, else a fault and `default`.
+    /// The value of `key` if it is within `bounds`; otherwise reports it and returns `default`.
     pub fn number_in(
         &mut self,
         section: &Section,
@@ -328,13 +332,13 @@
         default
     }
 
-    /// The value of `key` in milliseconds, from one to an hour.
+    /// The value of `key` in milliseconds, at least 1 and at most one hour.
     pub fn millis(&mut self, section: &Section, key: &str, default: f64) -> Duration {
-        let value = self.number_in(section, key, default, 1.0..=MOST_MS);
+        let value = self.number_in(section, key, default, 1.0..=MAX_DURATION_MS);
         Duration::from_secs_f64(value / 1000.0)
     }
 
-    /// The value of `key` as `IP:port`, or a fault where it is missing or something else.
+    /// The value of `key` as `IP:port`; reports it if it is missing or malformed.
     pub fn address(&mut self, section: &Section, key: &str) -> Option<SocketAddr> {
         let value = self.required(section, key)?;
         let address = value.parse().ok();
@@ -346,8 +350,9 @@
         address
     }
 
-    /// 32 bytes as hexadecimal digits, where `key` stands; a fault doesn't repeat them, since they may
-    /// be secret.
+    /// The value of `key` as 32 bytes in hexadecimal, if present.
+    ///
+    /// The diagnostic doesn't repeat the value, since it may be secret.
     pub fn hex_bytes(&mut self, section: &Section, key: &str) -> Option<[u8; 32]> {
         let entry = section.get(key)?;
         if let Ok(hash) = blake3::Hash::from_hex(entry.value.as_bytes()) {
@@ -358,10 +363,10 @@
         None
     }
 
-    /// What was read, unless there are faults.
+    /// Returns `value` unless errors were reported.
     ///
     /// # Errors
-    /// Every fault noted so far.
+    /// Every error reported so far.
     pub fn finish<T>(self, value: T) -> Result<T, Vec<Diagnostic>> {
         if self.diagnostics.is_empty() {
             Ok(value)
@@ -370,22 +375,22 @@
         }
     }
 
-    /// The value of `key` as one of `words`, or the first word where the key is missing.
-    pub fn choice<T: Copy>(&mut self, section: &Section, key: &str, words: &[(&str, T)]) -> T {
+    /// The value of `key` as one of `choices`, or the first of them if the key is missing.
+    pub fn choice<T: Copy>(&mut self, section: &Section, key: &str, choices: &[(&str, T)]) -> T {
         let Some(entry) = section.get(key) else {
-            return words[0].1;
+            return choices[0].1;
         };
-        if let Some((_, value)) = words.iter().find(|(w, _)| *w == &*entry.value) {
+        if let Some((_, value)) = choices.iter().find(|(w, _)| *w == &*entry.value) {
             return *value;
         }
-        let names: Vec<&str> = words.iter().map(|(w, _)| *w).collect();
+        let names: Vec<&str> = choices.iter().map(|(w, _)| *w).collect();
         let what = format!("`{key}` must be one of: {}", names.join(", "));
         self.report(Code::BadValue, entry.line, entry.column, what);
-        words[0].1
+        choices[0].1
     }
 }
 
-fn nearest(word: &str, known: &[&str]) -> String {
+fn suggestion(word: &str, known: &[&str]) -> String {
     known
         .iter()
         .map(|k| (strsim::damerau_levenshtein(word, k), k))
--- a/crates/hawthornmill/src/keys/table.rs
+++ b/crates/hawthornmill/src/keys/table.rs
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Claims `key`; [`Claim::Run`] is said once for each key.
+    /// Claims `key`; [`ClaimResult::Run`] is said once for each key.
     pub fn claim(&mut self, key: &AccountKey, usage: KeyUse) -> ClaimResult {
         if let Some(claim) = self.get(key, usage.digest) {
             return claim;
--- a/crates/hawthornmill/src/labels.rs
+++ b/crates/hawthornmill/src/labels.rs
@@ -12,18 +12,18 @@
 /// Labels of an account or a backend server.
 pub type Labels = BTreeMap<Box<str>, Box<str>>;
 
-/// Why a selector or a label list doesn't parse.
+/// Why a selector or a label list can't be parsed.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(display("column {column}: {message}"))]
 pub struct SelectorError {
     /// Column from 1 within the text.
     pub column: usize,
-    /// What is wrong.
+    /// Description of the error.
     pub message: Box<str>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Test {
+enum Condition {
     Exists,
     Absent,
     In(SmallVec<[Box<str>; 2]>),
@@ -33,10 +33,10 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Term {
     key: Box<str>,
-    test: Test,
+    condition: Condition,
 }
 
-/// A conjunction of tests on labels.
+/// A conjunction of conditions on labels.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Selector {
     terms: SmallVec<[Term; 2]>,
@@ -46,7 +46,7 @@
     /// Parses `text`.
     ///
     /// # Errors
-    /// The first fault with its column.
+    /// The first error with its column.
     pub fn parse(text: &str) -> Result<Self, SelectorError> {
         let mut terms = SmallVec::new();
         if text.trim().is_empty() {
@@ -58,12 +58,12 @@
         Ok(Self { terms })
     }
 
-    /// Tells whether `labels` pass every term.
+    /// Returns whether `labels` satisfy every term.
     pub fn matches(&self, labels: &Labels) -> bool {
         self.terms.iter().all(|t| t.matches(labels))
     }
 
-    /// The label keys that the selector looks at.
+    /// The label keys that the selector uses.
     pub fn keys(&self) -> impl Iterator<Item = &str> {
         self.terms.iter().map(|t| &*t.key)
     }
@@ -72,11 +72,11 @@
 impl Term {
     fn matches(&self, labels: &Labels) -> bool {
         let value = labels.get(&self.key);
-        match &self.test {
-            Test::Exists => value.is_some(),
-            Test::Absent => value.is_none(),
-            Test::In(set) => value.is_some_and(|v| set.contains(v)),
-            Test::NotIn(set) => value.is_none_or(|v| !set.contains(v)),
+        match &self.condition {
+            Condition::Exists => value.is_some(),
+            Condition::Absent => value.is_none(),
+            Condition::In(set) => value.is_some_and(|v| set.contains(v)),
+            Condition::NotIn(set) => value.is_none_or(|v| !set.contains(v)),
         }
     }
 }
@@ -119,23 +119,23 @@
         return Err(error(at, "empty term"));
     }
     if let Some(key) = term.strip_prefix('!') {
-        return new_term(at + 1, key, Test::Absent);
+        return new_term(at + 1, key, Condition::Absent);
     }
     if let Some((key, value)) = term.split_once("!=") {
         let values = one_value(at + key.len() + 2, value)?;
-        return new_term(at, key, Test::NotIn(values));
+        return new_term(at, key, Condition::NotIn(values));
     }
     if let Some((key, value)) = term.split_once('=') {
         let value = value.strip_prefix('=').unwrap_or(value);
         let values = one_value(at + key.len() + 1, value)?;
-        return new_term(at, key, Test::In(values));
+        return new_term(at, key, Condition::In(values));
     }
     parse_set(at, term)
 }
 
 fn parse_set(at: usize, term: &str) -> Result<Term, SelectorError> {
     let Some((head, list)) = term.split_once('(') else {
-        return new_term(at, term, Test::Exists);
+        return new_term(at, term, Condition::Exists);
     };
     let list_at = at + head.len() + 1;
     let Some(list) = list.strip_suffix(')') else {
@@ -148,8 +148,8 @@
         value_at += value.len() + 1;
     }
     match head.trim().rsplit_once(char::is_whitespace) {
-        Some((key, "in")) => new_term(at, key, Test::In(values)),
-        Some((key, "notin")) => new_term(at, key, Test::NotIn(values)),
+        Some((key, "in")) => new_term(at, key, Condition::In(values)),
+        Some((key, "notin")) => new_term(at, key, Condition::NotIn(values)),
         _ => Err(error(at, "a list needs `key in` or `key notin` before it")),
     }
 }
@@ -160,12 +160,12 @@
     Ok(SmallVec::from_iter([Box::from(value)]))
 }
 
-fn new_term(at: usize, key: &str, test: Test) -> Result<Term, SelectorError> {
+fn new_term(at: usize, key: &str, condition: Condition) -> Result<Term, SelectorError> {
     let key = key.trim();
     check_word(at, key)?;
     Ok(Term {
         key: key.into(),
-        test,
+        condition,
     })
 }
 
@@ -175,7 +175,10 @@
     }
     let allowed = |c: char| c.is_alphanumeric() || matches!(c, '-' | '_' | '.' | '/');
     match word.char_indices().find(|(_, c)| !allowed(*c)) {
-        Some((index, c)) => Err(error(at + index, format!("`{c}` can't stand in a word"))),
+        Some((index, c)) => Err(error(
+            at + index,
+            format!("invalid character `{c}` in a key or value"),
+        )),
         None => Ok(()),
     }
 }
@@ -183,7 +186,7 @@
 /// Parses a label list, `key=value, key=value`.
 ///
 /// # Errors
-/// The first fault with its column.
+/// The first error with its column.
 pub fn parse_labels(text: &str) -> Result<Labels, SelectorError> {
     let mut labels = Labels::new();
     if text.trim().is_empty() {
--- a/crates/hawthornmill/src/lib.rs
+++ b/crates/hawthornmill/src/lib.rs
@@ -1,21 +1,21 @@
-//! Decisions of the hawthornmill router fleet, free of input and output.
+//! Decision logic of the hawthornmill router fleet, without I/O.
 //!
-//! Every instance runs the same daemon. What it knows and what it has decided stands on one
-//! [`board::Board`]: the accepted configuration, the members, the queues of waiting requests, the
-//! pools that this instance owns, the fairness ledger, and the messages that wait to be sent.
-//! Controllers are plain functions that read and write the board and take `now` as an argument, so
-//! a decision can be driven in microseconds, in a fixed order, without a socket.
+//! Every instance runs the same daemon. Its state is one [`board::Board`]: the accepted
+//! configuration, the members, the queues of waiting requests, the pools that this instance owns,
+//! the fairness ledger, and the outgoing messages. Controllers are plain functions that read and
+//! update the board and take `now` as an argument, so tests run them in a fixed order, without
+//! sockets and without waiting.
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`config`] | fleet configuration: parsing, acceptance, who may use which backend server |
+//! | [`config`] | fleet configuration: parsing, validation, which account may use which backend server |
 //! | [`fairness`] | normalised service per client account, charged and exchanged |
 //! | [`pools`] | owners of pools, slots, grants, and the queues at the entry |
-//! | [`limits`] | bounds on what waits, retry budgets, when to come back |
+//! | [`limits`] | queue bounds, retry budgets, retry delays |
 //! | [`membership`] | who is live, leaving or dead, and who owns or relays what |
-//! | [`keys`] | at-most-once calls: key prefixes and the table of a home |
+//! | [`keys`] | at-most-once calls: idempotency keys and the table of their home instance |
 //! | [`notes`] | events that operators should read in the log |
-//! | [`routing`] | the gateway: routes, registered servers, placement, letting in |
+//! | [`routing`] | the gateway: routes, registered servers, placement, admission |
 //! | [`usage`] | one record for each finished request |
 //! | [`wire`] | typed messages between instances and their authenticated frames |
 
--- a/crates/hawthornmill/src/pools/queue.rs
+++ b/crates/hawthornmill/src/pools/queue.rs
@@ -33,7 +33,7 @@
 /// Puts a request into its account's queue.
 ///
 /// # Errors
-/// [`Code::QueueFull`], [`Code::QueueLate`] or [`Code::InstanceFull`]; the request was not run.
+/// [`Code::QueueFull`], [`Code::QueueTooLong`] or [`Code::InstanceFull`]; the request was not run.
 pub fn enqueue(board: &mut Board, arrival: Arrival, now: Instant) -> Result<RequestKey, Code> {
     check_account(board, &arrival)?;
     let ahead = waiting(board, arrival.service, arrival.account);
--- a/crates/hawthornmill/src/response.rs
+++ b/crates/hawthornmill/src/response.rs
@@ -1,23 +1,24 @@
-//! Whole and broken answers.
+//! Complete and interrupted responses of model engines.
 //!
-//! HTTP framing tells that a connection ended in order, not that a model engine said all that it had
-//! to say. [`Lines`] follows an answer that is made of lines and knows whether its last line came,
-//! and from which line on a broken one can be resumed; [`ResumeFilter`] joins the resumed part on.
+//! HTTP framing shows that a connection ended in order, not that a model engine sent its whole
+//! output. [`ResponseLines`] tracks a response made of lines: whether its last line arrived, and
+//! from which line an interrupted response can be resumed. [`ResumeFilter`] removes from the
+//! resumed response what the client already has.
 
-/// Longest line that is followed; an answer with a longer one can't be resumed.
-const LINE_LIMIT: usize = 64 << 10;
+/// Longest line that is tracked; a response with a longer one can't be resumed.
+const MAX_LINE_BYTES: usize = 64 << 10;
 
-/// Lines of an answer, as far as it was passed on.
+/// Lines of a response, as far as it was forwarded.
 #[derive(Debug, Clone, Default)]
 pub struct ResponseLines {
     count: u64,
     partial: Vec<u8>,
     done: bool,
-    long: bool,
+    too_long: bool,
 }
 
 impl ResponseLines {
-    /// Takes the next part of the answer.
+    /// Adds the next part of the response.
     pub fn push(&mut self, mut chunk: &[u8]) {
         while let Some(end) = chunk.iter().position(|b| *b == b'\n') {
             self.extend(&chunk[..end]);
@@ -30,30 +31,31 @@
     }
 
     fn extend(&mut self, part: &[u8]) {
-        if self.partial.len() + part.len() > LINE_LIMIT {
-            self.long = true;
+        if self.partial.len() + part.len() > MAX_LINE_BYTES {
+            self.too_long = true;
             return;
         }
         self.partial.extend_from_slice(part);
     }
 
-    /// Tells whether the last line says that the answer is done; it may lack its line end.
+    /// Returns whether the last line marks the end of the response; its line end may be missing.
     pub fn is_complete(&self) -> bool {
         if self.partial.is_empty() {
             self.done
         } else {
-            is_done(&self.partial) && is_closed(&self.partial)
+            is_done(&self.partial) && is_balanced(&self.partial)
         }
     }
 
-    /// Whole lines passed on, and the bytes of the line after them; none when a line was too long.
+    /// Number of complete lines forwarded and the bytes after them; `None` if a line was too long.
     pub fn resume_point(&self) -> Option<(u64, &[u8])> {
-        (!self.long).then_some((self.count, &self.partial))
+        (!self.too_long).then_some((self.count, &self.partial))
     }
 }
 
-/// A quote within a JSON string stands behind a backslash, so that no text that a model wrote looks
-/// like the field itself.
+/// Returns whether `line` has `"done": true`.
+///
+/// A quote within a JSON string is escaped, so generated in_string can't look like the field itself.
 fn is_done(line: &[u8]) -> bool {
     let field = b"\"done\":";
     let Some(at) = line.windows(field.len()).position(|w| w == field) else {
@@ -64,39 +66,39 @@
         .starts_with(b"true")
 }
 
-/// Tells whether the object on a line without its line end is all there: a cut may fall between the
-/// field that says `done` and the end of its line.
-fn is_closed(line: &[u8]) -> bool {
-    let (mut depth, mut text, mut escaped) = (0, false, false);
+/// Returns whether the JSON object on a line without its line end is complete: the connection may
+/// be cut between the `done` field and the end of its line.
+fn is_balanced(line: &[u8]) -> bool {
+    let (mut depth, mut in_string, mut escaped) = (0, false, false);
     for byte in line {
         match byte {
             _ if escaped => escaped = false,
-            b'\\' if text => escaped = true,
-            b'"' => text = !text,
-            b'{' | b'[' if !text => depth += 1,
-            b'}' | b']' if !text => depth -= 1,
+            b'\\' if in_string => escaped = true,
+            b'"' => in_string = !in_string,
+            b'{' | b'[' if !in_string => depth += 1,
+            b'}' | b']' if !in_string => depth -= 1,
             _ => {}
         }
     }
-    depth == 0 && !text && line.trim_ascii_end().ends_with(b"}")
+    depth == 0 && !in_string && line.trim_ascii_end().ends_with(b"}")
 }
 
-/// Leaves out of a resumed answer what was passed on already.
+/// Removes from a resumed response what was already forwarded.
 #[derive(Debug, Clone, Default)]
 pub struct ResumeFilter {
     expected: Vec<u8>,
 }
 
 impl ResumeFilter {
-    /// The resumed answer begins with `passed`.
-    pub fn new(passed: &[u8]) -> Self {
+    /// Expects the resumed response to begin with `forwarded`.
+    pub fn new(forwarded: &[u8]) -> Self {
         Self {
-            expected: passed.to_vec(),
+            expected: forwarded.to_vec(),
         }
     }
 
-    /// Number of bytes at the start of `chunk` to leave out; none when they differ from what was
-    /// passed on, so that the two parts are not of one answer.
+    /// Number of bytes to skip at the start of `chunk`; `None` if they differ from what was
+    /// forwarded, so that the two parts don't belong to one response.
     pub fn skip(&mut self, chunk: &[u8]) -> Option<usize> {
         let count = self.expected.len().min(chunk.len());
         if self.expected[..count] != chunk[..count] {
@@ -106,7 +108,7 @@
         Some(count)
     }
 
-    /// Tells whether all that was passed on before has come again.
+    /// Returns whether everything that was forwarded before has been received again.
     pub fn is_done(&self) -> bool {
         self.expected.is_empty()
     }
--- a/tests/testsuite/labels.rs
+++ b/tests/testsuite/labels.rs
@@ -30,7 +30,7 @@
     };
 
     insta::assert_snapshot!(fault("size=small,,x"), @"column 12: empty term");
-    insta::assert_snapshot!(fault("size=sm all"), @"column 8: ` ` can't stand in a word");
+    insta::assert_snapshot!(fault("size=sm all"), @"column 8: invalid character ` ` in a key or value");
     insta::assert_snapshot!(fault("region in (a,b"), @"column 11: `(` is never closed");
     insta::assert_snapshot!(fault("region of (a)"), @"column 1: a list needs `key in` or `key notin` before it");
     insta::assert_snapshot!(fault("a=b)"), @"column 4: `)` without `(`");
--- a/tests/testsuite/settings.rs
+++ b/tests/testsuite/settings.rs
@@ -54,8 +54,8 @@
 
     insta::assert_snapshot!(refused(&text), @r"
     fleet:86:20: error 2001: `(` is never closed
-    fleet:91: error 2002: no service is called `nothing`
-    fleet:92: error 2002: no domain is called `nowhere`
+    fleet:91: error 2002: no service is named `nothing`
+    fleet:92: error 2002: no domain is named `nowhere`
     ");
 }
 
@@ -69,7 +69,7 @@
 
     let faults = accept(&revision, &half).expect_err("half a value");
 
-    insta::assert_snapshot!(words(&faults), @"fleet: error 2004: text is not the manifest's");
+    insta::assert_snapshot!(words(&faults), @"fleet: error 2004: the digest differs from the manifest");
 }
 
 #[test]
