--- a/crates/hawthornmill/src/config/compare.rs
+++ b/crates/hawthornmill/src/config/compare.rs
@@ -7,7 +7,7 @@
 use crate::ident::{AccountId, ServerId};
 use crate::labels::{Labels, Selector};
 
-/// Labels that every server has, so that an unused_keys one is no mistake.
+/// Labels that every server has, so that an unused one is no mistake.
 const IMPLICIT_LABELS: &[&str] = &["name", "service", "domain", "region"];
 /// Smallest change of an entitlement that is reported, as a fraction of the service.
 const MIN_CHANGE: f64 = 0.001;
--- a/crates/hawthornmill/src/keys/mod.rs
+++ b/crates/hawthornmill/src/keys/mod.rs
@@ -1,9 +1,10 @@
 //! At-most-once calls.
 //!
-//! Discovery hands out a key *prefix* that is bound to one process run of one instance, the home.
-//! Callers make keys `<prefix>.<suffix>`; any instance passes a call to the home of its key, and
-//! only the home may run it, once. [`prefix`] makes and reads prefixes, [`table`] is the home's
-//! memory. No clock but the home's own and no shared store is needed.
+//! Discovery issues an idempotency key *prefix* that is bound to one process run of one instance,
+//! the home of its keys. Clients make keys `<prefix>.<suffix>`; every instance forwards a call to
+//! the home of its key, and only the home may run it, once. [`prefix`] issues and verifies
+//! prefixes, [`table`] holds the state of the home's keys. This needs no shared store and no clock
+//! but the home's own.
 
 pub mod prefix;
 pub mod table;
--- a/crates/hawthornmill/src/keys/prefix.rs
+++ b/crates/hawthornmill/src/keys/prefix.rs
@@ -1,4 +1,4 @@
-//! Key prefixes.
+//! Prefixes of idempotency keys.
 
 use std::time::Duration;
 
@@ -6,35 +6,36 @@
 
 use crate::ident::{Incarnation, InstanceId};
 
-const TAG: &str = "h1";
+/// Version of the prefix format.
+const FORMAT: &str = "h1";
 const MAC_CHARS: usize = 16;
-/// Most characters of a suffix.
+/// Maximum length of a suffix.
 pub const MAX_SUFFIX_CHARS: usize = 64;
 
-/// A key prefix: the home that made it and when, by that home's own clock.
+/// A key prefix: the home that issued it and when, by that home's own clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyPrefix {
     /// Home instance.
     pub home: InstanceId,
     /// Process run of the home.
     pub incarnation: Incarnation,
-    /// Seconds since that run began.
+    /// Seconds from the start of that run until the prefix was issued.
     pub issued_secs: u32,
 }
 
-/// Why a key can't be used.
+/// Why a key is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum KeyError {
-    /// Not `<prefix>.<suffix>` in the expected characters.
+    /// Not `<prefix>.<suffix>` in the allowed characters.
     #[snafu(display("malformed key"))]
     Malformed,
-    /// The prefix was not made by this fleet.
+    /// The prefix was not issued by this fleet: its MAC is wrong.
     #[snafu(display("foreign key"))]
     UnknownIssuer,
 }
 
 impl KeyPrefix {
-    /// The prefix as callers see it.
+    /// The prefix as text, authenticated with `key`.
     pub fn encode(&self, key: &[u8; 32]) -> Box<str> {
         let body = self.body();
         let mac = mac(key, &body);
@@ -43,37 +44,37 @@
 
     fn body(&self) -> String {
         format!(
-            "{TAG}-{:016x}-{:016x}-{:x}",
+            "{FORMAT}-{:016x}-{:016x}-{:x}",
             self.home.0, self.incarnation.0, self.issued_secs
         )
     }
 
-    /// Splits a caller's key into its prefix and suffix.
+    /// Splits a client's key into its verified prefix and the suffix.
     ///
     /// # Errors
     /// [`KeyError::Malformed`] or [`KeyError::UnknownIssuer`].
     pub fn parse_key(key: &[u8; 32], text: &str) -> Result<(Self, Box<str>), KeyError> {
         let (prefix, suffix) = text.split_once('.').ok_or(KeyError::Malformed)?;
-        let good = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
-        if suffix.is_empty() || suffix.len() > MAX_SUFFIX_CHARS || !suffix.chars().all(good) {
+        let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
+        if suffix.is_empty() || suffix.len() > MAX_SUFFIX_CHARS || !suffix.chars().all(allowed) {
             return Err(KeyError::Malformed);
         }
-        let (body, code) = prefix.rsplit_once('-').ok_or(KeyError::Malformed)?;
+        let (body, actual) = prefix.rsplit_once('-').ok_or(KeyError::Malformed)?;
         let parsed = parse(body).ok_or(KeyError::Malformed)?;
         let expected = mac(key, &parsed.body());
-        let same = code.len() == expected.len()
-            && code
+        let equal = actual.len() == expected.len()
+            && actual
                 .bytes()
                 .zip(expected.bytes())
                 .fold(0, |acc, (a, b)| acc | (a ^ b))
                 == 0;
-        if !same {
+        if !equal {
             return Err(KeyError::UnknownIssuer);
         }
         Ok((parsed, suffix.into()))
     }
 
-    /// Tells whether the prefix is older than `ttl` at `age`, the home's time since its start.
+    /// Returns whether the prefix is older than `ttl`; `age` is the time since the home started.
     pub fn is_expired(&self, age: Duration, ttl: Duration) -> bool {
         age > Duration::from_secs(u64::from(self.issued_secs)) + ttl
     }
@@ -81,17 +82,17 @@
 
 fn parse(body: &str) -> Option<KeyPrefix> {
     let mut parts = body.split('-');
-    if parts.next() != Some(TAG) {
+    if parts.next() != Some(FORMAT) {
         return None;
     }
     let home = u64::from_str_radix(parts.next()?, 16).ok()?;
     let run = u64::from_str_radix(parts.next()?, 16).ok()?;
-    let made = u32::from_str_radix(parts.next()?, 16).ok()?;
-    let whole = parts.next().is_none();
-    whole.then_some(KeyPrefix {
+    let issued = u32::from_str_radix(parts.next()?, 16).ok()?;
+    let complete = parts.next().is_none();
+    complete.then_some(KeyPrefix {
         home: InstanceId(home),
         incarnation: Incarnation(run),
-        issued_secs: made,
+        issued_secs: issued,
     })
 }
 
--- a/crates/hawthornmill/src/keys/table.rs
+++ b/crates/hawthornmill/src/keys/table.rs
@@ -1,4 +1,4 @@
-//! The home's memory of its keys.
+//! The table of idempotency keys that an instance is home to.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -6,228 +6,228 @@
 use crate::codes::Code;
 use crate::ident::AccountId;
 
-/// Part of the table that one account may fill: one in so many rows.
-const ACCOUNT_PART: usize = 4;
+/// One account may fill one in this many rows of the table.
+const ACCOUNT_DIVISOR: usize = 4;
 
-/// An answer that is kept for a repeated key.
+/// A response stored for repeated calls with the same key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
-    /// Value of `Content-Type`, if there was one.
+    /// Value of `Content-Type`, if present.
     pub content_type: Option<Box<str>>,
     /// Body.
     pub body: Box<[u8]>,
-    /// Request id under which it ran.
+    /// Id of the request that ran.
     pub request_id: Box<str>,
 }
 
-/// What is known of a key.
+/// State of the call with a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Mark {
+enum CallState {
     Running,
     Ran(Option<StoredResponse>),
     Unknown,
-    Refused(Code),
+    Rejected(Code),
 }
 
 #[derive(Debug, Clone)]
 struct Row {
-    mark: Mark,
-    forget: Instant,
+    state: CallState,
+    expires_at: Instant,
     digest: [u8; 32],
 }
 
-/// What a call with a key may do.
+/// What to do with a call that has a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimResult {
-    /// First use: run it, and say how it ended.
+    /// First use: run the call and record its result.
     Run,
-    /// The call runs now.
+    /// The call is running.
     InProgress,
-    /// It ran, and this was the answer.
+    /// The call ran with this response.
     Replay(StoredResponse),
-    /// It ran; the answer is no longer kept.
+    /// The call ran; its response is no longer stored.
     Discarded,
-    /// It may or may not have run.
+    /// The call may or may not have run.
     Unknown,
     /// The key was used for a different request.
     Mismatch,
-    /// It was refused with this code before a byte left; it never runs under this key.
+    /// The call was rejected with this code before it was sent; it never runs under this key.
     Rejected(Code),
-    /// No room to remember a new key; this one never runs.
+    /// The table has no room for a new key; this one never runs.
     Full,
 }
 
 /// A use of a key.
 #[derive(Debug, Clone, Copy)]
 pub struct KeyUse {
-    /// Seconds of the home's run at which the key's prefix was made.
+    /// Seconds from the start of the home's run until the key's prefix was issued.
     pub issued_secs: u32,
     /// Digest of the request's content.
     pub digest: [u8; 32],
-    /// Until when the key's mark must stay.
+    /// Time until which the table must remember the key.
     pub expires_at: Instant,
 }
 
-/// A key as one account uses it; accounts never see each other's.
+/// A key of one account; equal keys of different accounts are unrelated.
 pub type AccountKey = (AccountId, Box<str>);
 
-/// Keys of one home.
+/// The keys of one home instance.
 ///
-/// A key's mark stays until its prefix may no longer be used; only answers are dropped early, the
-/// oldest first, to stay within a bound of bytes.
+/// A key stays in the table until its prefix has expired. Only responses are discarded earlier,
+/// oldest first, to limit the memory that they use.
 ///
-/// A refusal is final. A caller who is told `not_run` of a key may go on with a new one, while an
-/// older copy of the call is still on its way; were the key free again, that copy would run beside
-/// the new one. So a refused key keeps its mark, and where there is no room for a mark, every key
-/// of that account that the table doesn't know is refused from then on, unless its prefix is newer.
+/// A rejection is final. A client that receives `not_run` for a key may retry with a new key while
+/// a copy of the first call is still in flight; if the old key could be claimed again, both would
+/// run. So a rejected key stays in the table. If the table is full, every unknown key of that
+/// account is rejected from then on, unless its prefix is newer.
 #[derive(Debug)]
 pub struct KeyTable {
     rows: BTreeMap<AccountKey, Row>,
     counts: BTreeMap<AccountId, usize>,
-    /// Newest prefix of which a key was refused for want of room.
-    floors: BTreeMap<AccountId, u32>,
-    answers: VecDeque<AccountKey>,
+    /// Newest prefix, by issue time, of which a key was rejected because the table was full.
+    rejected_up_to: BTreeMap<AccountId, u32>,
+    stored: VecDeque<AccountKey>,
     bytes: usize,
     max_rows: usize,
     max_bytes: usize,
 }
 
 impl KeyTable {
-    /// A table of at most `max_rows` keys that keeps at most `max_bytes` of answers.
+    /// A table of at most `max_rows` keys that stores at most `max_bytes` of response bodies.
     pub fn new(max_rows: usize, max_bytes: usize) -> Self {
         Self {
             rows: BTreeMap::new(),
             counts: BTreeMap::new(),
-            floors: BTreeMap::new(),
-            answers: VecDeque::new(),
+            rejected_up_to: BTreeMap::new(),
+            stored: VecDeque::new(),
             bytes: 0,
             max_rows,
             max_bytes,
         }
     }
 
-    /// Claims `key`; [`ClaimResult::Run`] is said once for each key.
-    pub fn claim(&mut self, key: &AccountKey, usage: KeyUse) -> ClaimResult {
-        if let Some(claim) = self.get(key, usage.digest) {
+    /// Claims `key`; returns [`ClaimResult::Run`] at most once for each key.
+    pub fn claim(&mut self, key: &AccountKey, key_use: KeyUse) -> ClaimResult {
+        if let Some(claim) = self.get(key, key_use.digest) {
             return claim;
         }
-        let floor = self.floors.get(&key.0);
-        if floor.is_some_and(|floor| usage.issued_secs <= *floor) {
+        let newest_rejected = self.rejected_up_to.get(&key.0);
+        if newest_rejected.is_some_and(|newest_rejected| key_use.issued_secs <= *newest_rejected) {
             return ClaimResult::Full;
         }
         let count = self.counts.entry(key.0).or_default();
-        // A flood of keys by one account must leave room for the others' keys.
-        let part = self.max_rows.div_ceil(ACCOUNT_PART);
-        if *count >= part || self.rows.len() >= self.max_rows {
-            self.floors.insert(key.0, usage.issued_secs);
+        // One account must not fill the table and so block the keys of all others.
+        let limit = self.max_rows.div_ceil(ACCOUNT_DIVISOR);
+        if *count >= limit || self.rows.len() >= self.max_rows {
+            self.rejected_up_to.insert(key.0, key_use.issued_secs);
             return ClaimResult::Full;
         }
         *count += 1;
         let row = Row {
-            mark: Mark::Running,
-            forget: usage.expires_at,
-            digest: usage.digest,
+            state: CallState::Running,
+            expires_at: key_use.expires_at,
+            digest: key_use.digest,
         };
         self.rows.insert(key.clone(), row);
         ClaimResult::Run
     }
 
-    /// What is known of `key`, without a claim to it; none for an unknown key.
+    /// The state of `key`, without claiming it; `None` for an unknown key.
     pub fn get(&self, key: &AccountKey, digest: [u8; 32]) -> Option<ClaimResult> {
         let row = self.rows.get(key)?;
         if row.digest != digest {
             return Some(ClaimResult::Mismatch);
         }
-        Some(match &row.mark {
-            Mark::Running => ClaimResult::InProgress,
-            Mark::Ran(Some(answer)) => ClaimResult::Replay(answer.clone()),
-            Mark::Ran(None) => ClaimResult::Discarded,
-            Mark::Unknown => ClaimResult::Unknown,
-            Mark::Refused(code) => ClaimResult::Rejected(*code),
+        Some(match &row.state {
+            CallState::Running => ClaimResult::InProgress,
+            CallState::Ran(Some(response)) => ClaimResult::Replay(response.clone()),
+            CallState::Ran(None) => ClaimResult::Discarded,
+            CallState::Unknown => ClaimResult::Unknown,
+            CallState::Rejected(code) => ClaimResult::Rejected(*code),
         })
     }
 
-    /// The call was given up before a byte left: the key never runs.
+    /// Records that the call was given up before it was sent: it never runs under this key.
     pub fn reject(&mut self, key: &AccountKey, code: Code) {
         if let Some(row) = self.rows.get_mut(key) {
-            row.mark = Mark::Refused(code);
+            row.state = CallState::Rejected(code);
         }
     }
 
-    /// The call ran; its answer is kept within the bound of bytes.
-    pub fn complete(&mut self, key: &AccountKey, answer: Option<StoredResponse>) {
+    /// Records that the call ran, and stores its response if it fits.
+    pub fn complete(&mut self, key: &AccountKey, response: Option<StoredResponse>) {
         let Some(row) = self.rows.get_mut(key) else {
             return;
         };
-        let fitting = answer.filter(|a| a.body.len() <= self.max_bytes);
-        if let Some(answer) = &fitting {
-            self.bytes += answer.body.len();
-            self.answers.push_back(key.clone());
+        let response = response.filter(|a| a.body.len() <= self.max_bytes);
+        if let Some(response) = &response {
+            self.bytes += response.body.len();
+            self.stored.push_back(key.clone());
         }
-        row.mark = Mark::Ran(fitting);
-        self.shrink();
+        row.state = CallState::Ran(response);
+        self.discard_oldest();
     }
 
-    /// Nobody can say whether the call ran.
+    /// Records that the call may or may not have run.
     pub fn set_unknown(&mut self, key: &AccountKey) {
         if let Some(row) = self.rows.get_mut(key) {
-            row.mark = Mark::Unknown;
+            row.state = CallState::Unknown;
         }
     }
 
-    fn shrink(&mut self) {
+    fn discard_oldest(&mut self) {
         while self.bytes > self.max_bytes {
-            let Some(oldest) = self.answers.pop_front() else {
+            let Some(oldest) = self.stored.pop_front() else {
                 return;
             };
             if let Some(row) = self.rows.get_mut(&oldest) {
-                drop_answer(row, &mut self.bytes);
+                discard_response(row, &mut self.bytes);
             }
         }
     }
 
-    /// Forgets keys whose prefix can't be used any more.
+    /// Removes keys whose prefix has expired.
     pub fn remove_expired(&mut self, now: Instant) {
         let (bytes, counts) = (&mut self.bytes, &mut self.counts);
         self.rows.retain(|key, row| {
-            let keep = row.forget > now || row.mark == Mark::Running;
+            let keep = row.expires_at > now || row.state == CallState::Running;
             if !keep {
-                drop_answer(row, bytes);
-                drop_count(counts, key.0);
+                discard_response(row, bytes);
+                decrement_count(counts, key.0);
             }
             keep
         });
         let rows = &self.rows;
-        self.answers.retain(|key| rows.contains_key(key));
+        self.stored.retain(|key| rows.contains_key(key));
     }
 
-    /// Number of keys remembered.
+    /// Number of keys in the table.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Tells whether no key is remembered.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Bytes of answers kept.
+    /// Bytes of stored response bodies.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 }
 
-fn drop_answer(row: &mut Row, bytes: &mut usize) {
-    if let Mark::Ran(answer) = &mut row.mark
-        && let Some(answer) = answer.take()
+fn discard_response(row: &mut Row, bytes: &mut usize) {
+    if let CallState::Ran(response) = &mut row.state
+        && let Some(response) = response.take()
     {
-        *bytes -= answer.body.len();
+        *bytes -= response.body.len();
     }
 }
 
-fn drop_count(counts: &mut BTreeMap<AccountId, usize>, account: AccountId) {
+fn decrement_count(counts: &mut BTreeMap<AccountId, usize>, account: AccountId) {
     if let Some(count) = counts.get_mut(&account) {
         *count -= 1;
         if *count == 0 {
@@ -236,7 +236,7 @@
     }
 }
 
-/// Time for which a mark must stay: the rest of the prefix's life and the longest deadline.
+/// Time for which a key must be remembered: the lifetime of its prefix and the longest deadline.
 pub fn retention(ttl: Duration, deadline: Duration) -> Duration {
     ttl + deadline
 }
--- a/crates/hawthornmill/src/wire/frame.rs
+++ b/crates/hawthornmill/src/wire/frame.rs
@@ -7,19 +7,20 @@
 //! | 1 | version of the protocol |
 //! | 8 | sender's [`InstanceId`] |
 //! | 8 | sender's [`Incarnation`] |
-//! | 8 | sequence number, rising within the sender's channel |
+//! | 8 | sequence number, increasing within the sender's channel |
 //! | 8 | channel: the acceptor's nonce on TCP, the receiver's [`InstanceId`] on UDP |
-//! | 16 | first half of the keyed BLAKE3 hash of all the rest |
+//! | 16 | MAC: first half of the keyed BLAKE3 hash of all other bytes |
 //! | … | payload |
 //!
-//! The key comes from the settings. A repeated or reordered frame is refused by its sequence
-//! number. On TCP the acceptor's nonce keeps frames of an earlier connection out of this one; on UDP
-//! the receiver's id keeps frames for one instance out of another, which has not seen their number.
+//! The key comes from the settings. A repeated or reordered frame is rejected because of its sequence
+//! number. On TCP, the acceptor's nonce prevents the replay of frames of an earlier connection. On
+//! UDP, the receiver's identifier prevents the replay of frames to another instance, which has not
+//! seen their sequence numbers.
 //!
-//! On TCP all of the header but the version and the MAC is known after the first frame: the sender
-//! and the channel stay, and the number rises by one. So every later frame is short, a byte that says
-//! so, the MAC of the whole header and the payload, and the payload. A frame that was left out,
-//! repeated or moved has another number, and thus a wrong MAC.
+//! On TCP, the receiver can derive the header of every frame after the first: the sender and the
+//! channel stay the macs_equal, and the sequence number grows by one. So later frames are short: a marker
+//! byte, the MAC of the full header and the payload, and the payload. A frame that was dropped,
+//! repeated or reordered has another sequence number and thus a wrong MAC.
 
 use std::collections::BTreeMap;
 
@@ -29,30 +30,30 @@
 use crate::codes::Code;
 use crate::ident::{Incarnation, InstanceId};
 
-/// Version of the protocol.
+/// Protocol version.
 pub const VERSION: u8 = 1;
 /// First byte of a short frame.
-const SHORT: u8 = 0x80 | VERSION;
-/// Bytes before the payload of a short frame.
-pub const SHORT_HEADER_BYTES: usize = 1 + MAC;
-/// Bytes before the payload.
-pub const HEADER_BYTES: usize = 1 + 8 + 8 + 8 + 8 + MAC;
-/// Most bytes of a frame on TCP; a configuration of several values fits.
+const SHORT_MARKER: u8 = 0x80 | VERSION;
+/// Length of the header of a short frame.
+pub const SHORT_HEADER_BYTES: usize = 1 + MAC_BYTES;
+/// Length of the header of a full frame.
+pub const HEADER_BYTES: usize = 1 + 8 + 8 + 8 + 8 + MAC_BYTES;
+/// Maximum length of a frame on TCP; allows for a configuration of several values.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
-/// Most bytes of a datagram: under one MTU.
+/// Maximum length of a datagram, below the usual MTU.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-const MAC: usize = 16;
+const MAC_BYTES: usize = 16;
 
 /// Why a frame was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum FrameError {
-    /// Too short, or a payload that doesn't decode.
+    /// Too short, or with a payload that can't be decoded.
     #[snafu(display("malformed frame"))]
     Malformed,
     /// Wrong MAC.
     #[snafu(display("frame is not authenticated"))]
     Unauthenticated,
-    /// Sequence number, incarnation or channel seen before.
+    /// Sequence number or incarnation seen before, or a frame of another channel.
     #[snafu(display("frame was seen before"))]
     Replayed,
     /// Over [`MAX_FRAME_BYTES`].
@@ -64,7 +65,7 @@
 }
 
 impl FrameError {
-    /// The numbered code of the fault.
+    /// The numbered code of the error.
     pub const fn code(self) -> Code {
         match self {
             Self::Malformed => Code::FrameMalformed,
@@ -76,18 +77,18 @@
     }
 }
 
-/// An opened frame.
+/// A verified and decoded frame.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Frame {
-    /// Who sent it.
+    /// Sender of the frame.
     pub sender: InstanceId,
     /// Process run of the sender.
     pub incarnation: Incarnation,
-    /// What it says.
+    /// Message that it carries.
     pub message: Message,
 }
 
-/// Seals outgoing frames.
+/// Encodes and authenticates outgoing frames.
 #[derive(Debug, Clone)]
 pub struct Sealer {
     key: [u8; 32],
@@ -95,11 +96,11 @@
     incarnation: Incarnation,
     channel: u64,
     seq: u64,
-    begun: bool,
+    sent_first: bool,
 }
 
 impl Sealer {
-    /// A sealer for one channel of one process.
+    /// A sealer for one channel of one process run.
     pub fn new(key: [u8; 32], sender: InstanceId, incarnation: Incarnation, channel: u64) -> Self {
         Self {
             key,
@@ -107,22 +108,22 @@
             incarnation,
             channel,
             seq: 0,
-            begun: false,
+            sent_first: false,
         }
     }
 
-    /// Encodes and authenticates the next message of a stream; only the first frame is a full one.
+    /// Encodes and authenticates the next message of a stream; all frames but the first are short.
     ///
     /// # Errors
-    /// As [`Self::seal`].
+    /// As for [`Self::seal`].
     pub fn seal_next(&mut self, message: &Message) -> Result<Vec<u8>, FrameError> {
         let frame = self.seal(message)?;
-        if !std::mem::replace(&mut self.begun, true) {
+        if !std::mem::replace(&mut self.sent_first, true) {
             return Ok(frame);
         }
         let mut short = Vec::with_capacity(SHORT_HEADER_BYTES + frame.len() - HEADER_BYTES);
-        short.push(SHORT);
-        short.extend(&frame[HEADER_BYTES - MAC..]);
+        short.push(SHORT_MARKER);
+        short.extend(&frame[HEADER_BYTES - MAC_BYTES..]);
         Ok(short)
     }
 
@@ -135,27 +136,27 @@
         self.seal_on(self.channel, message)
     }
 
-    /// Does the same for another channel than the sealer's own.
+    /// Encodes and authenticates `message` for another channel than the sealer's own.
     ///
     /// # Errors
-    /// As [`Self::seal`].
+    /// As for [`Self::seal`].
     pub fn seal_on(&mut self, channel: u64, message: &Message) -> Result<Vec<u8>, FrameError> {
         self.seq += 1;
         let mut frame = Vec::with_capacity(128);
         push_header(&mut frame, self.sender, self.incarnation, self.seq, channel);
-        frame.extend([0_u8; MAC]);
+        frame.extend([0_u8; MAC_BYTES]);
         let mut frame =
             postcard::to_extend(message, frame).map_err(|_error| FrameError::Malformed)?;
         if frame.len() > MAX_FRAME_BYTES {
             return Err(FrameError::TooLarge);
         }
         let mac = mac(&self.key, &frame);
-        frame[HEADER_BYTES - MAC..HEADER_BYTES].copy_from_slice(&mac);
+        frame[HEADER_BYTES - MAC_BYTES..HEADER_BYTES].copy_from_slice(&mac);
         Ok(frame)
     }
 }
 
-/// Writes a header up to the MAC.
+/// Appends a header without its MAC.
 fn push_header(
     frame: &mut Vec<u8>,
     sender: InstanceId,
@@ -170,32 +171,32 @@
     frame.extend(channel.to_le_bytes());
 }
 
-/// Bytes that `message` takes in a frame, without the header.
+/// Length of the encoded `message`, without the header.
 pub fn payload_len(message: &Message) -> usize {
     postcard::to_allocvec(message).map_or(0, |bytes| bytes.len())
 }
 
-fn mac(key: &[u8; 32], frame: &[u8]) -> [u8; MAC] {
+fn mac(key: &[u8; 32], frame: &[u8]) -> [u8; MAC_BYTES] {
     let mut hasher = blake3::Hasher::new_keyed(key);
-    hasher.update(&frame[..HEADER_BYTES - MAC]);
+    hasher.update(&frame[..HEADER_BYTES - MAC_BYTES]);
     hasher.update(&frame[HEADER_BYTES..]);
-    let mut half = [0_u8; MAC];
-    half.copy_from_slice(&hasher.finalize().as_bytes()[..MAC]);
+    let mut half = [0_u8; MAC_BYTES];
+    half.copy_from_slice(&hasher.finalize().as_bytes()[..MAC_BYTES]);
     half
 }
 
-fn same(a: &[u8; MAC], b: &[u8]) -> bool {
+fn macs_equal(a: &[u8; MAC_BYTES], b: &[u8]) -> bool {
     a.iter().zip(b).fold(0, |acc, (x, y)| acc | (x ^ y)) == 0
 }
 
-/// Opens incoming frames of one channel and refuses what was seen before.
+/// Verifies and decodes incoming frames of one channel; rejects replayed ones.
 #[derive(Debug, Clone)]
 pub struct Opener {
     key: [u8; 32],
     channel: u64,
     last: BTreeMap<InstanceId, (Incarnation, u64)>,
-    /// Sender of a stream whose first frame was opened; none on datagrams.
-    stream: Option<InstanceId>,
+    /// Sender of the stream, known after its first frame; `None` for datagrams.
+    stream_sender: Option<InstanceId>,
     is_stream: bool,
 }
 
@@ -206,12 +207,12 @@
             key,
             channel,
             last: BTreeMap::new(),
-            stream: None,
+            stream_sender: None,
             is_stream: false,
         }
     }
 
-    /// An opener for a stream, on which later frames may be short.
+    /// An opener for a stream, on which frames after the first may be short.
     pub fn stream(key: [u8; 32], channel: u64) -> Self {
         Self {
             is_stream: true,
@@ -219,9 +220,9 @@
         }
     }
 
-    /// The full frame that a short one stands for; none where no full one came before.
-    fn lengthen(&self, short: &[u8]) -> Option<Vec<u8>> {
-        let sender = self.stream?;
+    /// Restores the full frame of a short one; `None` if no full frame came before.
+    fn expand(&self, short: &[u8]) -> Option<Vec<u8>> {
+        let sender = self.stream_sender?;
         let (incarnation, seq) = self.last.get(&sender)?;
         let mut frame = Vec::with_capacity(HEADER_BYTES + short.len());
         push_header(&mut frame, sender, *incarnation, seq + 1, self.channel);
@@ -229,21 +230,21 @@
         Some(frame)
     }
 
-    /// Checks and decodes one frame.
+    /// Verifies and decodes one frame.
     ///
     /// # Errors
-    /// The reason for which the frame is dropped; nothing of it may be used.
+    /// The reason to drop the frame; no part of it may be used.
     pub fn open(&mut self, frame: &[u8]) -> Result<Frame, FrameError> {
         if frame.len() > MAX_FRAME_BYTES {
             return Err(FrameError::TooLarge);
         }
-        let lengthened;
-        let frame = if self.is_stream && frame.first() == Some(&SHORT) {
+        let expanded;
+        let frame = if self.is_stream && frame.first() == Some(&SHORT_MARKER) {
             if frame.len() < SHORT_HEADER_BYTES {
                 return Err(FrameError::Malformed);
             }
-            lengthened = self.lengthen(frame).ok_or(FrameError::Malformed)?;
-            &*lengthened
+            expanded = self.expand(frame).ok_or(FrameError::Malformed)?;
+            &*expanded
         } else {
             frame
         };
@@ -253,16 +254,16 @@
         if frame[0] != VERSION {
             return Err(FrameError::Version);
         }
-        if !same(
+        if !macs_equal(
             &mac(&self.key, frame),
-            &frame[HEADER_BYTES - MAC..HEADER_BYTES],
+            &frame[HEADER_BYTES - MAC_BYTES..HEADER_BYTES],
         ) {
             return Err(FrameError::Unauthenticated);
         }
-        let sender = InstanceId(word(frame, 1));
-        let incarnation = Incarnation(word(frame, 9));
-        let seq = word(frame, 17);
-        if word(frame, 25) != self.channel {
+        let sender = InstanceId(read_u64(frame, 1));
+        let incarnation = Incarnation(read_u64(frame, 9));
+        let seq = read_u64(frame, 17);
+        if read_u64(frame, 25) != self.channel {
             return Err(FrameError::Replayed);
         }
         let last = self.last.entry(sender).or_default();
@@ -270,7 +271,7 @@
             return Err(FrameError::Replayed);
         }
         *last = (incarnation, seq);
-        self.stream = self.is_stream.then_some(sender);
+        self.stream_sender = self.is_stream.then_some(sender);
         let message =
             postcard::from_bytes(&frame[HEADER_BYTES..]).map_err(|_error| FrameError::Malformed)?;
         Ok(Frame {
@@ -281,7 +282,7 @@
     }
 }
 
-fn word(frame: &[u8], at: usize) -> u64 {
+fn read_u64(frame: &[u8], at: usize) -> u64 {
     let mut bytes = [0_u8; 8];
     bytes.copy_from_slice(&frame[at..at + 8]);
     u64::from_le_bytes(bytes)
--- a/crates/hawthornmill/src/wire/message.rs
+++ b/crates/hawthornmill/src/wire/message.rs
@@ -1,4 +1,4 @@
-//! Message types.
+//! Messages between instances.
 
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
@@ -12,7 +12,7 @@
 use crate::routing::news::{Knowledge, News, Pull};
 use crate::routing::parts::{Part, Wanted};
 
-/// Names one grant: the owner that made it and its number there.
+/// Identifies a grant: the owner that issued it and its number there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantId {
     /// Low half of the owner's incarnation.
@@ -21,52 +21,52 @@
     pub seq: u32,
 }
 
-/// How much work of one account waits at an entry for one pool.
+/// A cumulative count of one account at an entry and one pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountTotal {
     /// The account.
     pub account: AccountId,
-    /// Grants received from this owner so far plus requests that wait now (bounded).
+    /// As demand, grants received from this owner so far plus requests that wait now (bounded).
     pub total: u32,
 }
 
-/// A slot that an entry gives back.
+/// A slot that an entry releases.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct SlotRelease {
-    /// The grant that gave it.
+    /// The grant of the slot.
     pub grant: GrantId,
-    /// Cost of the call in the service's unit; 0 for a grant that was not used.
+    /// Cost of the call in the service's unit; 0 for an unused grant.
     pub cost: f32,
     /// The server could not be reached.
     pub failed: bool,
 }
 
-/// Entry to owner: what changed at the entry.
+/// Entry to owner: changes since the last message.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Pool that this is about.
+    /// Pool that the message concerns.
     pub pool: PoolId,
-    /// Accounts whose want changed.
+    /// Accounts whose demand changed, with the new totals.
     pub requested: SmallVec<[AccountTotal; 2]>,
-    /// Slots given back.
+    /// Released slots.
     pub released: SmallVec<[SlotRelease; 2]>,
 }
 
-/// The right to have one request on one server.
+/// Permission to run one request on one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// Number of the grant at its owner.
     pub seq: u32,
-    /// Account for which the slot was chosen.
+    /// Account that the slot is granted to.
     pub account: AccountId,
-    /// Server on which the slot is.
+    /// Server of the slot.
     pub server: ServerId,
 }
 
 /// Owner to entry: new grants.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grants {
-    /// Pool that this is about.
+    /// Pool that the message concerns.
     pub pool: PoolId,
     /// Grants in ascending order of their numbers.
     pub grants: SmallVec<[Grant; 2]>,
@@ -75,64 +75,65 @@
 /// A slot that an entry holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantedSlot {
-    /// The grant that gave it, maybe of an earlier owner.
+    /// The grant of the slot, possibly by an earlier owner.
     pub grant: GrantId,
-    /// Account that it serves.
+    /// Account that uses the slot.
     pub account: AccountId,
-    /// Server on which it is.
+    /// Server of the slot.
     pub server: ServerId,
 }
 
-/// Entry to owner: everything that the entry holds and wants of a pool.
+/// Entry to owner: the complete state of the entry for a pool.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EntryState {
-    /// Pool that this is about.
+    /// Pool that the message concerns.
     pub pool: PoolId,
-    /// Owner incarnation from whose grants `ack` and `received` count.
+    /// Incarnation of the owner whose grants `ack` and `received` count.
     pub owner: Incarnation,
-    /// Grants up to this number have arrived or never will.
+    /// Grants up to this number have arrived or are lost.
     pub ack: u32,
     /// Slots held.
     pub held: Vec<GrantedSlot>,
     /// Grants received per account.
     pub received: Vec<AccountTotal>,
-    /// Wants of every account that waits.
+    /// Demand of every account with waiting requests.
     pub requested: Vec<AccountTotal>,
-    /// Costs of calls that ended since the owner was last told.
+    /// Slots released since the last message to the owner.
     pub released: Vec<SlotRelease>,
-    /// The entry knows that the owner grants; until then it keeps slots that come free.
+    /// Whether the entry knows that the owner issues grants; until then it keeps slots that become
+    /// free.
     pub owner_ready: bool,
 }
 
-/// What an owner tells of a pool.
+/// State of a pool, reported by its owner.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct PoolState {
     /// The pool.
     pub pool: PoolId,
-    /// Slots that nothing waits for.
+    /// Free slots without waiting requests.
     pub idle: u16,
-    /// Least normalised service among the accounts that wait there.
+    /// Lowest normalised service of the accounts that wait for the pool.
     pub min_service: f64,
 }
 
-/// What an instance tells of itself, passed on by relays; newest version wins.
+/// State of an instance, forwarded by relays; the newest version wins.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Who reports.
+    /// Instance that the report is about.
     pub origin: InstanceId,
-    /// Its process run.
+    /// Process run of that instance.
     pub incarnation: Incarnation,
-    /// Rises with each report.
+    /// Increases with each report.
     pub version: u32,
-    /// It takes no new work.
+    /// The instance takes no new work.
     pub leaving: bool,
-    /// Configuration revision in force there.
+    /// Configuration revision in force at the sender.
     pub revision: u64,
-    /// Tenths of a second for which it has been steady, as in a [`Heartbeat`].
+    /// Tenths of a second without interruption, as in a [`Heartbeat`].
     pub steady_tenths: u8,
     /// Pools that it owns.
     pub pools: Vec<PoolState>,
-    /// Own cumulative counters that changed.
+    /// The instance's own cumulative counters that changed.
     pub costs: Vec<(CostKey, f64)>,
 }
 
@@ -141,132 +142,134 @@
 pub struct OwnerCounters {
     /// The owner.
     pub origin: InstanceId,
-    /// Its process run.
+    /// Process run of that instance.
     pub incarnation: Incarnation,
     /// Normalised service that it charged, by key.
     pub values: Vec<(CostKey, f64)>,
 }
 
-/// What a peer knows of normalised service, for an instance that starts.
+/// A peer's view of normalised service, for an instance that starts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 pub struct LedgerSnapshot {
-    /// Sums over earlier runs of owners.
+    /// Sums over earlier process runs of owners.
     pub retired: Vec<(CostKey, f64)>,
-    /// Counters of each owner's latest run, the teller's among them.
+    /// Counters of each owner's latest process run, including the sender's.
     pub counters: Vec<OwnerCounters>,
 }
 
-/// Asks a peer for a newer configuration.
+/// Requests a newer configuration from a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigPull {
-    /// Manifest in force at the asker; values with equal digests need not be sent.
+    /// Manifest in force at the requester; values with equal digests are not sent again.
     pub have: Manifest,
 }
 
-/// Answers a [`ConfigPull`].
+/// Response to a [`ConfigPull`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigValues {
     /// Manifest of the revision.
     pub manifest: Manifest,
-    /// Values that the asker did not have.
+    /// Values that the requester does not have.
     pub values: Vec<(Box<str>, Box<str>)>,
 }
 
-/// How to reach an instance.
+/// Name, location and addresses of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Contact {
-    /// Name in its settings.
+    /// Name of the instance in its settings.
     pub name: Box<str>,
     /// Failure domain by name.
     pub domain: Box<str>,
     /// Region by name.
     pub region: Box<str>,
-    /// `IP:port` for callers.
+    /// `IP:port` for clients.
     pub http: Box<str>,
-    /// `IP:port` for peers, UDP and TCP alike.
+    /// `IP:port` for peers, both UDP and TCP.
     pub peer: Box<str>,
 }
 
-/// A sign of life.
+/// A heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender takes no new work.
     pub leaving: bool,
-    /// Configuration revision in force there.
+    /// Configuration revision in force at the sender.
     pub revision: u64,
-    /// Milliseconds until the next heartbeat is due; 0 when the receiver needs none any more.
+    /// Milliseconds until the next heartbeat; 0 if this is the last one to the receiver.
     pub interval_ms: u16,
-    /// Tenths of a second since the sender started, woke from a pause or was cut off; 255 at most.
+    /// Tenths of a second since the sender started, resumed after a pause or was isolated; at most
+    /// 255.
     pub steady_tenths: u8,
-    /// The platform answered the sender in the last seconds.
+    /// Whether the platform responded to the sender in the last seconds.
     pub platform_reachable: bool,
     /// Digest of the instance list that the sender holds.
     pub roster_digest: u32,
-    /// How to reach the sender; sent now and then.
+    /// The sender's contact; sent in some heartbeats only.
     pub contact: Option<Box<Contact>>,
 }
 
-/// Answers a probe.
+/// Response to a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeAck {
     /// Number of the probe.
     pub number: u64,
-    /// Configuration revision in force at the giver.
+    /// Configuration revision in force at the responder.
     pub revision: u64,
-    /// The giver serves callers, so it has itself made sure of its revision.
+    /// Whether the responder serves clients, and so has confirmed its own revision.
     pub serving: bool,
 }
 
-/// An instance in the platform's list.
+/// An entry of the platform's list of instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterEntry {
-    /// How to reach it.
+    /// Contact of the instance.
     pub contact: Contact,
-    /// It is about to go.
+    /// Whether the instance is leaving the fleet.
     pub leaving: bool,
 }
 
-/// Asks for the instance list.
+/// Requests the instance list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterPull {
-    /// Digest of the list that the asker holds.
+    /// Digest of the list that the requester holds.
     pub have: u32,
 }
 
-/// What changed in the instance list.
+/// Changes of the instance list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterDelta {
-    /// Digest of the list that this leads to.
+    /// Digest of the list after the changes.
     pub digest: u32,
-    /// Digest of the list that this starts from; 0 for the empty one.
+    /// Digest of the list before the changes; 0 for the empty one.
     pub base: u32,
-    /// Entries that are new or different.
+    /// Added and changed entries.
     pub changed: Vec<RosterEntry>,
-    /// Instances that are listed no longer.
+    /// Instances that are no longer listed.
     pub removed: Vec<InstanceId>,
 }
 
-/// A slot that an entry holds, as the old owner knows it.
+/// A slot held by an entry, as known to the old owner.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct EntrySlot {
     /// The entry.
     pub entry: InstanceId,
-    /// Its process run.
+    /// Process run of that instance.
     pub incarnation: Incarnation,
     /// The slot.
     pub held: GrantedSlot,
-    /// Normalised service that was charged for it; none where an earlier owner charged it.
+    /// Normalised service charged for it; `None` if an earlier owner charged it.
     pub charged: Option<f64>,
 }
 
-/// Old owner to new owner: what the new one would otherwise have to wait for.
+/// Old owner to new owner: state that the new owner would otherwise have to collect.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Handover {
-    /// Pool that this is about.
+    /// Pool that the message concerns.
     pub pool: PoolId,
-    /// Normalised service by which each account that waits or runs is behind the one served last.
+    /// Normalised service by which each waiting or running account is behind the one served last.
     ///
-    /// Totals of two instances can't be compared, since each counts from what it heard first.
+    /// Totals of two instances can't be compared, since each starts counting at the first value
+    /// that it receives.
     pub lags: Vec<(AccountId, f64)>,
     /// Slots held.
     pub held: Vec<EntrySlot>,
@@ -275,13 +278,13 @@
 /// A message between instances.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Sign of life inside a failure domain, over UDP.
+    /// Heartbeat within a failure domain, over UDP.
     Heartbeat(Heartbeat),
-    /// Asks for an immediate [`Message::ProbeAck`], over UDP.
+    /// Requests an immediate [`Message::ProbeAck`], over UDP.
     Probe(u64),
-    /// Answers a probe.
+    /// Response to a probe.
     ProbeAck(ProbeAck),
-    /// Reports, own and passed on, over UDP.
+    /// Own and forwarded reports, over UDP.
     Reports(Vec<Report>),
     /// Entry to owner.
     Demand(Demand),
@@ -289,45 +292,45 @@
     Grants(Grants),
     /// Entry to owner.
     EntryState(EntryState),
-    /// Owner to entry after a new link: grants up to this number arrived or never will.
+    /// Owner to entry on a new connection: grants up to this number have arrived or are lost.
     Sync {
-        /// Pool that this is about.
+        /// Pool that the message concerns.
         pool: PoolId,
-        /// Last grant number made for the entry.
+        /// Number of the last grant for the entry.
         last_seq: u32,
-        /// The owner has heard enough to grant.
+        /// Whether the owner has collected enough state to issue grants.
         ready: bool,
     },
-    /// Asks for a [`Message::LedgerSnapshot`].
+    /// Requests a [`Message::LedgerSnapshot`].
     LedgerPull,
-    /// What a peer knows, for an instance that starts.
+    /// Normalised service as known to a peer, for an instance that starts.
     LedgerSnapshot(LedgerSnapshot),
-    /// Asks for a newer configuration.
+    /// Requests a newer configuration.
     ConfigPull(ConfigPull),
-    /// Answers with a newer configuration.
+    /// Response with a newer configuration.
     ConfigValues(ConfigValues),
-    /// Asks for the instance list.
+    /// Requests the instance list.
     RosterPull(RosterPull),
-    /// Answers with what changed in the instance list.
+    /// Response with the changes of the instance list.
     RosterDelta(RosterDelta),
     /// Old owner to new owner.
     Handover(Handover),
-    /// What an instance of the gateway tells the others, over UDP.
+    /// State of a gateway instance for the others, over UDP.
     News(Box<News>),
-    /// Work that an instance of the gateway has under way, between two pieces of news, over UDP.
+    /// Requests that a gateway instance has in flight, between two full updates, over UDP.
     Work(Vec<(ServerId, Work)>),
-    /// Who is in a failure domain of a large fleet, over UDP.
+    /// Members of a failure domain of a large fleet, over UDP.
     Members(Box<Members>),
-    /// What such a domain has under way, over UDP.
+    /// Requests that such a failure domain has in flight, over UDP.
     DomainWork(Box<DomainWork>),
-    /// Asks an instance of the gateway for newer knowledge.
+    /// Requests newer state from a gateway instance.
     Pull(Pull),
-    /// Answers with it.
+    /// Response with that state.
     Knowledge(Box<Knowledge>),
-    /// Servers that leave, as an instance of the gateway knows for sure, over UDP.
+    /// Servers that a gateway instance knows to be leaving, over UDP.
     Leaving(Vec<Leaving>),
-    /// Asks an instance of the gateway for newer knowledge in parts, over UDP.
+    /// Requests newer state from a gateway instance in parts, over UDP.
     Wanted(Wanted),
-    /// Answers with one part of it.
+    /// Response with one part of it.
     Part(Part),
 }
--- a/crates/hawthornmill/src/wire/mod.rs
+++ b/crates/hawthornmill/src/wire/mod.rs
@@ -1,8 +1,8 @@
-//! What instances say to each other.
+//! The protocol between instances.
 //!
-//! Messages are plain types encoded with `postcard`. [`frame`] puts them into authenticated
-//! frames. State travels as cumulative counters or whole lists wherever it can, so that a lost or
-//! repeated message does no harm.
+//! Messages are plain types encoded with `postcard` and sent in authenticated frames, see
+//! [`frame`]. Where possible, a message carries cumulative counters or a complete list, so that a
+//! lost or repeated message does no harm.
 
 pub mod frame;
 pub mod message;
