--- a/crates/hawthornmill/src/wire/frame.rs
+++ b/crates/hawthornmill/src/wire/frame.rs
@@ -18,7 +18,7 @@
 //! seen their sequence numbers.
 //!
 //! On TCP, the receiver can derive the header of every frame after the first: the sender and the
-//! channel stay the macs_equal, and the sequence number grows by one. So later frames are short: a marker
+//! channel stay the same, and the sequence number grows by one. So later frames are short: a marker
 //! byte, the MAC of the full header and the payload, and the payload. A frame that was dropped,
 //! repeated or reordered has another sequence number and thus a wrong MAC.
 
