--- a/crates/hawthornmill/src/response.rs
+++ b/crates/hawthornmill/src/response.rs
@@ -55,7 +55,7 @@
 
 /// Returns whether `line` has `"done": true`.
 ///
-/// A quote within a JSON string is escaped, so generated in_string can't look like the field itself.
+/// A quote within a JSON string is escaped, so generated text can't look like the field itself.
 fn is_done(line: &[u8]) -> bool {
     let field = b"\"done\":";
     let Some(at) = line.windows(field.len()).position(|w| w == field) else {
--- a/crates/hawthornmill/src/usage/explain/intervals.rs
+++ b/crates/hawthornmill/src/usage/explain/intervals.rs
@@ -1,10 +1,11 @@
-//! Divides what was served as a perfect scheduler would have.
+//! Computes what each account received per interval and what a fair scheduler would have given it.
 //!
-//! The reference has the same calls and, in each step of time, serves as much as the servers of the
-//! service ran in it. It divides that max-min fairly by shares among the accounts that have calls
-//! left, where a call brings its cost when it arrives. A refused call brings its estimate and takes
-//! what is left of it away when it is refused. So all of what was served is owed to somebody, an
-//! account is owed no more than it asked for, and a call that was served late is not counted as lost.
+//! The reference scheduler gets the same calls and, in each time step, the capacity that the servers
+//! of the service actually used. It divides this capacity by weighted max-min fairness among the
+//! accounts with demand. A call adds its cost to the demand when it arrives. A rejected call adds its
+//! estimate, and removes what is left of it when it is rejected. So the entitlements add up to the
+//! service delivered, no account is entitled to more than it requested, and a call that was served
+//! late doesn't count as lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,51 +14,51 @@
 use super::log::UsageLog;
 use crate::usage::{Reason, UsageRecord};
 
-/// Milliseconds of one step.
+/// Length of a time step.
 pub const STEP_MS: u64 = 1000;
 
 /// Cost and waiting of one account on one service in one interval.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct AccountUsage {
-    /// Share in force at its end, as records name it.
+    /// Share at the end of the interval, from the records.
     pub share: f64,
-    /// Cost that a fair division gives it.
+    /// Cost that it is entitled to.
     #[serde(rename = "owed")]
     pub entitled: f64,
-    /// Cost that was run for it.
+    /// Cost of the calls that ran for it.
     pub received: f64,
-    /// Part of `received` for which the estimate stands.
+    /// Part of `received` that is estimated.
     pub estimated: f64,
-    /// Milliseconds during which it had calls waiting.
+    /// Milliseconds with at least one waiting call.
     pub backlogged_ms: f64,
-    /// Calls that ended, refused ones left out.
+    /// Finished calls, without rejected ones.
     pub calls: u64,
-    /// Calls refused, by reason.
+    /// Rejected calls, by reason.
     pub refused: BTreeMap<Reason, u64>,
-    /// Call-milliseconds waited, by reason.
+    /// Total waiting time of calls in milliseconds, by reason.
     pub waited_ms: BTreeMap<Reason, f64>,
 }
 
-/// One account's part with its names.
+/// Usage of one account on one service, with their names.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct AccountLine {
     /// Service by name.
     pub service: Box<str>,
     /// Account by name.
     pub account: Box<str>,
-    /// Its part.
+    /// The usage.
     #[serde(flatten)]
     pub part: AccountUsage,
 }
 
-/// All parts of one interval.
+/// Usage of all accounts in one interval.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Interval {
-    /// Wall-clock milliseconds since the Unix epoch at its start.
+    /// Start in wall-clock milliseconds since the Unix epoch.
     pub start_ms: u64,
-    /// Its length in milliseconds.
+    /// Length in milliseconds.
     pub length_ms: u64,
-    /// Parts by service and account.
+    /// Usage by service and account.
     pub lines: Vec<AccountLine>,
 }
 
@@ -73,13 +74,13 @@
 
 #[derive(Debug, Default)]
 struct Account {
-    /// Largest share that calls of a step were given.
+    /// Largest share of the calls of each step.
     shares: BTreeMap<u64, f64>,
     steps: BTreeMap<u64, Step>,
 }
 
 impl Account {
-    /// The share in force in a step: what its calls were given, or those before it.
+    /// The share in a step: that of its calls, or of the latest ones before it.
     fn share(&self, index: u64) -> f64 {
         let known = self.shares.range(..=index).next_back();
         known
@@ -88,7 +89,7 @@
     }
 }
 
-/// Divides the records of `log` into intervals of `length_ms`, which is rounded up to whole steps.
+/// Computes usage in intervals of `length_ms`, rounded up to whole steps.
 pub fn intervals(log: &UsageLog, length_ms: u64) -> Vec<Interval> {
     let length_ms = length_ms.max(1).div_ceil(STEP_MS) * STEP_MS;
     let mut accounts: BTreeMap<Key, Account> = BTreeMap::new();
@@ -105,13 +106,13 @@
             let part = parts.entry(index * STEP_MS / length_ms).or_default();
             let part = part.entry(key.clone()).or_default();
             part.received += step.received;
-            part.backlogged_ms += union(&step.waits);
+            part.backlogged_ms += union_ms(&step.waits);
             part.share = account.share(*index);
         }
     }
-    for (index, key, owed) in owed(&accounts) {
+    for (index, key, entitled) in entitlements(&accounts) {
         let part = parts.entry(index * STEP_MS / length_ms).or_default();
-        part.entry(key).or_default().entitled += owed;
+        part.entry(key).or_default().entitled += entitled;
     }
     let intervals = parts.into_iter();
     intervals
@@ -131,7 +132,7 @@
     }
 }
 
-/// Spreads the cost of a record over the time that it held its slot, and notes when it waited.
+/// Spreads the cost of a record over the time that it held its slot, and adds its waiting time.
 fn add_record(account: &mut Account, record: &UsageRecord) {
     let end = record.at_ms as f64;
     let start = end - record.held_ms;
@@ -140,16 +141,16 @@
         let share = share.or_default();
         *share = share.max(record.share);
     }
-    let held: Vec<_> = steps_of(start, end).collect();
-    // Not `held_ms`: milliseconds since the epoch leave rounding errors, and the parts must add up.
+    let held: Vec<_> = split_steps(start, end).collect();
+    // Not `held_ms`: rounding errors of milliseconds since the epoch would make the sum inexact.
     let whole: f64 = held.iter().map(|(_, from, to)| to - from).sum();
-    let part_of = |length: f64| if whole > 0.0 { length / whole } else { 1.0 };
+    let fraction = |length: f64| if whole > 0.0 { length / whole } else { 1.0 };
     for (index, from, to) in &held {
         let step = account.steps.entry(*index).or_default();
-        step.received += record.cost * part_of(to - from);
+        step.received += record.cost * fraction(to - from);
     }
     let arrived = start - record.waited_ms;
-    let refused = is_refused(record);
+    let refused = is_rejected(record);
     let first = account
         .steps
         .entry(arrived.max(0.0) as u64 / STEP_MS)
@@ -164,20 +165,20 @@
         last.expired += record.estimate;
     }
     if record.reason != Reason::None && record.waited_ms > 0.0 {
-        for (index, from, to) in steps_of(arrived, start) {
+        for (index, from, to) in split_steps(arrived, start) {
             let step = account.steps.entry(index).or_default();
             step.waits.push((from, to));
         }
     }
 }
 
-/// A call that would have been run, had there been room.
-fn is_refused(record: &UsageRecord) -> bool {
+/// Returns whether the call was rejected for lack of capacity.
+fn is_rejected(record: &UsageRecord) -> bool {
     record.code != 0 && &*record.outcome == "not_run" && record.reason != Reason::Rejected
 }
 
-/// The steps that a stretch of time touches, with the part of it in each.
-fn steps_of(start: f64, end: f64) -> impl Iterator<Item = (u64, f64, f64)> {
+/// The steps that overlap a time range, with the overlap.
+fn split_steps(start: f64, end: f64) -> impl Iterator<Item = (u64, f64, f64)> {
     let width = STEP_MS as f64;
     let start = start.max(0.0);
     let (first, last) = ((start / width) as u64, (end / width) as u64);
@@ -202,9 +203,9 @@
     }
 }
 
-/// Length of the union of stretches.
-fn union(stretches: &[(f64, f64)]) -> f64 {
-    let mut sorted = stretches.to_vec();
+/// Length of the union of time ranges.
+fn union_ms(ranges: &[(f64, f64)]) -> f64 {
+    let mut sorted = ranges.to_vec();
     sorted.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut length = 0.0;
     let mut reached = f64::NEG_INFINITY;
@@ -215,21 +216,21 @@
     length
 }
 
-/// What each account is owed in each step.
-fn owed(accounts: &BTreeMap<Key, Account>) -> Vec<(u64, Key, f64)> {
+/// Entitlement of each account in each step.
+fn entitlements(accounts: &BTreeMap<Key, Account>) -> Vec<(u64, Key, f64)> {
     let mut services: BTreeMap<&str, Vec<(&Key, &Account)>> = BTreeMap::new();
     for (key, account) in accounts {
         services.entry(&key.0).or_default().push((key, account));
     }
     let mut list = Vec::new();
     for members in services.values() {
-        let mut left = vec![0.0; members.len()];
+        let mut unserved = vec![0.0; members.len()];
         let steps: BTreeSet<u64> = members
             .iter()
             .flat_map(|(_, account)| account.steps.keys().copied())
             .collect();
         for index in steps {
-            let parts = owed_in(index, members, &mut left);
+            let parts = step_entitlements(index, members, &mut unserved);
             let parts = members.iter().zip(parts).filter(|(_, part)| *part > 0.0);
             list.extend(parts.map(|((key, _), part)| (index, (*key).clone(), part)));
         }
@@ -237,47 +238,47 @@
     list
 }
 
-/// What the accounts of one service are owed in one step; `left` is what each has left to want.
-fn owed_in(index: u64, members: &[(&Key, &Account)], left: &mut [f64]) -> Vec<f64> {
+/// Entitlements of the accounts of one service in one step; `unserved` is their remaining demand.
+fn step_entitlements(index: u64, members: &[(&Key, &Account)], unserved: &mut [f64]) -> Vec<f64> {
     let mut served = 0.0;
     let mut claims = Vec::new();
-    for ((_, account), left) in members.iter().zip(left.iter_mut()) {
+    for ((_, account), unserved) in members.iter().zip(unserved.iter_mut()) {
         if let Some(step) = account.steps.get(&index) {
             served += step.received;
-            *left += step.offered;
+            *unserved += step.offered;
         }
         claims.push(Claim {
             share: account.share(index),
-            demand: *left,
+            demand: *unserved,
         });
     }
     let parts = max_min(&claims, served);
-    for (((_, account), left), part) in members.iter().zip(left).zip(&parts) {
+    for (((_, account), unserved), part) in members.iter().zip(unserved).zip(&parts) {
         let expired = account.steps.get(&index).map_or(0.0, |s| s.expired);
-        *left = (*left - part - expired).max(0.0);
+        *unserved = (*unserved - part - expired).max(0.0);
     }
     parts
 }
 
-/// What one account would take of what was served.
+/// One account's claim to the service delivered.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Claim {
-    /// Weight against the others.
+    /// Weight relative to other accounts.
     pub share: f64,
-    /// Most that it would take.
+    /// Upper limit of what it receives.
     pub demand: f64,
 }
 
-/// Divides `served` by shares, nobody getting more than it wants.
+/// Divides `served` by weighted max-min fairness; no account gets more than its demand.
 pub fn max_min(claims: &[Claim], served: f64) -> Vec<f64> {
     let mut parts = vec![0.0; claims.len()];
-    let mut left = served;
+    let mut remaining = served;
     let mut open: Vec<usize> = (0..claims.len())
         .filter(|i| claims[*i].share > 0.0)
         .collect();
     while !open.is_empty() {
         let shares: f64 = open.iter().map(|i| claims[*i].share).sum();
-        let level = left / shares;
+        let level = remaining / shares;
         let (full, rest): (Vec<usize>, Vec<usize>) = open
             .iter()
             .partition(|i| claims[**i].demand <= level * claims[**i].share);
@@ -289,7 +290,7 @@
         }
         for i in full {
             parts[i] = claims[i].demand;
-            left -= claims[i].demand;
+            remaining -= claims[i].demand;
         }
         open = rest;
     }
--- a/crates/hawthornmill/src/usage/explain/log.rs
+++ b/crates/hawthornmill/src/usage/explain/log.rs
@@ -1,4 +1,4 @@
-//! Records and marks of all routers, and what is missing between them.
+//! Collects the records and checkpoints of all routers and detects missing records.
 
 use std::collections::BTreeMap;
 
@@ -6,101 +6,100 @@
 
 use crate::usage::{OpenCalls, UsageCheckpoint, UsageLine, UsageRecord};
 
-/// Milliseconds without a sign of a process run, while others write on, after which it counts as
-/// killed: several times the time between two marks.
-pub const SILENCE_MS: u64 = 3000;
+/// Time without a line of a process run, while others go on, after which it counts as killed:
+/// several times the interval between checkpoints.
+pub const SILENT_AFTER_MS: u64 = 3000;
 
 /// One process run of an entry.
-pub type Run = (Box<str>, u64);
+pub type RunId = (Box<str>, u64);
 
 #[derive(Debug, Clone, Default)]
-struct Numbers {
+struct RunLog {
     records: BTreeMap<u64, UsageRecord>,
-    mark: Option<UsageCheckpoint>,
+    checkpoint: Option<UsageCheckpoint>,
     last_ms: u64,
 }
 
-/// What one process run left out.
+/// Records of one process run that are missing.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct MissingRecords {
     /// Entry instance by name.
     pub entry: Box<str>,
     /// Its process run.
     pub incarnation: u64,
-    /// First and last missing numbers of each gap.
+    /// First and last missing sequence number of each gap.
     pub gaps: Vec<(u64, u64)>,
-    /// Number of records that are known to be missing.
+    /// Number of missing records.
     pub records: u64,
-    /// Calls that were in flight when the process was last heard of and have no record; they may
-    /// have run.
+    /// Calls without a record that were in flight at the last checkpoint; they may have run.
     pub open: Vec<OpenCalls>,
-    /// The run fell silent without an end mark while others wrote on.
+    /// Whether the run ended without a final checkpoint while others went on.
     pub killed: bool,
-    /// Wall-clock milliseconds between which the missing records lie.
+    /// Time range of the missing records, in wall-clock milliseconds.
     pub between_ms: (u64, u64),
-    /// Most calls of each service that the run had in flight at one time.
+    /// Maximum number of calls of each service that the run had in flight at once.
     pub peak: BTreeMap<Box<str>, u64>,
-    /// Cost that can't be explained, by service: the mean cost for each missing record, and for a
-    /// killed run its peak times the largest cost seen, since any of the calls in flight when it
-    /// was killed may have run almost to the end.
+    /// Upper estimate of the unrecorded cost, by service: the mean cost for each missing record, and
+    /// for a killed run its peak times the largest cost, since each call in flight when it was killed
+    /// may have run almost to its end.
     pub cost: BTreeMap<Box<str>, f64>,
 }
 
-/// Usage lines of any number of routers, in any order.
+/// Usage lines of several routers, in any order.
 #[derive(Debug, Clone, Default)]
 pub struct UsageLog {
-    runs: BTreeMap<Run, Numbers>,
-    /// Records that came more than once.
+    runs: BTreeMap<RunId, RunLog>,
+    /// Number of duplicate records.
     pub duplicates: u64,
-    /// Usage lines that could not be read, cut ones for instance.
+    /// Number of usage lines that could not be parsed, such as truncated ones.
     pub unreadable: u64,
 }
 
 impl UsageLog {
-    /// Takes one line; a record that is known already is dropped and counted.
+    /// Adds one line; a duplicate record is counted and dropped.
     pub fn insert(&mut self, line: UsageLine) {
         match line {
             UsageLine::Usage { usage } => {
-                let numbers = self.run(&usage.entry, usage.incarnation, usage.at_ms);
-                if numbers.records.insert(usage.seq, usage).is_some() {
+                let run_log = self.run(&usage.entry, usage.incarnation, usage.at_ms);
+                if run_log.records.insert(usage.seq, usage).is_some() {
                     self.duplicates += 1;
                 }
             }
             UsageLine::Checkpoint { checkpoint } => {
-                let numbers = self.run(&checkpoint.entry, checkpoint.incarnation, checkpoint.at_ms);
+                let run_log = self.run(&checkpoint.entry, checkpoint.incarnation, checkpoint.at_ms);
                 let later = |m: &UsageCheckpoint| {
                     (checkpoint.seq, checkpoint.at_ms, checkpoint.end) > (m.seq, m.at_ms, m.end)
                 };
-                if numbers.mark.as_ref().is_none_or(later) {
-                    numbers.mark = Some(checkpoint);
+                if run_log.checkpoint.as_ref().is_none_or(later) {
+                    run_log.checkpoint = Some(checkpoint);
                 }
             }
         }
     }
 
-    fn run(&mut self, entry: &str, incarnation: u64, at_ms: u64) -> &mut Numbers {
-        let numbers = self.runs.entry((entry.into(), incarnation)).or_default();
-        numbers.last_ms = numbers.last_ms.max(at_ms);
-        numbers
+    fn run(&mut self, entry: &str, incarnation: u64, at_ms: u64) -> &mut RunLog {
+        let run_log = self.runs.entry((entry.into(), incarnation)).or_default();
+        run_log.last_ms = run_log.last_ms.max(at_ms);
+        run_log
     }
 
-    /// Every record once.
+    /// All records, without duplicates.
     pub fn records(&self) -> impl Iterator<Item = &UsageRecord> {
         self.runs.values().flat_map(|n| n.records.values())
     }
 
-    /// Process runs from which any line came.
+    /// Number of process runs with at least one line.
     pub fn run_count(&self) -> usize {
         self.runs.len()
     }
 
-    /// What each process run left out; runs without a gap are not listed.
+    /// Missing records of each process run; complete runs are not listed.
     pub fn missing(&self) -> Vec<MissingRecords> {
         let latest = self.runs.values().map(|n| n.last_ms).max().unwrap_or(0);
         let means = self.means();
         self.runs
             .iter()
-            .map(|(run, numbers)| missing_of(run, numbers, latest, &means))
+            .map(|(run, run_log)| missing_of(run, run_log, latest, &means))
             .filter(|m| m.records > 0 || m.killed || !m.open.is_empty())
             .collect()
     }
@@ -118,36 +117,36 @@
 }
 
 fn missing_of(
-    run: &Run,
-    numbers: &Numbers,
+    run: &RunId,
+    run_log: &RunLog,
     latest: u64,
     means: &BTreeMap<Box<str>, (u64, f64)>,
 ) -> MissingRecords {
-    let mark = numbers.mark.as_ref();
-    let ended = mark.is_some_and(|m| m.end);
-    let killed = !ended && latest.saturating_sub(numbers.last_ms) > SILENCE_MS;
-    let gaps = gaps(numbers);
+    let checkpoint = run_log.checkpoint.as_ref();
+    let ended = checkpoint.is_some_and(|m| m.end);
+    let killed = !ended && latest.saturating_sub(run_log.last_ms) > SILENT_AFTER_MS;
+    let gaps = gaps(run_log);
     let records = gaps.iter().map(|(first, last)| last - first + 1).sum();
     let open = if killed || ended {
-        still_open(numbers)
+        unrecorded_calls(run_log)
     } else {
         Vec::new()
     };
     let mut cost: BTreeMap<Box<str>, f64> = BTreeMap::new();
     let all: u64 = means.values().map(|(count, _)| count).sum();
     for (service, (count, mean)) in means.iter().filter(|_| records > 0) {
-        // Which services the missing records belong to is not known; they are spread as the
-        // known ones are.
+        // The services of the missing records are unknown; assume the same distribution as for the
+        // known ones.
         let part = *count as f64 / all.max(1) as f64;
         *cost.entry(service.clone()).or_default() += records as f64 * part * mean;
     }
     let peak = if killed {
-        peak(numbers)
+        peak(run_log)
     } else {
         BTreeMap::new()
     };
     for (service, calls) in &peak {
-        let largest = numbers.records.values().filter(|r| r.service == *service);
+        let largest = run_log.records.values().filter(|r| r.service == *service);
         let largest = largest.map(|r| r.cost.max(r.estimate)).fold(0.0, f64::max);
         *cost.entry(service.clone()).or_default() += *calls as f64 * largest;
     }
@@ -157,7 +156,7 @@
     MissingRecords {
         entry: run.0.clone(),
         incarnation: run.1,
-        between_ms: between(numbers, &gaps, killed),
+        between_ms: missing_range(run_log, &gaps, killed),
         gaps,
         records,
         open,
@@ -167,36 +166,36 @@
     }
 }
 
-fn gaps(numbers: &Numbers) -> Vec<(u64, u64)> {
+fn gaps(run_log: &RunLog) -> Vec<(u64, u64)> {
     let mut gaps = Vec::new();
     let mut next = 1;
-    for seq in numbers.records.keys() {
+    for seq in run_log.records.keys() {
         if *seq > next {
             gaps.push((next, seq - 1));
         }
         next = seq + 1;
     }
-    let told = numbers.mark.as_ref().map_or(0, |m| m.seq);
-    if told >= next {
-        gaps.push((next, told));
+    let last_seq = run_log.checkpoint.as_ref().map_or(0, |m| m.seq);
+    if last_seq >= next {
+        gaps.push((next, last_seq));
     }
     gaps
 }
 
-/// Calls that the last mark names, less those that got their record after it.
-fn still_open(numbers: &Numbers) -> Vec<OpenCalls> {
-    let Some(mark) = &numbers.mark else {
+/// Calls in flight at the last checkpoint, without those that have a later record.
+fn unrecorded_calls(run_log: &RunLog) -> Vec<OpenCalls> {
+    let Some(checkpoint) = &run_log.checkpoint else {
         return Vec::new();
     };
-    let after = || numbers.records.range(mark.seq + 1..).map(|(_, r)| r);
+    let after = || run_log.records.range(checkpoint.seq + 1..).map(|(_, r)| r);
     let mut open = Vec::new();
-    for calls in &mark.open {
+    for calls in &checkpoint.open {
         let mut left = calls.clone();
-        let settled = after()
+        let recorded = after()
             .filter(|r| r.service == calls.service && r.account == calls.account)
-            // Only a call that held its slot at the time of the mark can be one of those.
-            .filter(|r| r.held_ms > 0.0 && (r.at_ms as f64 - r.held_ms) <= mark.at_ms as f64);
-        for record in settled {
+            // Only calls that held their slot at the time of the checkpoint count.
+            .filter(|r| r.held_ms > 0.0 && (r.at_ms as f64 - r.held_ms) <= checkpoint.at_ms as f64);
+        for record in recorded {
             left.calls = left.calls.saturating_sub(1);
             left.estimate -= record.estimate;
         }
@@ -208,45 +207,45 @@
     open
 }
 
-/// Most calls of each service that held slots at one time, as far as records and marks tell.
-fn peak(numbers: &Numbers) -> BTreeMap<Box<str>, u64> {
-    let mut edges: BTreeMap<&str, Vec<(f64, i64)>> = BTreeMap::new();
-    for record in numbers.records.values().filter(|r| r.held_ms > 0.0) {
+/// Maximum number of concurrent calls of each service, according to records and checkpoints.
+fn peak(run_log: &RunLog) -> BTreeMap<Box<str>, u64> {
+    let mut changes: BTreeMap<&str, Vec<(f64, i64)>> = BTreeMap::new();
+    for record in run_log.records.values().filter(|r| r.held_ms > 0.0) {
         let end = record.at_ms as f64;
-        let edges = edges.entry(&record.service).or_default();
-        edges.extend([(end - record.held_ms, 1), (end, -1)]);
+        let changes = changes.entry(&record.service).or_default();
+        changes.extend([(end - record.held_ms, 1), (end, -1)]);
     }
     let mut peaks: BTreeMap<Box<str>, u64> = BTreeMap::new();
-    for (service, mut edges) in edges {
-        edges.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+    for (service, mut changes) in changes {
+        changes.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let mut running = 0;
-        let mut most = 0;
-        for (_, step) in edges {
+        let mut peak = 0;
+        for (_, step) in changes {
             running += step;
-            most = most.max(running);
+            peak = peak.max(running);
         }
-        peaks.insert(service.into(), most.unsigned_abs());
+        peaks.insert(service.into(), peak.unsigned_abs());
     }
-    let mut marked: BTreeMap<&str, u64> = BTreeMap::new();
-    for open in numbers.mark.iter().flat_map(|m| &m.open) {
-        *marked.entry(&open.service).or_default() += open.calls;
+    let mut at_checkpoint: BTreeMap<&str, u64> = BTreeMap::new();
+    for open in run_log.checkpoint.iter().flat_map(|m| &m.open) {
+        *at_checkpoint.entry(&open.service).or_default() += open.calls;
     }
-    for (service, calls) in marked {
+    for (service, calls) in at_checkpoint {
         let peak = peaks.entry(service.into()).or_default();
         *peak = (*peak).max(calls);
     }
     peaks
 }
 
-fn between(numbers: &Numbers, gaps: &[(u64, u64)], killed: bool) -> (u64, u64) {
+fn missing_range(run_log: &RunLog, gaps: &[(u64, u64)], killed: bool) -> (u64, u64) {
     let at = |record: Option<(&u64, &UsageRecord)>| record.map(|(_, r)| r.at_ms);
-    let last = numbers.last_ms;
+    let last = run_log.last_ms;
     let from = gaps.iter().map(|(first, _)| {
-        at(numbers.records.range(..first).next_back()).unwrap_or_else(|| run_start(numbers))
+        at(run_log.records.range(..first).next_back()).unwrap_or_else(|| run_start(run_log))
     });
     let to = gaps
         .iter()
-        .map(|(_, end)| at(numbers.records.range(end + 1..).next()).unwrap_or(last));
+        .map(|(_, end)| at(run_log.records.range(end + 1..).next()).unwrap_or(last));
     let tail = killed.then_some(last);
     (
         from.chain(tail).min().unwrap_or(last),
@@ -254,8 +253,8 @@
     )
 }
 
-/// Earliest time that is known of a run.
-fn run_start(numbers: &Numbers) -> u64 {
-    let first = numbers.records.values().map(|r| r.at_ms).min();
-    first.unwrap_or(numbers.last_ms)
+/// Earliest known time of a run.
+fn run_start(run_log: &RunLog) -> u64 {
+    let first = run_log.records.values().map(|r| r.at_ms).min();
+    first.unwrap_or(run_log.last_ms)
 }
--- a/crates/hawthornmill/src/usage/explain/mod.rs
+++ b/crates/hawthornmill/src/usage/explain/mod.rs
@@ -1,7 +1,7 @@
-//! Divides what was served, from usage records.
+//! Compares the service that accounts received with their entitlements, from usage records.
 //!
-//! [`log`] gathers lines and finds out what is missing, [`mod@intervals`] divides each step of time,
-//! [`summary`] says why an account received more or less than it was owed. Nothing here reads files.
+//! [`log`] collects lines and detects missing records, [`mod@intervals`] computes received service
+//! and entitlements per interval, [`summary`] describes why they differ. Nothing here reads files.
 
 pub mod intervals;
 pub mod log;
--- a/crates/hawthornmill/src/usage/explain/summary.rs
+++ b/crates/hawthornmill/src/usage/explain/summary.rs
@@ -1,42 +1,42 @@
-//! Says in plain words why an account received more or less than it was owed.
+//! Describes why an account received more or less than its entitlement.
 
 use super::intervals::{AccountLine, AccountUsage, Interval};
 use super::log::MissingRecords;
 use crate::usage::Reason;
 
-/// Differences up to this part of what was owed are the calls in flight at a step's edges.
-const CLOSE: f64 = 0.02;
-/// Reasons that account for less than this part of the waiting are left out.
-const MINOR: f64 = 0.1;
+/// Relative differences up to this one come from calls in flight at the limits of a step.
+const TOLERANCE: f64 = 0.02;
+/// Reasons with a smaller fraction of the waiting time are omitted.
+const MIN_FRACTION: f64 = 0.1;
 
-/// What a reason means to a reader who knows nothing of routers.
+/// Describes a reason for readers who don't know the router.
 pub fn describe(reason: Reason) -> &'static str {
     match reason {
         Reason::None => "no wait",
         Reason::SlotsBusy => "every server open to it was busy",
         Reason::SelectorLimit => "a selector confined it to busy servers while others idled",
         Reason::OwnerChange => "a pool of servers changed its owner",
-        Reason::RegionUnreachable => "another region was out of reach",
-        Reason::ViewUnconfirmed => "its router was paused and had to confirm its view",
+        Reason::RegionUnreachable => "another region was unreachable",
+        Reason::ViewUnconfirmed => "its router was paused and had to confirm its view of the fleet",
         Reason::QueueFull => "its queue was full: it asked for more than was served",
-        Reason::InstanceFull => "a router held as much as it may",
+        Reason::InstanceFull => "a router held its maximum number of requests",
         Reason::ServerFailed => "a server failed",
-        Reason::Rejected => "the call itself was not acceptable",
+        Reason::Rejected => "the call itself was invalid",
     }
 }
 
-/// Why the line's account received what it did.
+/// Describes why the account of `line` received what it did.
 pub fn explain_line(line: &AccountLine, interval: &Interval, missing: &[MissingRecords]) -> String {
     let part = &line.part;
     let mut words = vec![difference(part)];
     words.extend(waiting(part));
-    words.extend(refusals(part));
+    words.extend(rejections(part));
     let end = interval.start_ms + interval.length_ms;
-    for gap in missing
+    for describe_run in missing
         .iter()
         .filter(|m| m.between_ms.0 < end && m.between_ms.1 >= interval.start_ms)
     {
-        words.push(format!("records missing from {}", gap.entry));
+        words.push(format!("records missing from {}", describe_run.entry));
     }
     words.join("; ")
 }
@@ -46,7 +46,7 @@
     if part.received == 0.0 && part.entitled == 0.0 {
         return "received nothing".into();
     }
-    if difference.abs() <= CLOSE * part.entitled {
+    if difference.abs() <= TOLERANCE * part.entitled {
         if part.backlogged_ms > 0.0 {
             return "received its share".into();
         }
@@ -71,7 +71,7 @@
     let mut list: Vec<(&Reason, &f64)> = part
         .waited_ms
         .iter()
-        .filter(|(_, ms)| **ms >= MINOR * total)
+        .filter(|(_, ms)| **ms >= MIN_FRACTION * total)
         .collect();
     list.sort_by(|a, b| b.1.total_cmp(a.1));
     let words: Vec<String> = list
@@ -81,7 +81,7 @@
     Some(format!("calls waited because {}", words.join(", ")))
 }
 
-fn refusals(part: &AccountUsage) -> Option<String> {
+fn rejections(part: &AccountUsage) -> Option<String> {
     let words: Vec<String> = part
         .refused
         .iter()
@@ -90,12 +90,12 @@
     (!words.is_empty()).then(|| words.join(", "))
 }
 
-/// What can't be explained for want of records, one sentence for each process run.
+/// Describes missing records, one sentence for each process run.
 pub fn describe_missing(missing: &[MissingRecords]) -> Vec<String> {
-    missing.iter().map(gap).collect()
+    missing.iter().map(describe_run).collect()
 }
 
-fn gap(missing: &MissingRecords) -> String {
+fn describe_run(missing: &MissingRecords) -> String {
     let mut words = Vec::new();
     if missing.records > 0 {
         let ranges: Vec<String> = missing
@@ -110,8 +110,8 @@
         let least: u64 = missing.open.iter().map(|o| o.calls).sum();
         let most: u64 = missing.peak.values().sum();
         words.push(format!(
-            "ended without a word; its last mark names {} in flight without a record, and it \
-             had up to {most} at one time",
+            "ended without a final checkpoint; the last one lists {} in flight without a record, \
+             and the run had up to {most} at once",
             count(least, "call")
         ));
     }
--- a/crates/hawthornmill/src/usage/mod.rs
+++ b/crates/hawthornmill/src/usage/mod.rs
@@ -1,11 +1,12 @@
-//! Usage records, and what can be worked out from them afterwards.
+//! Usage records and their evaluation.
 //!
 //! An entry writes one record for each attempt that held a slot and for each admitted call that it
-//! refused. A record's id is the entry's incarnation and a sequence number without gaps, so that a
-//! reader can drop duplicates and tell which records are missing. A mark tells from time to time
-//! how far the numbers went and which calls are in flight, because a killed process can't. Records
-//! and marks go out as JSON lines; the instances keep none. [`wait_reason`] finds out why a call
-//! waited, and [`explain`] divides what was served.
+//! rejected. A record is identified by the entry's incarnation and a sequence number without gaps,
+//! so that a reader can remove duplicates and detect missing records. Since a killed process writes
+//! nothing more, periodic checkpoints contain the last sequence number and the calls in flight.
+//! Records and checkpoints are written as JSON lines and not stored. [`wait_reason`] determines why
+//! a call waited, and [`explain`] compares the service that accounts received with their
+//! entitlements.
 
 pub mod explain;
 pub mod wait_reason;
@@ -14,48 +15,48 @@
 
 pub use wait_reason::{Reason, WaitTracker};
 
-/// What became of one attempt or refused call.
+/// The result of one attempt or rejected call.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UsageRecord {
     /// Entry instance by name.
     pub entry: Box<str>,
     /// Process run of the entry.
     pub incarnation: u64,
-    /// Number of the record within that run, from 1, without gaps.
+    /// Sequence number of the record within that run, from 1, without gaps.
     pub seq: u64,
     /// Wall-clock milliseconds since the Unix epoch at the end of the request.
     pub at_ms: u64,
-    /// Request id, as callers and servers see it.
+    /// Request id, as sent to clients and servers.
     pub request: Box<str>,
     /// Client account by name.
     pub account: Box<str>,
     /// Service by name.
     pub service: Box<str>,
-    /// Backend server by name; empty where none was used.
+    /// Backend server by name; empty if none was used.
     pub server: Box<str>,
-    /// Owner that granted the slot, by name; empty where none did.
+    /// Owner that granted the slot, by name; empty if there was no grant.
     pub owner: Box<str>,
-    /// Share of the account on that server, or on one that is open to it where none was used.
+    /// Share of the account on that server, or on any server that it may use if none was used.
     pub share: f64,
-    /// Cost that was expected of the call, in the service's unit.
+    /// Cost expected for the call, in the service's unit.
     pub estimate: f64,
     /// Cost in the service's unit.
     pub cost: f64,
-    /// The server reported no cost, so the estimate stands in for it.
+    /// Whether `cost` is the estimate because the server reported none.
     pub estimated: bool,
-    /// Milliseconds from arrival to the first byte towards the server.
+    /// Milliseconds from arrival until the first byte was sent to the server.
     pub waited_ms: f64,
     /// Milliseconds that the slot was held.
     pub held_ms: f64,
     /// `ran`, `not_run` or `unknown`.
     pub outcome: Box<str>,
-    /// Numbered code; 0 for a whole answer.
+    /// Numbered code; 0 for a complete response.
     pub code: u16,
-    /// Why it waited or was refused.
+    /// Why the call waited or was rejected.
     pub reason: Reason,
 }
 
-/// Calls of one account that hold slots when a mark is written.
+/// Calls of one account that hold slots when a checkpoint is written.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OpenCalls {
     /// Service by name.
@@ -68,24 +69,24 @@
     pub estimate: f64,
 }
 
-/// How far the numbers of one process run went.
+/// Progress of one process run, written periodically and at its end.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UsageCheckpoint {
     /// Entry instance by name.
     pub entry: Box<str>,
     /// Process run of the entry.
     pub incarnation: u64,
-    /// Number of the last record; 0 where there is none.
+    /// Sequence number of the last record; 0 if there is none.
     pub seq: u64,
     /// Wall-clock milliseconds since the Unix epoch.
     pub at_ms: u64,
     /// Calls that have no record yet.
     pub open: Vec<OpenCalls>,
-    /// The process ends in good order and writes no more records.
+    /// Whether the process shuts down and writes no more records.
     pub end: bool,
 }
 
-/// A line of a router's log that is about usage.
+/// A usage line of a router's log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum UsageLine {
@@ -94,10 +95,10 @@
         /// The record.
         usage: UsageRecord,
     },
-    /// One mark.
+    /// One checkpoint.
     #[serde(rename = "usage_mark")]
     Checkpoint {
-        /// The mark.
+        /// The checkpoint.
         #[serde(rename = "mark")]
         checkpoint: UsageCheckpoint,
     },
--- a/crates/hawthornmill/src/usage/wait_reason.rs
+++ b/crates/hawthornmill/src/usage/wait_reason.rs
@@ -1,7 +1,8 @@
-//! Why a call waited or was refused, as far as its entry can tell.
+//! Why a call waited or was rejected, as far as its entry can tell.
 //!
-//! The watch reads the board on each tick and remembers when it last saw what keeps calls waiting;
-//! a call that ends asks it about its own time of waiting. No decision depends on it.
+//! A [`WaitTracker`] reads the board on each tick and records when it last observed each condition
+//! that keeps calls waiting. When a call ends, the conditions observed during its wait give the
+//! reason. No scheduling decision depends on it.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -13,42 +14,42 @@
 use crate::codes::Code;
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, RegionId, ServiceId};
 
-/// Waiting times up to this one are the round trip of a grant and need no reason.
-pub const NO_WAIT: Duration = Duration::from_millis(5);
+/// Shorter waits are the round trip of a grant and get no reason.
+pub const MIN_WAIT: Duration = Duration::from_millis(5);
 
-/// Why a call waited or was refused.
+/// Why a call waited or was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
     /// It did not wait.
     None,
-    /// Every slot that is open to the account was taken.
+    /// Every slot that the account may use was busy.
     #[serde(rename = "slots")]
     SlotsBusy,
-    /// Slots idled on servers that no grant opens to the account.
+    /// Slots were free only on servers that no grant allows the account to use.
     #[serde(rename = "confined")]
     SelectorLimit,
-    /// A pool that is open to the account had no owner, or a new one.
+    /// A pool that the account may use had no owner, or a new one.
     OwnerChange,
-    /// Another region with servers for the account was out of reach.
+    /// Another region with servers for the account was unreachable.
     #[serde(rename = "region_cut")]
     RegionUnreachable,
-    /// The entry was paused and dispatched nothing until its view was confirmed.
+    /// The entry had been paused and dispatched nothing until its view of the fleet was confirmed.
     #[serde(rename = "view")]
     ViewUnconfirmed,
     /// The account's queue at the entry was full, or too long for the deadline.
     QueueFull,
-    /// The entry held as much as it may.
+    /// The entry held its maximum number of requests.
     InstanceFull,
-    /// A backend server could not be reached or broke off.
+    /// A backend server could not be reached or failed during the call.
     #[serde(rename = "server")]
     ServerFailed,
-    /// The call itself could not be accepted: its body or its key.
+    /// The call itself was invalid: its body or its key.
     Rejected,
 }
 
 impl Reason {
-    /// The reason of a refusal that has nothing to do with waiting.
+    /// The reason of a rejection that is independent of waiting.
     pub fn from_code(code: Code) -> Option<Self> {
         match code {
             Code::QueueFull | Code::QueueTooLong => Some(Self::QueueFull),
@@ -70,32 +71,32 @@
 
 type Owner = (InstanceId, Incarnation);
 
-/// When an entry last saw what keeps calls waiting.
+/// When an entry last observed each condition that keeps calls waiting.
 #[derive(Debug, Default)]
 pub struct WaitTracker {
     owners: BTreeMap<PoolId, Owner>,
-    unsettled: BTreeMap<PoolId, Instant>,
+    owner_changed: BTreeMap<PoolId, Instant>,
     stale: Option<Instant>,
-    cut: BTreeMap<RegionId, Instant>,
+    unreachable: BTreeMap<RegionId, Instant>,
 }
 
 impl WaitTracker {
-    /// Remembers what the board shows now.
+    /// Records the present state of the board.
     pub fn observe(&mut self, board: &Board, now: Instant) {
         if board.stale.is_some() {
             self.stale = Some(now);
         }
-        for region in cut_regions(board) {
-            self.cut.insert(region, now);
+        for region in unreachable_regions(board) {
+            self.unreachable.insert(region, now);
         }
         for (pool, link) in &board.links {
             let known = self.owners.get(pool).copied();
             let silent = link.owner.is_none_or(|(id, _)| board.silent(id));
-            // The first owner that a process hears of is no change.
+            // The first owner that a process learns of is not a change.
             let changed = known.is_some() && known != link.owner;
             if silent || changed {
-                // A new owner first collects what entries hold and grants nothing meanwhile.
-                self.unsettled.insert(*pool, now + board.tuning.rebuild);
+                // A new owner first collects the state of the entries and issues no grants meanwhile.
+                self.owner_changed.insert(*pool, now + board.tuning.rebuild);
             }
             if let Some(owner) = link.owner {
                 self.owners.insert(*pool, owner);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Why a call of `account` that arrived at `arrived` waited until `now`.
+    /// Why a call of `account` waited from `arrived` until `now`.
     pub fn reason(
         &self,
         board: &Board,
@@ -112,7 +113,7 @@
         arrived: Instant,
         now: Instant,
     ) -> Reason {
-        if now.duration_since(arrived) <= NO_WAIT {
+        if now.duration_since(arrived) <= MIN_WAIT {
             return Reason::None;
         }
         let during = |at: Option<Instant>| at.is_some_and(|at| at >= arrived);
@@ -126,36 +127,40 @@
             .copied()
             .filter(|p| board.config.can_use_pool(account, *p))
             .collect();
-        // A cut also takes the owners of the pools behind it away, so it is looked for first.
-        let is_cut = |p: &PoolId| during(self.cut.get(&board.config.pools[p].region).copied());
-        if open.iter().any(is_cut) {
+        // An unreachable region also changes the owners of its pools, so it is checked first.
+        let is_unreachable =
+            |p: &PoolId| during(self.unreachable.get(&board.config.pools[p].region).copied());
+        if open.iter().any(is_unreachable) {
             return Reason::RegionUnreachable;
         }
-        if open.iter().any(|p| during(self.unsettled.get(p).copied())) {
+        if open
+            .iter()
+            .any(|p| during(self.owner_changed.get(p).copied()))
+        {
             return Reason::OwnerChange;
         }
-        if is_confined(board, service, account) {
+        if has_free_slots_elsewhere(board, service, account) {
             return Reason::SelectorLimit;
         }
         Reason::SlotsBusy
     }
 }
 
-/// Other regions whose instances are known and none of them is heard.
-fn cut_regions(board: &Board) -> impl Iterator<Item = RegionId> {
+/// Other regions with known instances, none of which is live.
+fn unreachable_regions(board: &Board) -> impl Iterator<Item = RegionId> {
     let own = board.members.own().region;
-    let mut heard = BTreeMap::new();
+    let mut any_live = BTreeMap::new();
     for member in board.members.map.values().filter(|m| m.region != own) {
-        *heard.entry(member.region).or_insert(false) |= member.live;
+        *any_live.entry(member.region).or_insert(false) |= member.live;
     }
-    heard
+    any_live
         .into_iter()
         .filter(|(_, live)| !live)
         .map(|(region, _)| region)
 }
 
-/// Tells whether slots idle in a pool that has servers closed to `account`.
-fn is_confined(board: &Board, service: ServiceId, account: AccountId) -> bool {
+/// Returns whether a pool with servers that `account` may not use has free slots.
+fn has_free_slots_elsewhere(board: &Board, service: ServiceId, account: AccountId) -> bool {
     let config = &board.config;
     let closed = |pool: &PoolId| {
         let servers = config.pools.get(pool).map(|p| &p.servers);
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -87,6 +87,32 @@
     .join("\n")
 }
 
+/// Other programs read usage lines and the report, so names in JSON must stay when code is renamed.
+#[test]
+fn json_names_of_usage_stay_the_same() {
+    let reasons = [
+        (Reason::SlotsBusy, "slots"),
+        (Reason::SelectorLimit, "confined"),
+        (Reason::RegionUnreachable, "region_cut"),
+        (Reason::ViewUnconfirmed, "view"),
+        (Reason::ServerFailed, "server"),
+    ];
+    for (reason, name) in reasons {
+        let mut one = record("r1", 1, "big", 4.0, 1.0);
+        one.reason = reason;
+        let json = line(one);
+        assert!(json.contains(&format!("\"reason\":\"{name}\"")), "{json}");
+    }
+    let json = mark("r1", 1, START, 0, true);
+    assert!(
+        json.contains("\"kind\":\"usage_mark\",\"mark\":{"),
+        "{json}"
+    );
+    let explained = Explained::new(&read_text(&small_log()), 10);
+    let json = serde_json::to_value(&explained.intervals).expect("it can be encoded");
+    assert_eq!(json[0]["lines"][0]["owed"], 360.0, "{json}");
+}
+
 #[test]
 fn the_text_of_a_small_log() {
     let explained = Explained::new(&read_text(&small_log()), 10);
@@ -99,7 +125,7 @@
 
 drafting: 600.0 received in all, 0.0 of it estimated because no cost was reported
 2 process runs, 1 duplicates dropped, 0 lines unreadable
-r2 (run 7): 1 record missing (numbers 2 to 2); ended without a word; its last mark names 1 call in flight without a record, and it had up to 1 at one time; up to about 220 of drafting can't be explained
+r2 (run 7): 1 record missing (numbers 2 to 2); ended without a final checkpoint; the last one lists 1 call in flight without a record, and the run had up to 1 at once; up to about 220 of drafting can't be explained
 ");
 }
 
