--- a/crates/hawthornmill/src/routing/allowance.rs
+++ b/crates/hawthornmill/src/routing/allowance.rs
@@ -1,39 +1,41 @@
-//! How much of a server a request may take, by how its account stands to its share.
+//! Fraction of a server's capacity that a request may use, by its account's fair-share status.
 //!
-//! Load pattern: a few accounts ask for many times their share. Whatever they leave free, others find at once.
+//! Load pattern: a few accounts request many times their fair share. Capacity that they leave free is available to
+//! other accounts without delay.
 
 use super::usage::{FairShare, ShareStatus};
 
-/// Part of a server's room and of the objective that a request of each standing may take.
+/// Fraction of a server's capacity and of the latency objective that a request of each status may use.
 ///
-/// Accounts beyond their share take what is left over. If they filled the servers, requests of the
-/// others would find no room or come behind long prompts, before any could be turned away.
-const PARTS: [f64; 3] = [1.0, 0.6, 0.35];
-/// The same while nobody who goes before found no room lately.
-const CALM_PARTS: [f64; 3] = [1.0, 0.85, 0.6];
-/// Servers that may read a family's long shared capacity_fraction for a request of each standing.
+/// Accounts above their fair share get what is left over. If they filled the servers, requests of other accounts would
+/// find no capacity, or queue behind long prompts, before any request could be refused.
+const CONTENDED_FRACTIONS: [f64; 3] = [1.0, 0.6, 0.35];
+/// The same while no account ahead of those above their fair share has unmet demand.
+const UNCONTENDED_FRACTIONS: [f64; 3] = [1.0, 0.85, 0.6];
+/// Servers that may prefill a family's long shared prefix, for a request of each status.
 ///
-/// Each further copy takes reading time and memory from all.
-const COPIES: [usize; 3] = [usize::MAX, 2, 1];
-/// Lead, in times of an even capacity_fraction, from which an account's room shrinks also while nobody lacks room.
-const CALM_LEAD: f64 = 1.2;
-/// Times by which an account's room shrinks at most for its lead.
-const MOST_LEAD: f64 = 4.0;
+/// Each further copy takes prefill time and KV memory from all accounts.
+const MAX_COPIES: [usize; 3] = [usize::MAX, 2, 1];
+/// Usage ratio from which an account's capacity shrinks even without contention.
+const UNCONTENDED_RATIO: f64 = 1.2;
+/// Largest factor by which an account's capacity shrinks for its usage ratio.
+const MAX_REDUCTION: f64 = 4.0;
 
-/// Part of a server's room and of the objective that a request of an account with `share` may take; `calm` says that
-/// nobody who goes before accounts beyond their share found no room lately.
-pub fn capacity_fraction(share: FairShare, calm: bool) -> f64 {
-    // Of two accounts beyond their share, the one that is ahead finds less room: alike, whoever has more entries to
-    // come in by would have several times as much.
-    let (parts, lead) = if calm {
-        (CALM_PARTS, share.usage_ratio / CALM_LEAD)
+/// Returns the fraction of a server's capacity and of the latency objective for an account with `share`.
+///
+/// `uncontended` means that no account ahead of those above their fair share has unmet demand.
+pub fn capacity_fraction(share: FairShare, uncontended: bool) -> f64 {
+    // Of two accounts above their fair share, the one with more usage gets less. With equal fractions, an account that
+    // enters at more instances would get several times as much.
+    let (fractions, reduction) = if uncontended {
+        (UNCONTENDED_FRACTIONS, share.usage_ratio / UNCONTENDED_RATIO)
     } else {
-        (PARTS, share.usage_ratio)
+        (CONTENDED_FRACTIONS, share.usage_ratio)
     };
-    parts[share.status as usize] / lead.clamp(1.0, MOST_LEAD)
+    fractions[share.status as usize] / reduction.clamp(1.0, MAX_REDUCTION)
 }
 
-/// Servers of its family that may read a long shared capacity_fraction for a request of an account of `standing`.
-pub const fn max_prefix_copies(standing: ShareStatus) -> usize {
-    COPIES[standing as usize]
+/// Returns the number of servers that may prefill a long shared prefix for an account with `status`.
+pub const fn max_prefix_copies(status: ShareStatus) -> usize {
+    MAX_COPIES[status as usize]
 }
--- a/crates/hawthornmill/src/routing/catalog.rs
+++ b/crates/hawthornmill/src/routing/catalog.rs
@@ -1,6 +1,6 @@
-//! What operators publish for the gateway: routes, services, accounts and limits.
+//! Catalog that operators publish for the gateway: routes, services, accounts and limits.
 //!
-//! The types hold data only. [`validate`] says whether a catalog may come into force.
+//! The types hold data only; [`validate`] checks a catalog before it comes into force.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,34 +11,34 @@
 use crate::codes::Code;
 use crate::ident::{AccountId, ServiceId};
 
-/// How often a request of a route may run.
+/// Whether a request of a route may be sent again after it may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetryPolicy {
-    /// Any number of times.
+    /// It may run any number of times.
     Idempotent,
-    /// Once at most.
+    /// It runs at most once.
     AtMostOnce,
-    /// Once at most, but another server may go on after the last event that the caller has.
+    /// It runs at most once, but another server may resume the stream after the last event that the caller has.
     Resumable,
 }
 
 impl RetryPolicy {
-    /// Tells whether a request that may have run can be sent again.
+    /// Returns whether a request that may have run can be sent again.
     pub const fn allows_retry(self) -> bool {
         !matches!(self, Self::AtMostOnce)
     }
 }
 
-/// One service among which a route's requests are divided.
+/// One of the services among which a route's requests are split.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The service.
     pub service: ServiceId,
-    /// Its part, relative to the other targets of the route.
+    /// Weight relative to the other targets of the route.
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go, and what is promised for them.
+/// Requests of one host and path prefix: where they go, and the guarantees for them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// Name for logs.
@@ -47,82 +47,82 @@
     pub host: Box<str>,
     /// Path prefix; begins and ends with a slash.
     pub prefix: Box<str>,
-    /// Services that serve it; at least one with a weight above 0.
+    /// Services that serve the route; at least one has a weight above 0.
     pub targets: SmallVec<[Target; 2]>,
-    /// How often a request may run.
+    /// Whether a request may be sent again.
     pub retry_policy: RetryPolicy,
-    /// The answer is a stream of events.
+    /// The response is a stream of events.
     pub streaming: bool,
-    /// Longest time for which a request may stay unanswered.
+    /// Longest time that a request may take until its response.
     pub timeout: Duration,
-    /// Time to the answer, or to the first event of a stream, that callers are promised.
+    /// Latency objective: time to the response, or to the first event of a stream.
     pub objective: Duration,
-    /// Rank; 0 is served first.
+    /// Priority; 0 is served first.
     pub priority: u32,
-    /// Servers to which one request may be sent at most.
+    /// Maximum number of servers to which one request is sent.
     pub max_attempts: u32,
-    /// Needs no account.
+    /// Requests need no account.
     pub public: bool,
 }
 
-/// What the model engines of a service can hold.
+/// Capacity of the model engines of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that one server runs at once.
+    /// Requests that one server runs concurrently.
     pub slots: u32,
-    /// Tokens that one server's memory holds.
+    /// Tokens that one server's KV memory holds.
     pub kv_capacity: u32,
 }
 
 /// A group of servers under one name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Key by which routes and registrations name it.
+    /// Key that routes and registrations refer to.
     pub id: ServiceId,
     /// Name for logs.
     pub name: Box<str>,
-    /// Connections that one server accepts from all callers together.
+    /// Connections that one server accepts from all instances together.
     pub max_connections: u32,
     /// Set where the servers are model engines.
     pub engine: Option<Engine>,
 }
 
-/// Digest of a bearer token; tokens themselves are not kept.
+/// Digest of a bearer token; the token itself isn't stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TokenDigest([u8; 32]);
 
 impl TokenDigest {
-    /// Digest of `token`.
+    /// Hashes `token`.
     pub fn of(token: &[u8]) -> Self {
         Self(*blake3::hash(token).as_bytes())
     }
 }
 
-/// A client account and the tokens that act for it.
+/// A client account and its tokens.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
     /// Key in counters.
     pub id: AccountId,
-    /// Name that servers are shown.
+    /// Name that is passed on to servers.
     pub name: Box<str>,
     /// Digests of its tokens.
     pub tokens: SmallVec<[TokenDigest; 2]>,
-    /// Rank that goes before the route's.
+    /// Priority that overrides the route's.
     pub priority: Option<u32>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on callers, and the capacity of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
     /// Time from the first byte of a head to its end.
     pub header_timeout: Duration,
-    /// Time for which a connection may stay without a request.
+    /// Time that a connection may stay open without a request.
     pub idle_timeout: Duration,
-    /// Tokens a second that all engines yield together, a token generated counted twice; 0: unknown.
+    /// Tokens per second that all engines yield together, with each generated token counted twice; 0 when unknown.
     pub token_rate: f64,
 }
 
@@ -138,25 +138,25 @@
     }
 }
 
-/// One published version of everything that decides where a request goes.
+/// One published version of all data that decides where a request goes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// Rises with each change.
+    /// Increases with each change.
     pub version: u64,
     /// Routes in any order.
     pub routes: Vec<Route>,
-    /// Services that routes name.
+    /// Services that routes refer to.
     pub services: Vec<Service>,
-    /// Accounts; none where callers need no token.
+    /// Accounts; empty where callers need no token.
     pub accounts: Vec<Account>,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: Limits,
 }
 
-/// Checks a catalog whole.
+/// Validates a whole catalog.
 ///
 /// # Errors
-/// The code and the words for the first fault; nothing of the catalog may come into force then.
+/// Returns the code and the text of the first fault; no part of the catalog may come into force then.
 pub fn validate(catalog: &Catalog) -> Result<(), (Code, Box<str>)> {
     let services: BTreeSet<ServiceId> = catalog.services.iter().map(|s| s.id).collect();
     let mut seen = BTreeSet::new();
@@ -164,13 +164,13 @@
         let name = &route.name;
         if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
             let what = format!(
-                "route {name}: prefix `{}` needs a slash at both ends",
+                "route {name}: prefix `{}` must begin and end with a slash",
                 route.prefix
             );
             return Err((Code::BadValue, what.into()));
         }
         if route.targets.iter().all(|t| t.weight == 0) {
-            let what = format!("route {name} goes to no service");
+            let what = format!("route {name} has no target with a weight above 0");
             return Err((Code::BadValue, what.into()));
         }
         if let Some(target) = route
@@ -185,7 +185,10 @@
             return Err((Code::UnknownReference, what.into()));
         }
         if !seen.insert((&route.host, &route.prefix)) {
-            let what = format!("route {name}: {}{} stands twice", route.host, route.prefix);
+            let what = format!(
+                "route {name}: duplicate host and prefix {}{}",
+                route.host, route.prefix
+            );
             return Err((Code::Duplicate, what.into()));
         }
     }
--- a/crates/hawthornmill/src/routing/departures.rs
+++ b/crates/hawthornmill/src/routing/departures.rs
@@ -1,7 +1,7 @@
-//! Servers that leave, told at once to whom the list of registrations comes late.
+//! Servers that leave, reported without waiting for the list of registrations.
 //!
-//! Load pattern: an instance that was cut off, or whose process is behind, hears of registrations seconds late or doubts them,
-//! while others know from the store that a server leaves.
+//! Load pattern: an instance that was cut off, or whose process lags, receives registrations seconds late or holds them as
+//! unconfirmed, while others know from the store that a server leaves.
 
 use std::time::{Duration, Instant};
 
@@ -9,56 +9,59 @@
 
 use crate::ident::ServerId;
 
-/// Time for which a server that leaves is told of, so that it outlives lost datagrams.
-const TOLD: Duration = Duration::from_millis(900);
-/// Servers told of at once: they fit a datagram.
-const MOST: usize = 48;
+/// Time for which a departure is reported, so that it outlasts lost datagrams.
+const REPORT_TTL: Duration = Duration::from_millis(900);
+/// Departures in one report, so that they fit a datagram.
+const MAX_REPORTED: usize = 48;
 
-/// A server that leaves or is gone, for sure.
+/// A server that is certain to leave, or gone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departure {
     /// The server.
     pub server: ServerId,
-    /// The store's revision of its word, or of its entry's removal.
+    /// Revision of the store at which it began to leave or its entry was removed.
     pub revision: u64,
 }
 
-/// Who told of a server that leaves.
+/// Origin of a departure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// The store.
+    /// The platform's store.
     Store,
     /// Another instance.
     Peer,
 }
 
-/// Servers that leave, as heard lately.
+/// Recent departures.
 #[derive(Debug, Clone, Default)]
 pub struct RecentDepartures {
-    heard: Vec<(Departure, Source, Instant)>,
+    recent: Vec<(Departure, Source, Instant)>,
 }
 
 impl RecentDepartures {
-    /// `leaving` was heard from `source`.
-    pub fn record(&mut self, leaving: Departure, source: Source, now: Instant) {
-        self.heard
-            .retain(|(_, _, at)| now.duration_since(*at) < TOLD);
-        self.heard.push((leaving, source, now));
+    /// Records `departure`, received from `source`.
+    pub fn record(&mut self, departure: Departure, source: Source, now: Instant) {
+        self.recent
+            .retain(|(_, _, at)| now.duration_since(*at) < REPORT_TTL);
+        self.recent.push((departure, source, now));
     }
 
-    /// What to tell those nearby: what the store told here, since they hear from each other.
+    /// Returns departures to report within the own domain: only those from the store, since peers report their own.
     pub fn for_domain(&self, now: Instant) -> Vec<Departure> {
-        self.told(now, |source| source == Source::Store)
+        self.select(now, |source| source == Source::Store)
     }
 
-    /// What to tell the other failure domains: all of it, in the name of those nearby.
+    /// Returns departures to report to other failure domains: all of them, on behalf of the own domain.
     pub fn for_other_domains(&self, now: Instant) -> Vec<Departure> {
-        self.told(now, |_| true)
+        self.select(now, |_| true)
     }
 
-    fn told(&self, now: Instant, from: impl Fn(Source) -> bool) -> Vec<Departure> {
-        let fresh = self.heard.iter().rev();
-        let fresh = fresh.filter(|(_, s, at)| from(*s) && now.duration_since(*at) < TOLD);
-        fresh.take(MOST).map(|(leaving, _, _)| *leaving).collect()
+    fn select(&self, now: Instant, from: impl Fn(Source) -> bool) -> Vec<Departure> {
+        let fresh = self.recent.iter().rev();
+        let fresh = fresh.filter(|(_, s, at)| from(*s) && now.duration_since(*at) < REPORT_TTL);
+        fresh
+            .take(MAX_REPORTED)
+            .map(|(departure, _, _)| *departure)
+            .collect()
     }
 }
--- a/crates/hawthornmill/src/routing/domain_summary.rs
+++ b/crates/hawthornmill/src/routing/domain_summary.rs
@@ -1,10 +1,10 @@
-//! What a failure domain tells the others in a large fleet.
+//! Summaries that failure domains exchange in a large fleet.
 //!
-//! If every instance told every other one, datagrams would grow with the square of the fleet, and those
-//! between failure domains are billed. So an instance tells its own domain everything, and two *relays*
-//! of the domain, picked by a hash over the live instances, tell the relays of the other domains what the
-//! domain has in sum. A relay passes such datagrams on to its own domain as they came. A lost relay costs
-//! one of two tellings until it counts as silent; nothing is kept by relays alone.
+//! If every instance reported to every other one, datagrams would grow with the square of the fleet, and traffic between
+//! failure domains is billed. An instance therefore reports in full to its own domain only. Two *relays* per domain,
+//! chosen by a hash over the live instances, send the domain's sums to the relays of the other domains, and a relay
+//! forwards what it receives to its own domain unchanged. A lost relay costs every second summary until it counts as
+//! silent; no state is kept by relays alone.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,9 +14,9 @@
 use super::usage::{AccountUsage, ShareStatus};
 use crate::ident::{AccountId, DomainId, Incarnation, InstanceId, ServerId, ServiceId, mix};
 
-/// Servers in one datagram, each of up to 22 bytes.
-const MOST_SERVERS: usize = 56;
-/// Prefixes sent astray that are told at once, by an instance and by a domain: they fit a packet.
+/// Servers per datagram, at up to 22 bytes each.
+const MAX_SERVERS: usize = 56;
+/// Spilled prefixes in one report of an instance or a domain, so that they fit a datagram.
 pub const MAX_SPILLED: usize = 24;
 
 /// One live instance of a domain.
@@ -24,15 +24,15 @@
 pub struct Member {
     /// The instance.
     pub id: InstanceId,
-    /// Its process run.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// How to reach it.
+    /// Its addresses and failure domain.
     pub info: PeerInfo,
-    /// It takes requests of callers.
+    /// It accepts requests of callers.
     pub ready: bool,
     /// It is about to stop.
     pub leaving: bool,
-    /// What it has to do with the store.
+    /// Its role towards the platform's store.
     pub store_role: StoreRole,
     /// Version of its catalog.
     pub catalog_version: u64,
@@ -40,34 +40,34 @@
     pub revision: u64,
 }
 
-/// Who is in a domain, and what is scarce there.
+/// Live instances of a domain, and the demand that found no capacity there.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DomainMembers {
     /// The domain.
     pub domain: DomainId,
     /// Its live instances.
     pub members: Vec<Member>,
-    /// What found no room lately, by service and standing.
+    /// Recent unmet demand by service and share status.
     pub unmet: Vec<(ServiceId, ShareStatus, UnmetDemand)>,
-    /// Shared prefixes that were sent to other servers than their homes lately.
+    /// Shared prefixes recently sent to a server other than their home.
     pub spilled: Vec<(PrefixKey, ServerId)>,
 }
 
-/// What a domain has under way, or a part of it.
+/// Work in flight of a domain, or one part of it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DomainWork {
     /// The domain.
     pub domain: DomainId,
-    /// Number of the part.
+    /// Index of the part.
     pub number: u8,
-    /// Work by server.
+    /// Work in flight by server.
     pub work: Vec<(ServerId, Work)>,
-    /// What accounts asked for and got; in the first part only.
+    /// Usage of accounts; in the first part only.
     pub usage: Vec<(AccountId, AccountUsage)>,
 }
 
 impl DomainWork {
-    /// All parts of what `domain` has: its accounts, then its servers in as many parts as they need.
+    /// Splits the work and usage of `domain` into parts: usage first, then servers in as many parts as they need.
     pub fn parts(
         domain: DomainId,
         work: &[(ServerId, Work)],
@@ -79,22 +79,25 @@
             work: Vec::new(),
             usage: usage.to_vec(),
         };
-        let servers = work.chunks(MOST_SERVERS).zip(1..).map(|(some, part)| Self {
-            domain,
-            number: part,
-            work: some.to_vec(),
-            usage: Vec::new(),
-        });
+        let servers = work
+            .chunks(MAX_SERVERS)
+            .zip(1..)
+            .map(|(chunk, number)| Self {
+                domain,
+                number,
+                work: chunk.to_vec(),
+                usage: Vec::new(),
+            });
         std::iter::once(accounts).chain(servers).collect()
     }
 
-    /// The key under which this part is counted, as if one instance had told it.
+    /// Returns the key under which this part is recorded, as if a single instance had reported it.
     pub fn source_id(&self) -> InstanceId {
         source_id(self.domain, self.number)
     }
 }
 
-/// The key under which part `part` of what `domain` tells is counted.
-pub fn source_id(domain: DomainId, part: u8) -> InstanceId {
-    InstanceId(mix(domain.0 ^ u64::from(part)))
+/// Returns the key under which part `number` of the summary of `domain` is recorded.
+pub fn source_id(domain: DomainId, number: u8) -> InstanceId {
+    InstanceId(mix(domain.0 ^ u64::from(number)))
 }
--- a/crates/hawthornmill/src/routing/fragments.rs
+++ b/crates/hawthornmill/src/routing/fragments.rs
@@ -1,8 +1,8 @@
-//! What an instance knows, in parts that fit datagrams.
+//! Transfer of a large response in fragments that fit datagrams.
 //!
-//! Load pattern: callers fill the link of an instance that is behind. Whatever comes over a connection waits behind
-//! what they send: an answer after three round_timeout trips came after more than four seconds, or never. Datagrams don't
-//! wait for those before them, and only those that were lost are sent again.
+//! Load pattern: callers saturate the link of an instance that is behind. On a connection, everything waits behind their
+//! traffic: a response after three round trips took more than four seconds, or never came. Datagrams don't wait for
+//! earlier ones, and only lost fragments are sent again.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -11,96 +11,97 @@
 
 use super::gossip::SyncRequest;
 
-/// Bytes of one part; with its frame it fits a datagram.
-const PART_BYTES: usize = 1_200;
-/// Parts of what is sent in datagrams at most; more goes over a connection.
-const MOST_PARTS: usize = 96;
-/// Time for which missing parts of an answer can be asked for: a few rounds. The graces that it tells are too long by
-/// as much.
-const KEPT: Duration = Duration::from_millis(800);
-/// Answers that are kept at most, each of [`MOST_PARTS`] at most.
-const MOST_KEPT: usize = 8;
-/// Time for the parts of one round_timeout; several round_timeout trips between regions.
-const ROUND: Duration = Duration::from_millis(200);
-
-/// Time for the parts of one round_timeout, where the asker is `late` with all that it does.
+/// Payload bytes of a fragment; with its frame it fits a datagram.
+const FRAGMENT_BYTES: usize = 1_200;
+/// Maximum number of fragments of a response; a larger one is sent over a connection.
+const MAX_FRAGMENTS: usize = 96;
+/// Time for which missing fragments of a response can be requested: a few rounds. Remaining grace periods in the
+/// response are too long by up to this time.
+const RESPONSE_TTL: Duration = Duration::from_millis(800);
+/// Maximum number of cached responses, each of up to [`MAX_FRAGMENTS`] fragments.
+const MAX_RESPONSES: usize = 8;
+/// Timeout of one round of fragments; several round trips between regions.
+const ROUND_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// Returns the timeout of one round for a process that lags by `delay`.
 ///
-/// It reads what came only after what came before, in the turn that hears the question's timer too.
-pub fn round_timeout(late: Duration) -> Duration {
-    ROUND + late * 2
+/// A lagging process reads a fragment only after all earlier input, in the same turn in which the timer fires.
+pub fn round_timeout(delay: Duration) -> Duration {
+    ROUND_TIMEOUT + delay * 2
 }
 
-/// Asks for what a peer knows beyond a version and a revision, in parts.
+/// Requests what a peer knows beyond a catalog version and a revision, in fragments.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FragmentRequest {
-    /// What the asker has.
+    /// What the requester has.
     pub sync: SyncRequest,
-    /// Digest of what the missing parts belong to; 0 for all parts of whatever is newest.
+    /// Digest of the response to which the missing fragments belong; 0 requests all fragments of the latest one.
     pub digest: u64,
-    /// Numbers of the missing parts.
+    /// Indexes of the missing fragments.
     pub missing: Vec<u16>,
 }
 
-/// One part of an answer to [`FragmentRequest`].
+/// One fragment of the response to a [`FragmentRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fragment {
-    /// Digest of the whole.
+    /// Digest of the whole response.
     pub digest: u64,
-    /// Number of the part, from 0.
+    /// Index of the fragment, from 0.
     pub index: u16,
-    /// Number of parts; 0 when the whole is too large for datagrams.
+    /// Number of fragments; 0 when the response is too large for datagrams.
     pub count: u16,
-    /// Its bytes.
+    /// Payload of the fragment.
     pub bytes: Vec<u8>,
 }
 
-/// Answers that were given lately.
+/// Recently sent responses.
 ///
-/// What is known changes between two rounds, many times a second while servers are replaced. Answered from what
-/// is known by then, an asker that lost one part would begin anew each time.
+/// The state changes between two rounds, many times a second while servers are replaced. If each round were served from
+/// the current state, a requester that lost one fragment would start over each time.
 #[derive(Debug, Clone, Default)]
 pub struct ResponseCache {
-    kept: VecDeque<CachedResponse>,
+    responses: VecDeque<CachedResponse>,
 }
 
 #[derive(Debug, Clone)]
 struct CachedResponse {
     digest: u64,
-    whole: Vec<u8>,
+    payload: Vec<u8>,
     at: Instant,
 }
 
 impl ResponseCache {
-    /// The parts that `wanted` asks for, of the answer that it names or else of `newest`.
+    /// Returns the fragments that `request` asks for, of the response that it names or else of `latest`.
     pub fn fragments(
         &mut self,
-        wanted: &FragmentRequest,
-        newest: impl FnOnce() -> Vec<u8>,
+        request: &FragmentRequest,
+        latest: impl FnOnce() -> Vec<u8>,
         now: Instant,
     ) -> Vec<Fragment> {
-        self.kept.retain(|a| now.duration_since(a.at) < KEPT);
-        if let Some(answer) = self.kept.iter().find(|a| a.digest == wanted.digest) {
-            return split_fragments(&answer.whole, wanted);
+        self.responses
+            .retain(|a| now.duration_since(a.at) < RESPONSE_TTL);
+        if let Some(response) = self.responses.iter().find(|a| a.digest == request.digest) {
+            return split_fragments(&response.payload, request);
         }
-        let whole = newest();
-        let parts = split_fragments(&whole, wanted);
-        if self.kept.len() >= MOST_KEPT {
-            self.kept.pop_front();
+        let payload = latest();
+        let fragments = split_fragments(&payload, request);
+        if self.responses.len() >= MAX_RESPONSES {
+            self.responses.pop_front();
         }
-        self.kept.push_back(CachedResponse {
-            digest: digest(&whole),
-            whole,
+        self.responses.push_back(CachedResponse {
+            digest: digest(&payload),
+            payload,
             at: now,
         });
-        parts
+        fragments
     }
 }
 
-/// The parts of `whole` that `wanted` asks for, or the word that there are too many.
-pub fn split_fragments(whole: &[u8], wanted: &FragmentRequest) -> Vec<Fragment> {
-    let digest = digest(whole);
-    let parts = whole.len().div_ceil(PART_BYTES);
-    if parts > MOST_PARTS {
+/// Returns the fragments of `payload` that `request` asks for, or a single one that says it is too large.
+pub fn split_fragments(payload: &[u8], request: &FragmentRequest) -> Vec<Fragment> {
+    let digest = digest(payload);
+    let count = payload.len().div_ceil(FRAGMENT_BYTES);
+    if count > MAX_FRAGMENTS {
         let too_large = Fragment {
             digest,
             index: 0,
@@ -109,93 +110,93 @@
         };
         return vec![too_large];
     }
-    let all = wanted.digest != digest;
-    let chunks = whole.chunks(PART_BYTES).zip(0..);
-    let chosen = chunks.filter(|(_, number)| all || wanted.missing.contains(number));
-    let part = |(bytes, number): (&[u8], u16)| Fragment {
+    let all = request.digest != digest;
+    let chunks = payload.chunks(FRAGMENT_BYTES).zip(0..);
+    let chosen = chunks.filter(|(_, index)| all || request.missing.contains(index));
+    let fragment = |(bytes, index): (&[u8], u16)| Fragment {
         digest,
-        index: number,
-        count: parts as u16,
+        index,
+        count: count as u16,
         bytes: bytes.to_vec(),
     };
-    chosen.map(part).collect()
+    chosen.map(fragment).collect()
 }
 
-/// Never 0, which stands for none.
-fn digest(whole: &[u8]) -> u64 {
-    let hash = blake3::hash(whole);
+/// Returns a digest of `payload`; never 0, which stands for no digest.
+fn digest(payload: &[u8]) -> u64 {
+    let hash = blake3::hash(payload);
     let mut first = [0; 8];
     first.copy_from_slice(&hash.as_bytes()[..8]);
     u64::from_le_bytes(first).max(1)
 }
 
-/// Puts the parts of one answer together.
+/// Reassembles the fragments of one response.
 #[derive(Debug, Clone, Default)]
 pub struct Reassembly {
     digest: u64,
-    parts: Vec<Option<Vec<u8>>>,
+    fragments: Vec<Option<Vec<u8>>>,
     outcome: Option<Outcome>,
 }
 
-/// How an answer in parts ended.
+/// Outcome of a response in fragments.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// All of it is here.
+    /// The whole response.
     Complete(Vec<u8>),
-    /// It doesn't fit datagrams.
+    /// It doesn't fit into datagrams.
     TooLarge,
 }
 
 impl Reassembly {
-    /// Takes one part; those of an older answer are dropped when one of another comes.
-    pub fn insert(&mut self, part: Fragment) {
-        if part.count == 0 {
+    /// Inserts a fragment; a fragment of another response replaces all earlier ones.
+    pub fn insert(&mut self, fragment: Fragment) {
+        if fragment.count == 0 {
             self.outcome = Some(Outcome::TooLarge);
             return;
         }
-        if usize::from(part.count) > MOST_PARTS {
+        if usize::from(fragment.count) > MAX_FRAGMENTS {
             return;
         }
-        if part.digest != self.digest || self.parts.len() != usize::from(part.count) {
-            self.digest = part.digest;
-            self.parts = vec![None; usize::from(part.count)];
+        if fragment.digest != self.digest || self.fragments.len() != usize::from(fragment.count) {
+            self.digest = fragment.digest;
+            self.fragments = vec![None; usize::from(fragment.count)];
         }
-        if let Some(place) = self.parts.get_mut(usize::from(part.index)) {
-            *place = Some(part.bytes);
+        if let Some(slot) = self.fragments.get_mut(usize::from(fragment.index)) {
+            *slot = Some(fragment.bytes);
         }
         self.join();
     }
 
-    /// Joins the parts once all are there; those that don't belong together are dropped.
+    /// Joins the fragments once all have arrived; drops them when the digest doesn't match.
     fn join(&mut self) {
-        let parts: Option<Vec<&[u8]>> = self.parts.iter().map(Option::as_deref).collect();
-        let Some(whole) = parts.map(|p| p.concat()) else {
+        let fragments: Option<Vec<&[u8]>> = self.fragments.iter().map(Option::as_deref).collect();
+        let Some(payload) = fragments.map(|p| p.concat()) else {
             return;
         };
-        if digest(&whole) == self.digest {
-            self.outcome = Some(Outcome::Complete(whole));
+        if digest(&payload) == self.digest {
+            self.outcome = Some(Outcome::Complete(payload));
         } else {
             *self = Self::default();
         }
     }
 
-    /// How the answer ended, if it has.
+    /// Returns the outcome, if there is one yet.
     pub const fn outcome(&self) -> Option<&Outcome> {
         self.outcome.as_ref()
     }
 
-    /// Parts that have come.
+    /// Returns the number of fragments that have arrived.
     pub fn received(&self) -> usize {
-        self.parts.iter().flatten().count()
+        self.fragments.iter().flatten().count()
     }
 
-    /// What is still to be asked for by one that has what `pull` says.
-    pub fn request(&self, pull: SyncRequest) -> FragmentRequest {
-        let missing = self.parts.iter().zip(0..).filter(|(p, _)| p.is_none());
+    /// Builds the request for the missing fragments, for a requester whose state is `sync`.
+    pub fn request(&self, sync: SyncRequest) -> FragmentRequest {
+        let missing = self.fragments.iter().zip(0..).filter(|(p, _)| p.is_none());
         FragmentRequest {
-            sync: pull,
+            sync,
             digest: self.digest,
-            missing: missing.map(|(_, number)| number).collect(),
+            missing: missing.map(|(_, index)| index).collect(),
         }
     }
 }
--- a/crates/hawthornmill/src/routing/gossip.rs
+++ b/crates/hawthornmill/src/routing/gossip.rs
@@ -1,8 +1,7 @@
-//! What instances of the gateway tell each other.
+//! Gossip between instances of the gateway.
 //!
-//! Each instance sends its news to the others several times a second over UDP: a lost one costs a
-//! fraction of a second of accuracy. Whoever hears of a newer catalog or store revision than its own
-//! asks the teller for it over TCP.
+//! Each instance sends a report to the others several times a second over UDP; a lost one costs a fraction of a second of
+//! accuracy. An instance that hears of a newer catalog or store revision than its own requests it from the sender.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,205 +18,205 @@
 use super::usage::{AccountUsage, ShareStatus};
 use crate::ident::{AccountId, DomainId, Incarnation, InstanceId, ServerId, ServiceId, mix};
 
-/// Silence after which an instance is no longer named to callers; about six lost news.
-const SILENT: Duration = Duration::from_millis(1_300);
-/// The same for one of another failure domain in a larger fleet; a dozen lost tellings of relays.
-const FAR_SILENT: Duration = Duration::from_millis(2_600);
-/// Silence after which an instance is forgotten.
-const FORGOTTEN: Duration = Duration::from_mins(1);
-/// Rounds of which one goes to seeds, and to those of other failure domains that tell us, in a larger fleet.
-const FAR_ROUNDS: u64 = 4;
-/// Relays of a failure domain in a larger fleet: one may be cut off or gone, and not yet count as silent.
+/// Silence after which a peer is no longer listed to callers; about six lost reports.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_300);
+/// The same for a peer of another failure domain in a large fleet; a dozen lost summaries of relays.
+const REMOTE_TIMEOUT: Duration = Duration::from_millis(2_600);
+/// Silence after which a peer is forgotten.
+const FORGET_AFTER: Duration = Duration::from_mins(1);
+/// In a large fleet, one in this many rounds goes to seeds and to peers of other failure domains that report directly.
+const REMOTE_ROUNDS: u64 = 4;
+/// Relays of a failure domain in a large fleet; one may be cut off or gone and not count as silent yet.
 const RELAYS: usize = 2;
-/// Rounds of which a relay tells in one; the two relays take turns, so a domain is heard every 0.2 s. Each
-/// telling is passed on to every instance of each other domain.
+/// A relay sends in one of this many rounds. The two relays alternate, so a domain reports every 0.2 s; each summary is
+/// forwarded to every instance of each other domain.
 const RELAY_ROUNDS: u64 = 2;
-/// Time for which an instance of another failure domain that told us itself is told news in a larger fleet.
-const DIRECT: Duration = Duration::from_secs(2);
-/// Instances up to which all follow the store.
-const SMALL_FLEET: usize = 12;
-/// Instances of one failure domain that follow the store in a larger fleet.
+/// In a large fleet, time for which a peer of another failure domain gets reports after it reported directly.
+const DIRECT_TTL: Duration = Duration::from_secs(2);
+/// Number of other instances from which a fleet counts as large.
+const LARGE_FLEET_PEERS: usize = 12;
+/// Instances per failure domain that follow the store in a large fleet.
 ///
-/// While it is gone and not yet replaced, which takes 1.3 s, the domain hears from the others' readers.
-const READERS: usize = 1;
-/// Instances named in one piece of news, so that it stays within a packet.
-const NAMED: usize = 16;
+/// While this one is gone and not replaced yet, which takes 1.3 s, the domain hears from followers in other domains.
+const STORE_FOLLOWERS: usize = 1;
+/// Peers named in one report, so that it fits a datagram.
+const SAMPLE_SIZE: usize = 16;
 
-/// How to reach an instance of the gateway.
+/// Addresses and failure domain of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerInfo {
-    /// Where callers connect.
+    /// Address for callers.
     pub client_addr: SocketAddr,
-    /// Where other instances send news and ask.
+    /// Address for reports and requests of other instances.
     pub peer_addr: SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
 }
 
-/// What an instance has to do with the platform's store.
+/// Role of an instance towards the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum StoreRole {
-    /// Others read for it.
+    /// Other instances follow the store for it.
     #[default]
     Idle,
-    /// It reads, and the store answers it.
+    /// It follows the store and is connected.
     Connected,
-    /// It reads, and the store does not answer it.
+    /// It follows the store, but the store doesn't respond.
     Disconnected,
 }
 
-/// How much work of one standing found no room lately.
+/// Recent demand of one share status that found no capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct UnmetDemand {
-    /// Instances at which it found none.
+    /// Number of instances at which it arrived.
     pub instances: u16,
-    /// Its cost in tokens, as it counts now.
+    /// Cost in tokens, after decay.
     pub cost: u32,
 }
 
 impl UnmetDemand {
-    /// Counts `other` too.
+    /// Adds `other`.
     pub const fn add(&mut self, other: Self) {
         self.instances = self.instances.saturating_add(other.instances);
         self.cost = self.cost.saturating_add(other.cost);
     }
 }
 
-/// One instance's news.
+/// Periodic report of one instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct InstanceReport {
-    /// How to reach the teller.
+    /// Addresses and failure domain of the sender.
     pub info: PeerInfo,
-    /// It takes requests of callers.
+    /// It accepts requests of callers.
     pub ready: bool,
     /// It is about to stop.
     pub leaving: bool,
-    /// What it has to do with the store.
+    /// Its role towards the store.
     pub store_role: StoreRole,
     /// Version of its catalog; 0 when it has none.
     pub catalog_version: u64,
-    /// The store's revision up to which it knows registrations.
+    /// Revision of the store up to which it knows the registrations.
     pub revision: u64,
-    /// Work that it has under way.
+    /// Its work in flight by server.
     pub work: Vec<(ServerId, Work)>,
-    /// What accounts asked of it and got.
+    /// Usage of accounts that it recorded.
     pub usage: Vec<(AccountId, AccountUsage)>,
-    /// Shared prefixes that it sent to other servers than their homes since its last news.
+    /// Shared prefixes recently sent to a server other than their home.
     pub spilled: Vec<(PrefixKey, ServerId)>,
-    /// Services for which requests of the told rank found no room lately, and how much work that was.
+    /// Recent unmet demand by service and share status.
     pub unmet: Vec<(ServiceId, ShareStatus, UnmetDemand)>,
-    /// Peer addresses of others that it hears.
+    /// Peer addresses of other instances that it hears.
     pub known_peers: Vec<SocketAddr>,
 }
 
-/// Asks a mate for what it knows beyond a version and a revision.
+/// Requests what a peer knows beyond a catalog version and a revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncRequest {
-    /// Version of the asker's catalog.
+    /// Version of the requester's catalog.
     pub catalog_version: u64,
-    /// Revision of the asker's registrations.
+    /// Revision of the requester's registrations.
     pub revision: u64,
 }
 
-/// Answers a [`SyncRequest`].
+/// Response to a [`SyncRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SyncResponse {
-    /// The catalog, if it is newer than the asker's.
+    /// The catalog, if newer than the requester's.
     pub catalog: Option<Catalog>,
-    /// All registrations, if they are newer than the asker's.
+    /// All registrations, if newer than the requester's.
     pub registrations: Option<Vec<Change>>,
-    /// Those of them that were removed while the store was away, and count for a grace only.
+    /// Those that were removed during an outage of the store and count for a grace period only.
     pub unconfirmed: Vec<Unconfirmed>,
-    /// Revision of the registrations.
+    /// Revision of the responder's registrations.
     pub revision: u64,
 }
 
-/// Another instance as this one hears it.
+/// State of another instance, as last heard.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerState {
-    /// How to reach it.
+    /// Its addresses and failure domain.
     pub info: PeerInfo,
-    /// Its process run.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// It takes requests of callers.
+    /// It accepts requests of callers.
     pub ready: bool,
-    /// It is about to stop; never taken back within a run.
+    /// It is about to stop; never reset within an incarnation.
     pub leaving: bool,
-    /// What it has to do with the store.
+    /// Its role towards the store.
     pub store_role: StoreRole,
     /// Version of its catalog.
     pub catalog_version: u64,
     /// Revision of its registrations.
     pub revision: u64,
-    /// When it was last heard, itself or by a relay.
+    /// Last report, direct or through a relay.
     pub last_seen: Instant,
-    /// When it was last heard itself.
+    /// Last direct report.
     pub last_direct: Option<Instant>,
     /// Silence after which it counts as gone.
     pub timeout: Duration,
 }
 
-/// What an instance's news change.
+/// Change of a peer that its report shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerChange {
-    /// It was not known in this run.
+    /// It is a new incarnation.
     Started,
-    /// It was silent for a while.
+    /// It was silent for longer than its timeout.
     Returned,
     /// It is about to stop.
     Leaving,
 }
 
-/// The other instances.
+/// Table of the other instances.
 #[derive(Debug, Clone)]
 pub struct PeerTable {
     domain: DomainId,
-    heard: BTreeMap<InstanceId, PeerState>,
+    peers: BTreeMap<InstanceId, PeerState>,
     contacts: BTreeMap<SocketAddr, Instant>,
     max_seen: usize,
 }
 
 impl PeerTable {
-    /// Nobody is heard yet by this instance of `domain`.
+    /// Creates an empty table for an instance of `domain`.
     pub const fn new(domain: DomainId) -> Self {
         Self {
             domain,
-            heard: BTreeMap::new(),
+            peers: BTreeMap::new(),
             contacts: BTreeMap::new(),
             max_seen: 0,
         }
     }
 
-    /// Takes the news of `from`; tells what they change.
+    /// Applies the report of `from`; returns the change that it shows, if any.
     pub fn apply_report(
         &mut self,
         from: InstanceId,
         run: Incarnation,
-        news: &InstanceReport,
+        report: &InstanceReport,
         now: Instant,
     ) -> Option<PeerChange> {
-        let far = self.is_large_fleet() && news.info.domain != self.domain;
-        let heard = PeerState {
-            info: news.info,
+        let remote = self.is_large_fleet() && report.info.domain != self.domain;
+        let state = PeerState {
+            info: report.info,
             incarnation: run,
-            ready: news.ready,
-            leaving: news.leaving,
-            store_role: news.store_role,
-            catalog_version: news.catalog_version,
-            revision: news.revision,
+            ready: report.ready,
+            leaving: report.leaving,
+            store_role: report.store_role,
+            catalog_version: report.catalog_version,
+            revision: report.revision,
             last_seen: now,
             last_direct: Some(now),
-            timeout: if far { FAR_SILENT } else { SILENT },
+            timeout: if remote { REMOTE_TIMEOUT } else { PEER_TIMEOUT },
         };
-        for address in &news.known_peers {
+        for address in &report.known_peers {
             self.contacts.insert(*address, now);
         }
-        self.put(from, heard, now)
+        self.update(from, state, now)
     }
 
-    /// Takes what a relay of another failure domain tells of one of its instances; tells what it changes.
+    /// Applies a relay's report on an instance of another failure domain; returns the change that it shows, if any.
     pub fn apply_member(&mut self, member: &Member, now: Instant) -> Option<PeerChange> {
-        let heard = PeerState {
+        let state = PeerState {
             info: member.info,
             incarnation: member.incarnation,
             ready: member.ready,
@@ -226,70 +225,76 @@
             catalog_version: member.catalog_version,
             revision: member.revision,
             last_seen: now,
-            last_direct: self.heard.get(&member.id).and_then(|h| h.last_direct),
-            timeout: FAR_SILENT,
+            last_direct: self.peers.get(&member.id).and_then(|h| h.last_direct),
+            timeout: REMOTE_TIMEOUT,
         };
-        self.put(member.id, heard, now)
+        self.update(member.id, state, now)
     }
 
-    /// Replaces what was known of `from`; a run that was leaving stays so.
-    fn put(&mut self, from: InstanceId, mut heard: PeerState, now: Instant) -> Option<PeerChange> {
-        let known = self.heard.get(&from);
-        let before = known.filter(|h| h.incarnation == heard.incarnation);
-        heard.leaving |= before.is_some_and(|h| h.leaving);
-        let seen = match before {
+    /// Replaces the state of `from`; within an incarnation, `leaving` stays set.
+    fn update(
+        &mut self,
+        from: InstanceId,
+        mut state: PeerState,
+        now: Instant,
+    ) -> Option<PeerChange> {
+        let current = self.peers.get(&from);
+        let previous = current.filter(|h| h.incarnation == state.incarnation);
+        state.leaving |= previous.is_some_and(|h| h.leaving);
+        let change = match previous {
             None => Some(PeerChange::Started),
-            Some(before) if now.duration_since(before.last_seen) >= before.timeout => {
+            Some(previous) if now.duration_since(previous.last_seen) >= previous.timeout => {
                 Some(PeerChange::Returned)
             }
-            Some(before) if heard.leaving && !before.leaving => Some(PeerChange::Leaving),
+            Some(previous) if state.leaving && !previous.leaving => Some(PeerChange::Leaving),
             Some(_) => None,
         };
-        self.contacts.remove(&heard.info.peer_addr);
-        self.heard.insert(from, heard);
+        self.contacts.remove(&state.info.peer_addr);
+        self.peers.insert(from, state);
         let live = self.live(now).count() + 1;
         self.max_seen = self.max_seen.max(live);
-        seen
+        change
     }
 
-    /// Tells whether the fleet is so large that failure domains tell each other sums.
+    /// Returns whether the fleet is so large that failure domains exchange summaries.
     pub fn is_large_fleet(&self) -> bool {
-        self.heard.len() >= SMALL_FLEET
+        self.peers.len() >= LARGE_FLEET_PEERS
     }
 
-    /// Live instances of the own failure domain besides this one.
+    /// Returns the live peers of the own failure domain.
     pub fn domain_peers(&self, now: Instant) -> impl Iterator<Item = (InstanceId, &PeerState)> {
         self.live(now).filter(|(_, h)| h.info.domain == self.domain)
     }
 
-    /// Place of instance `me` among the relays of its domain; none when it is no relay.
+    /// Returns the rank of instance `me` among the relays of its domain, or `None` when it is no relay.
     pub fn relay_rank(&self, me: InstanceId, now: Instant) -> Option<usize> {
         if !self.is_large_fleet() {
             return None;
         }
-        let mine = mix(self.domain.0 ^ me.0);
+        let own_hash = mix(self.domain.0 ^ me.0);
         let others = self.domain_peers(now).filter(|(_, h)| !h.leaving);
-        let before = others
-            .filter(|(id, _)| mix(self.domain.0 ^ id.0) > mine)
+        let ahead = others
+            .filter(|(id, _)| mix(self.domain.0 ^ id.0) > own_hash)
             .count();
-        (before < RELAYS).then_some(before)
+        (ahead < RELAYS).then_some(ahead)
     }
 
-    /// Whom the relay of `rank` tells in `round`: one relay of each other failure domain, by turns, so that
-    /// one that is cut off hides nothing for longer than two tellings.
+    /// Returns where the relay of `rank` sends its summary in `round`: one relay of each other failure domain.
+    ///
+    /// The relays of a domain take turns, so one that is cut off delays a change by two summaries at most.
     pub fn relay_targets(&self, rank: usize, round: u64, now: Instant) -> Vec<SocketAddr> {
         if !(rank as u64 * RELAY_ROUNDS / 2 + round).is_multiple_of(RELAY_ROUNDS) {
             return Vec::new();
         }
         let turn = rank + (round / RELAY_ROUNDS) as usize;
         let mut domains: BTreeMap<DomainId, SmallVec<[(u64, SocketAddr); 16]>> = BTreeMap::new();
-        let far = self
+        let remote = self
             .live(now)
             .filter(|(_, h)| h.info.domain != self.domain && !h.leaving);
-        for (id, heard) in far {
-            let domain = heard.info.domain;
+        for (id, state) in remote {
+            let domain = state.info.domain;
             let ranked = domains.entry(domain).or_default();
-            ranked.push((mix(domain.0 ^ id.0), heard.info.peer_addr));
+            ranked.push((mix(domain.0 ^ id.0), state.info.peer_addr));
         }
         let chosen = |mut ranked: SmallVec<[(u64, SocketAddr); 16]>| {
             ranked.sort_unstable_by(|a, b| b.cmp(a));
@@ -298,144 +303,150 @@
         domains.into_values().map(chosen).collect()
     }
 
-    /// Tells whether `address` is that of an instance of the own failure domain.
+    /// Returns whether `address` belongs to an instance of the own failure domain.
     pub fn is_domain_peer(&self, address: SocketAddr) -> bool {
-        let mut all = self.heard.values();
+        let mut all = self.peers.values();
         all.any(|h| h.info.domain == self.domain && h.info.peer_addr == address)
     }
 
-    /// Tells whether an instance that lives and takes requests has a newer catalog than `version`.
+    /// Returns whether a live instance that accepts requests has a newer catalog than `version`.
     pub fn has_newer_catalog(&self, version: u64, now: Instant) -> bool {
         let mut all = self.live(now).map(|(_, h)| h);
         all.any(|h| h.catalog_version > version && h.ready && !h.leaving)
     }
 
-    /// Tells whether the instance at `address` was heard, itself or by a relay, after `since`.
+    /// Returns whether the instance at `address` was heard, directly or through a relay, after `since`.
     pub fn is_seen_since(&self, address: SocketAddr, since: Instant) -> bool {
-        let mut all = self.heard.values();
+        let mut all = self.peers.values();
         all.any(|h| h.info.peer_addr == address && h.last_seen > since)
     }
 
-    /// The greatest number of instances that were heard at once, this one included.
+    /// Returns the largest number of instances that were live at once, including this one.
     pub const fn max_seen(&self) -> usize {
         self.max_seen
     }
 
-    /// Instances heard lately.
+    /// Returns the live peers.
     pub fn live(&self, now: Instant) -> impl Iterator<Item = (InstanceId, &PeerState)> {
-        self.heard
+        self.peers
             .iter()
             .filter(move |(_, h)| now.duration_since(h.last_seen) < h.timeout)
             .map(|(id, h)| (*id, h))
     }
 
-    /// Whom to ask for what is newer than `version` and `revision`: the instance with the newest
-    /// catalog and the one with the newest registrations, once where both are the same.
+    /// Returns the peers from which to request what is newer than `version` and `revision`.
     ///
-    /// While catalogs come in quick succession, the one with the newest catalog changes all the time
-    /// and may be behind in registrations; asked alone, it would hide for seconds that a server drains.
+    /// These are the peer with the newest catalog and the one with the newest registrations, or one peer that is both. While
+    /// catalogs change in quick succession, the peer with the newest one changes all the time and may be behind in
+    /// registrations; asked alone, it would hide for seconds that a server drains.
     ///
-    /// One of the own failure domain goes before others that are further ahead: bytes between domains
-    /// are billed, and the domain asks elsewhere as soon as none of its own knows more.
+    /// A peer of the own failure domain is preferred to others that are further ahead: bytes between domains are billed, and
+    /// the domain asks elsewhere once none of its members knows more.
     ///
-    /// Those in `mute` did not answer lately: one that was stopped right after it had told of a change
-    /// counts as live for a second more, and would be asked again and again.
+    /// Peers in `unresponsive` recently failed to respond. One that stopped right after it announced a change counts as live
+    /// for another second and would be asked again and again.
     pub fn sync_candidates(
         &self,
         version: u64,
         revision: u64,
-        mute: &[SocketAddr],
+        unresponsive: &[SocketAddr],
         now: Instant,
     ) -> SmallVec<[PeerState; 2]> {
         let live = || {
             let all = self.live(now).map(|(_, h)| h);
-            all.filter(|h| !mute.contains(&h.info.peer_addr))
+            all.filter(|h| !unresponsive.contains(&h.info.peer_addr))
         };
-        let near = |h: &PeerState| h.info.domain == self.domain;
+        let is_local = |h: &PeerState| h.info.domain == self.domain;
         let catalog = live().filter(|h| h.catalog_version > version);
         let servers = live().filter(|h| h.revision > revision);
-        let mut ask: SmallVec<[PeerState; 2]> = SmallVec::new();
-        ask.extend(
+        let mut selected: SmallVec<[PeerState; 2]> = SmallVec::new();
+        selected.extend(
             servers
-                .max_by_key(|h| (near(h), h.revision, h.catalog_version))
+                .max_by_key(|h| (is_local(h), h.revision, h.catalog_version))
                 .copied(),
         );
-        if ask.first().is_none_or(|h| h.catalog_version <= version) {
-            ask.extend(
+        if selected
+            .first()
+            .is_none_or(|h| h.catalog_version <= version)
+        {
+            selected.extend(
                 catalog
-                    .max_by_key(|h| (near(h), h.catalog_version, h.revision))
+                    .max_by_key(|h| (is_local(h), h.catalog_version, h.revision))
                     .copied(),
             );
         }
-        ask
+        selected
     }
 
-    /// Tells whether instance `me` should follow the store.
+    /// Returns whether instance `me` should follow the store.
     ///
-    /// In a small fleet every instance does: they are few, and each hears of a change at once. In a
-    /// larger one some of each failure domain do, and the others hear from them; an instance that the
-    /// store does not answer is not counted, so another one takes its part.
+    /// In a small fleet every instance does, so that each hears of a change at once. In a large one some instances of each
+    /// failure domain do, and the others hear from them; an instance that gets no response from the store isn't counted, so
+    /// another one takes over.
     pub fn should_follow_store(&self, me: InstanceId, now: Instant) -> bool {
         let others = || self.live(now).filter(|(_, h)| !h.leaving);
-        if others().count() < SMALL_FLEET
+        if others().count() < LARGE_FLEET_PEERS
             || others().all(|(_, h)| h.store_role != StoreRole::Connected)
         {
             return true;
         }
         let domain = self.domain;
-        let mine = mix(domain.0 ^ me.0);
-        let rivals = others()
+        let own_hash = mix(domain.0 ^ me.0);
+        let candidates = others()
             .filter(|(_, h)| h.info.domain == domain && h.store_role != StoreRole::Disconnected);
-        rivals.filter(|(id, _)| mix(domain.0 ^ id.0) > mine).count() < READERS
+        candidates
+            .filter(|(id, _)| mix(domain.0 ^ id.0) > own_hash)
+            .count()
+            < STORE_FOLLOWERS
     }
 
-    /// Some instances to name to others, another part each `round`.
+    /// Returns some peers to name in a report, another part of them each `round`.
     pub fn peer_sample(&self, round: u64, now: Instant) -> Vec<SocketAddr> {
         let all: Vec<SocketAddr> = self.live(now).map(|(_, h)| h.info.peer_addr).collect();
-        let first = (round as usize * NAMED) % all.len().max(1);
+        let first = (round as usize * SAMPLE_SIZE) % all.len().max(1);
         all.iter()
             .cycle()
             .skip(first)
-            .take(NAMED.min(all.len()))
+            .take(SAMPLE_SIZE.min(all.len()))
             .copied()
             .collect()
     }
 
-    /// Whom to tell of work at once: everybody in a small fleet, the own failure domain in a larger one.
+    /// Returns where work is reported at once: all peers in a small fleet, the own failure domain in a large one.
     pub fn broadcast_targets(&self, now: Instant) -> Vec<SocketAddr> {
         let large = self.is_large_fleet();
-        let near = self
+        let targets = self
             .live(now)
             .filter(|(_, h)| !large || h.info.domain == self.domain);
-        near.map(|(_, h)| h.info.peer_addr).collect()
+        targets.map(|(_, h)| h.info.peer_addr).collect()
     }
 
-    /// Where to send news in `round`: everybody heard, everybody named by others, and `seeds`.
+    /// Returns where to send the report of `round`: to all known peers, all peers named by others, and `seeds`.
     ///
-    /// In a large fleet, the other failure domains hear from relays, and only those of their instances
-    /// that tell us themselves, as one does that starts, get news now and then.
+    /// In a large fleet, other failure domains hear from relays. Of their instances, only those that report directly, as
+    /// one does that has just started, get a report in some rounds.
     pub fn gossip_targets(
         &mut self,
         seeds: &[SocketAddr],
         round: u64,
         now: Instant,
     ) -> Vec<SocketAddr> {
-        self.heard
-            .retain(|_, h| now.duration_since(h.last_seen) < FORGOTTEN);
+        self.peers
+            .retain(|_, h| now.duration_since(h.last_seen) < FORGET_AFTER);
         self.contacts
-            .retain(|_, at| now.duration_since(*at) < FORGOTTEN);
+            .retain(|_, at| now.duration_since(*at) < FORGET_AFTER);
         let large = self.is_large_fleet();
         let due = |id: &InstanceId, h: &PeerState| {
             let direct = h
                 .last_direct
-                .is_some_and(|at| now.duration_since(at) < DIRECT);
+                .is_some_and(|at| now.duration_since(at) < DIRECT_TTL);
             !large
                 || h.info.domain == self.domain
-                || (direct && (id.0 ^ round).is_multiple_of(FAR_ROUNDS))
+                || (direct && (id.0 ^ round).is_multiple_of(REMOTE_ROUNDS))
         };
-        let heard = self.heard.iter().filter(|(id, h)| due(id, h));
-        let mut all: Vec<SocketAddr> = heard.map(|(_, h)| h.info.peer_addr).collect();
-        if !large || round.is_multiple_of(FAR_ROUNDS) {
+        let due_peers = self.peers.iter().filter(|(id, h)| due(id, h));
+        let mut all: Vec<SocketAddr> = due_peers.map(|(_, h)| h.info.peer_addr).collect();
+        if !large || round.is_multiple_of(REMOTE_ROUNDS) {
             all.extend(self.contacts.keys());
             all.extend(seeds);
         }
--- a/crates/hawthornmill/src/routing/lag.rs
+++ b/crates/hawthornmill/src/routing/lag.rs
@@ -1,43 +1,43 @@
-//! How long an instance has known that others decide by something newer.
+//! Time for which an instance has known that others have a newer version.
 //!
-//! Load pattern: callers fill an instance's own link, so that news of a change reach it long before the change does.
+//! Load pattern: callers saturate an instance's own link, so it hears of a change long before it receives it.
 
 use std::time::{Duration, Instant};
 
 use smallvec::SmallVec;
 
-/// Numbers that are remembered; of more that come meanwhile, only the oldest decide.
-const MOST: usize = 16;
+/// Pending numbers that are kept; further ones are dropped, since the oldest decides.
+const MAX_PENDING: usize = 16;
 
-/// Numbers of something published, a catalog's version or a revision, that were heard of and are not here yet.
+/// Catalog versions or store revisions that were heard of but not received yet.
 #[derive(Debug, Clone, Default)]
 pub struct Lag {
-    /// Rising, each with the instant at which it was first heard of.
-    newer: SmallVec<[(u64, Instant); MOST]>,
+    /// Increasing, each with the instant at which it was first heard of.
+    pending: SmallVec<[(u64, Instant); MAX_PENDING]>,
 }
 
 impl Lag {
-    /// Somebody has `number`; this instance has `own`.
-    pub fn observe(&mut self, number: u64, own: u64, now: Instant) {
-        let known = self.newer.last().map_or(own, |(last, _)| *last);
-        if number > known.max(own) && self.newer.len() < MOST {
-            self.newer.push((number, now));
+    /// Records that another instance has `number` while this one has `current`.
+    pub fn observe(&mut self, number: u64, current: u64, now: Instant) {
+        let last_known = self.pending.last().map_or(current, |(last, _)| *last);
+        if number > last_known.max(current) && self.pending.len() < MAX_PENDING {
+            self.pending.push((number, now));
         }
     }
 
-    /// This instance has `own` now.
-    pub fn catch_up(&mut self, own: u64) {
-        self.newer.retain(|(number, _)| *number > own);
+    /// Records that this instance has `current` now.
+    pub fn catch_up(&mut self, current: u64) {
+        self.pending.retain(|(number, _)| *number > current);
     }
 
-    /// Tells whether anything newer is known to exist.
+    /// Returns whether a newer number is known to exist.
     pub fn is_behind(&self) -> bool {
-        !self.newer.is_empty()
+        !self.pending.is_empty()
     }
 
-    /// How long it has been known that something newer exists; zero when nothing does.
+    /// Returns how long a newer number has been known to exist, or zero.
     pub fn duration(&self, now: Instant) -> Duration {
-        let first = self.newer.first();
+        let first = self.pending.first();
         first.map_or(Duration::ZERO, |(_, at)| now.duration_since(*at))
     }
 }
--- a/crates/hawthornmill/src/routing/loads.rs
+++ b/crates/hawthornmill/src/routing/loads.rs
@@ -1,9 +1,8 @@
-//! What is under way at each backend server, here and at the other instances.
+//! Work in flight at each backend server, from this instance and from the others, and the health of the servers.
 //!
-//! An instance knows exactly what it sent itself, and what the others sent from their last report,
-//! a fraction of a second old. A server's own report rides on its answers and tells of work that
-//! nobody here accounts for. Whether a server is sound is judged by what its answers were, never by
-//! what it says of itself alone.
+//! An instance knows exactly what it sent itself, and what the others sent from their last report, a fraction of a second
+//! old. A server's own report comes with its responses and includes work that no instance accounts for. Health is judged
+//! by the outcome of requests, never by the server's report alone.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -12,37 +11,37 @@
 
 use crate::ident::{InstanceId, ServerId};
 
-/// Time for which a peer's last report counts; a peer that is far away in a large fleet reports every
-/// 0.8 s, and two of its reports may be lost.
-const REPORT_LIFE: Duration = Duration::from_millis(2_500);
-/// Age up to which a server's own report counts beside what is known of its work.
-const OWN_REPORT_LIFE: Duration = Duration::from_millis(300);
-/// First time for which a server that can't be reached gets no work; each further failure doubles it.
-const FIRST_DOWN: Duration = Duration::from_millis(400);
-/// Longest such time: a server that is back must not stay without work.
-const MOST_DOWN: Duration = Duration::from_secs(3);
-/// Time in which a server's share of failures falls to half without new ones.
-const FORGIVE: Duration = Duration::from_secs(2);
-/// Effort of reading begun or done here since the others were told last, from which they are told at
-/// once, in tokens: whoever hears late of a long prompt sends short ones behind it.
-const TELL_AT: u32 = 2_000;
-/// Weight of the newest answer in a server's pace.
-const PACE_WEIGHT: f64 = 0.1;
-/// Bound of a server's pace, in times of what is expected.
-const MOST_PACE: f64 = 6.0;
-/// Weight of the newest answer in a server's share of failures.
-const NEWEST: f64 = 0.12;
-
-/// Work under way at one server.
+/// Lifetime of a peer's report. A distant peer in a large fleet reports every 0.8 s, and two of its reports may be
+/// lost.
+const PEER_REPORT_TTL: Duration = Duration::from_millis(2_500);
+/// Age up to which a server's own report is used beside what is known of its work.
+const SERVER_REPORT_TTL: Duration = Duration::from_millis(300);
+/// Backoff after the first failed connection to a server; each further failure doubles it.
+const MIN_BACKOFF: Duration = Duration::from_millis(400);
+/// Maximum backoff, so that a server that is back gets work soon.
+const MAX_BACKOFF: Duration = Duration::from_secs(3);
+/// Half-life of a server's failure rate and slowdown without new responses.
+const RECOVERY_HALF_LIFE: Duration = Duration::from_secs(2);
+/// Prefill tokens begun or finished here since the last report, from which a report is sent at once. An instance that
+/// hears late of a long prompt sends short ones behind it.
+const BROADCAST_TOKENS: u32 = 2_000;
+/// Weight of the newest response in a server's slowdown.
+const SLOWDOWN_WEIGHT: f64 = 0.1;
+/// Bound of a server's slowdown, as a factor in both directions.
+const MAX_SLOWDOWN: f64 = 6.0;
+/// Weight of the newest response in a server's failure rate.
+const FAILURE_WEIGHT: f64 = 0.12;
+
+/// Work in flight at one server.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Work {
-    /// Requests.
+    /// Number of requests.
     pub running: u32,
-    /// Effort of reading the prompts of requests that have not begun to answer, in tokens.
+    /// Prefill cost of requests without a first token yet, in tokens.
     pub pending_prefill: u32,
-    /// Tokens that the requests take in the server's memory.
+    /// Tokens that the requests occupy in the server's KV memory.
     pub kv_tokens: u32,
-    /// Effort of all prompts that the teller ever sent there, in tokens; wraps.
+    /// Prefill cost of all prompts that the reporting instance ever sent there, in tokens; wraps around.
     pub total_prefill: u32,
 }
 
@@ -61,32 +60,32 @@
     }
 }
 
-/// What a server says of its load.
+/// Load that a server reports itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerReport {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
 }
 
-/// How a request to a server ended, as far as the server's soundness goes.
+/// Outcome of a request, as far as it concerns the server's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerOutcome {
-    /// It answered as it should.
+    /// It responded normally.
     Success,
-    /// It failed, broke off or stayed silent.
+    /// It failed, broke off or timed out.
     Failed,
-    /// It was full; says nothing of its soundness.
+    /// It was at capacity, which says nothing about its health.
     Full,
-    /// No connection could be made, or it is another server by now.
+    /// No connection could be made, or another server has its address.
     Unreachable,
 }
 
-/// Reading that is left at a server.
+/// Remaining prefill work of a server.
 #[derive(Debug, Clone, Copy, Default)]
 struct Backlog {
-    left: f64,
+    tokens: f64,
     rate: f64,
     at: Option<Instant>,
 }
@@ -94,69 +93,69 @@
 impl Backlog {
     fn at(&self, now: Instant) -> f64 {
         let time = self.at.map_or(Duration::ZERO, |at| now.duration_since(at));
-        (self.left - self.rate * time.as_secs_f64()).max(0.0)
+        (self.tokens - self.rate * time.as_secs_f64()).max(0.0)
     }
 
     fn add(&mut self, effort: u32, now: Instant) {
-        self.left = self.at(now) + f64::from(effort);
+        self.tokens = self.at(now) + f64::from(effort);
         self.at = Some(now);
     }
 }
 
-/// How the times to the first token of a server compare with those expected.
+/// Ratio of a server's times to first token to the expected ones.
 #[derive(Debug, Clone, Copy)]
-struct Pace {
-    times: f64,
+struct Slowdown {
+    factor: f64,
     at: Option<Instant>,
 }
 
-impl Default for Pace {
+impl Default for Slowdown {
     fn default() -> Self {
         Self {
-            times: 1.0,
+            factor: 1.0,
             at: None,
         }
     }
 }
 
-impl Pace {
+impl Slowdown {
     fn observe(&mut self, expected: Duration, time: Duration, now: Instant) {
         let sample = time.as_secs_f64() / expected.as_secs_f64().max(0.001);
-        let sample = sample.clamp(1.0 / MOST_PACE, MOST_PACE);
-        self.times = self.at(now) * (1.0 - PACE_WEIGHT) + sample * PACE_WEIGHT;
+        let sample = sample.clamp(1.0 / MAX_SLOWDOWN, MAX_SLOWDOWN);
+        self.factor = self.at(now) * (1.0 - SLOWDOWN_WEIGHT) + sample * SLOWDOWN_WEIGHT;
         self.at = Some(now);
     }
 
-    /// The pace at `now`: without answers it goes back to the usual one, so that the server is tried again.
+    /// Returns the slowdown at `now`. Without responses it returns to 1, so that the server is tried again.
     fn at(&self, now: Instant) -> f64 {
         let Some(at) = self.at else {
             return 1.0;
         };
         let age = now.duration_since(at);
-        let kept = 0.5_f64.powf(age.as_secs_f64() / FORGIVE.as_secs_f64());
-        1.0 + (self.times - 1.0) * kept
+        let weight = 0.5_f64.powf(age.as_secs_f64() / RECOVERY_HALF_LIFE.as_secs_f64());
+        1.0 + (self.factor - 1.0) * weight
     }
 }
 
 #[derive(Debug, Clone, Default)]
 struct Server {
-    own: Work,
+    local: Work,
     backlog: Backlog,
-    pace: Pace,
+    slowdown: Slowdown,
     report: Option<(ServerReport, Instant)>,
-    failing: f64,
-    judged: Option<Instant>,
-    down: Option<Instant>,
-    downs: u32,
+    failure_rate: f64,
+    judged_at: Option<Instant>,
+    down_until: Option<Instant>,
+    down_count: u32,
 }
 
 impl Server {
-    /// All work here, with that of `others`.
-    fn total(&self, others: Work, now: Instant) -> Work {
-        let mut work = self.own;
-        work.add(others);
+    /// Returns local work and that of `remote` instances.
+    fn total(&self, remote: Work, now: Instant) -> Work {
+        let mut work = self.local;
+        work.add(remote);
         if let Some((report, at)) = self.report
-            && now.duration_since(at) < OWN_REPORT_LIFE
+            && now.duration_since(at) < SERVER_REPORT_TTL
         {
             work.running = work.running.max(report.running + report.waiting);
         }
@@ -164,73 +163,72 @@
     }
 }
 
-/// One server as a choice sees it.
+/// Load and health of one server at an instant.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadSnapshot {
-    /// All work under way there.
+    /// All work in flight there.
     pub total: Work,
-    /// Effort of reading that is left, in tokens.
+    /// Remaining prefill cost, in tokens.
     pub backlog: u32,
-    /// Times that its answers took of what was expected.
+    /// Ratio of its times to first token to the expected ones.
     pub slowdown: f64,
-    /// Part of its answers that were failures lately.
+    /// Recent fraction of failed requests.
     pub failure_rate: f64,
 }
 
-/// Work and soundness of every server.
+/// Load and health of every server.
 #[derive(Debug, Clone, Default)]
 pub struct LoadTracker {
     servers: BTreeMap<ServerId, Server>,
     peers: BTreeMap<InstanceId, (Instant, Vec<(ServerId, Work)>)>,
-    others: BTreeMap<ServerId, Work>,
-    sent: BTreeMap<(InstanceId, ServerId), u32>,
-    untold: u32,
-    /// Tokens a second that servers read, as far as this instance knows.
+    remote: BTreeMap<ServerId, Work>,
+    last_totals: BTreeMap<(InstanceId, ServerId), u32>,
+    unreported: u32,
+    /// Latest known prefill rate of servers, in tokens per second.
     rate: f64,
 }
 
 impl LoadTracker {
-    /// A request is sent to `server`, which reads `rate` tokens a second as far as is known.
+    /// Records a request sent to `server`, which prefills `rate` tokens per second as far as is known.
     pub fn begin(&mut self, server: ServerId, work: Work, rate: f64, now: Instant) {
-        self.untold = self.untold.saturating_add(work.pending_prefill);
+        self.unreported = self.unreported.saturating_add(work.pending_prefill);
         self.rate = rate;
-        let known = self.servers.entry(server).or_default();
-        known.own.add(work);
-        known.own.total_prefill = known.own.total_prefill.wrapping_add(work.pending_prefill);
-        known.backlog.rate = rate / known.pace.at(now);
-        known.backlog.add(work.pending_prefill, now);
+        let state = self.servers.entry(server).or_default();
+        state.local.add(work);
+        state.local.total_prefill = state.local.total_prefill.wrapping_add(work.pending_prefill);
+        state.backlog.rate = rate / state.slowdown.at(now);
+        state.backlog.add(work.pending_prefill, now);
     }
 
-    /// Effort of reading that is left at `server`, in tokens.
+    /// Returns the remaining prefill cost at `server`, in tokens.
     ///
-    /// Prompts are read one after the other, so what was sent there drains at the rate of its reading.
-    /// Counted whole until its first token, a long prompt would hide for its whole reading that the
-    /// server is nearly through.
+    /// A server prefills one prompt after the other, so its backlog drains at the prefill rate. If a long prompt counted in
+    /// full until its first token, a server that has nearly finished it would look busy.
     pub fn backlog(&self, server: ServerId, now: Instant) -> u32 {
         self.snapshot(server, now).backlog
     }
 
-    /// What a choice looks at of `server`, found by one search.
+    /// Returns load and health of `server` with a single lookup.
     pub fn snapshot(&self, server: ServerId, now: Instant) -> LoadSnapshot {
-        let others = self.others.get(&server).copied().unwrap_or_default();
-        let Some(known) = self.servers.get(&server) else {
+        let remote = self.remote.get(&server).copied().unwrap_or_default();
+        let Some(state) = self.servers.get(&server) else {
             return LoadSnapshot {
-                total: others,
+                total: remote,
                 backlog: 0,
                 slowdown: 1.0,
                 failure_rate: 0.0,
             };
         };
-        let total = known.total(others, now);
+        let total = state.total(remote, now);
         LoadSnapshot {
             total,
-            backlog: known.backlog.at(now).min(f64::from(total.pending_prefill)) as u32,
-            slowdown: known.pace.at(now),
-            failure_rate: faded(known, now),
+            backlog: state.backlog.at(now).min(f64::from(total.pending_prefill)) as u32,
+            slowdown: state.slowdown.at(now),
+            failure_rate: decayed_failure_rate(state, now),
         }
     }
 
-    /// The first token from `server` came after `time` instead of `expected`.
+    /// Records that the first token from `server` took `time` instead of `expected`.
     pub fn observe_latency(
         &mut self,
         server: ServerId,
@@ -238,40 +236,40 @@
         time: Duration,
         now: Instant,
     ) {
-        let known = self.servers.entry(server).or_default();
-        known.pace.observe(expected, time, now);
+        let state = self.servers.entry(server).or_default();
+        state.slowdown.observe(expected, time, now);
     }
 
-    /// Part of what [`Self::begin`] added is over.
+    /// Removes a part of the work that [`Self::begin`] added.
     pub fn end(&mut self, server: ServerId, work: Work) {
-        self.untold = self.untold.saturating_add(work.pending_prefill);
-        if let Some(known) = self.servers.get_mut(&server) {
-            known.own.subtract(work);
+        self.unreported = self.unreported.saturating_add(work.pending_prefill);
+        if let Some(state) = self.servers.get_mut(&server) {
+            state.local.subtract(work);
         }
     }
 
-    /// All work under way at `server` as far as is known.
+    /// Returns all known work in flight at `server`.
     pub fn total(&self, server: ServerId, now: Instant) -> Work {
         self.snapshot(server, now).total
     }
 
-    /// Tells whether the others should hear of this instance's work before its next news.
+    /// Returns whether this instance's work should be reported before the next regular report.
     pub const fn needs_broadcast(&self) -> bool {
-        self.untold >= TELL_AT
+        self.unreported >= BROADCAST_TOKENS
     }
 
-    /// The others are told of this instance's work now.
+    /// Marks this instance's work as reported.
     pub const fn mark_broadcast(&mut self) {
-        self.untold = 0;
+        self.unreported = 0;
     }
 
-    /// What this instance has under way, for the others.
+    /// Returns this instance's work, to report to others.
     pub fn local(&self) -> Vec<(ServerId, Work)> {
-        let busy = self.servers.iter().filter(|(_, s)| s.own.running > 0);
-        busy.map(|(id, s)| (*id, s.own)).collect()
+        let busy = self.servers.iter().filter(|(_, s)| s.local.running > 0);
+        busy.map(|(id, s)| (*id, s.local)).collect()
     }
 
-    /// What this instance and the `members` of its failure domain have under way, in sum.
+    /// Returns the total work of this instance and the `members` of its failure domain.
     pub fn domain_sum(&self, members: &[InstanceId]) -> Vec<(ServerId, Work)> {
         let mut all: BTreeMap<ServerId, Work> = self.local().into_iter().collect();
         let peers = members.iter().filter_map(|id| self.peers.get(id));
@@ -281,7 +279,7 @@
         all.into_iter().collect()
     }
 
-    /// Takes what a peer has under way, in place of what it said before.
+    /// Replaces what a peer reported before with its new report.
     pub fn apply_peer_report(
         &mut self,
         peer: InstanceId,
@@ -289,95 +287,98 @@
         now: Instant,
     ) {
         for (server, work) in &work {
-            let before = self.sent.insert((peer, *server), work.total_prefill);
-            // What it sent and what was read since is no backlog. The count falls when a teller starts
-            // anew, or when a domain's sum misses a member: that brings nothing new.
-            let grown = work
+            let before = self.last_totals.insert((peer, *server), work.total_prefill);
+            // Only new work joins the backlog, not what was prefilled since. The total falls when a peer restarts or when a
+            // domain's sum misses a member; that adds nothing.
+            let growth = work
                 .total_prefill
                 .wrapping_sub(before.unwrap_or(0))
                 .cast_signed();
-            let new = (grown.max(0).cast_unsigned()).min(work.pending_prefill);
-            let known = self.servers.entry(*server).or_default();
-            // A server that this instance has not used would never seem to read, and so never be used.
-            if known.backlog.rate <= 0.0 {
-                known.backlog.rate = self.rate;
+            let new = (growth.max(0).cast_unsigned()).min(work.pending_prefill);
+            let state = self.servers.entry(*server).or_default();
+            // Without a rate, the backlog of a server that this instance has not used would never drain, and the server would
+            // never be used.
+            if state.backlog.rate <= 0.0 {
+                state.backlog.rate = self.rate;
             }
-            known.backlog.add(new, now);
+            state.backlog.add(new, now);
         }
         for (server, work) in &work {
-            self.others.entry(*server).or_default().add(*work);
+            self.remote.entry(*server).or_default().add(*work);
         }
-        // Only what changed is summed: a datagram is heard many times a second, and tells of few servers.
+        // Only the servers of this report are updated: reports arrive many times a second and name few servers.
         let before = self.peers.insert(peer, (now, work));
         for (server, work) in before.into_iter().flat_map(|(_, list)| list) {
-            if let Some(others) = self.others.get_mut(&server) {
-                others.subtract(work);
+            if let Some(remote) = self.remote.get_mut(&server) {
+                remote.subtract(work);
             }
         }
     }
 
-    /// Forgets peers that fell silent and servers that `keep` does not know.
+    /// Drops silent peers, and servers for which `keep` returns false.
     pub fn sweep(&mut self, keep: impl Fn(ServerId) -> bool, now: Instant) {
-        self.sum_others(now);
-        self.servers.retain(|id, s| s.own.running > 0 || keep(*id));
-        self.sent.retain(|(_, id), _| keep(*id));
+        self.sum_remote(now);
+        self.servers
+            .retain(|id, s| s.local.running > 0 || keep(*id));
+        self.last_totals.retain(|(_, id), _| keep(*id));
     }
 
-    fn sum_others(&mut self, now: Instant) {
+    fn sum_remote(&mut self, now: Instant) {
         self.peers
-            .retain(|_, (at, _)| now.duration_since(*at) < REPORT_LIFE);
-        self.others.clear();
+            .retain(|_, (at, _)| now.duration_since(*at) < PEER_REPORT_TTL);
+        self.remote.clear();
         for (server, work) in self.peers.values().flat_map(|(_, list)| list) {
-            self.others.entry(*server).or_default().add(*work);
+            self.remote.entry(*server).or_default().add(*work);
         }
     }
 
-    /// Takes a server's own report.
+    /// Applies a server's own report.
     pub fn apply_server_report(&mut self, server: ServerId, report: ServerReport, now: Instant) {
         self.servers.entry(server).or_default().report = Some((report, now));
     }
 
-    /// Takes how a request ended.
-    pub fn record_outcome(&mut self, server: ServerId, verdict: ServerOutcome, now: Instant) {
-        let known = self.servers.entry(server).or_default();
-        match verdict {
+    /// Records the outcome of a request.
+    pub fn record_outcome(&mut self, server: ServerId, outcome: ServerOutcome, now: Instant) {
+        let state = self.servers.entry(server).or_default();
+        match outcome {
             ServerOutcome::Success => {
-                known.failing = faded(known, now) * (1.0 - NEWEST);
-                known.judged = Some(now);
-                known.downs = 0;
-                known.down = None;
+                state.failure_rate = decayed_failure_rate(state, now) * (1.0 - FAILURE_WEIGHT);
+                state.judged_at = Some(now);
+                state.down_count = 0;
+                state.down_until = None;
             }
             ServerOutcome::Failed => {
-                known.failing = faded(known, now) * (1.0 - NEWEST) + NEWEST;
-                known.judged = Some(now);
+                state.failure_rate =
+                    decayed_failure_rate(state, now) * (1.0 - FAILURE_WEIGHT) + FAILURE_WEIGHT;
+                state.judged_at = Some(now);
             }
             ServerOutcome::Full => {}
             ServerOutcome::Unreachable => {
-                let time = FIRST_DOWN * 2_u32.saturating_pow(known.downs);
-                known.down = Some(now + time.min(MOST_DOWN));
-                known.downs = (known.downs + 1).min(8);
+                let time = MIN_BACKOFF * 2_u32.saturating_pow(state.down_count);
+                state.down_until = Some(now + time.min(MAX_BACKOFF));
+                state.down_count = (state.down_count + 1).min(8);
             }
         }
     }
 
-    /// Tells whether `server` gets no work now because it couldn't be reached.
+    /// Returns whether `server` gets no work now because it couldn't be reached.
     ///
-    /// Once its time is over it gets one request, and others only after an answer to that.
+    /// After its backoff it gets one request, and further ones only after a response to that.
     pub fn is_down(&self, server: ServerId, now: Instant) -> bool {
-        let Some(known) = self.servers.get(&server) else {
+        let Some(state) = self.servers.get(&server) else {
             return false;
         };
-        match known.down {
-            Some(until) => now < until || known.own.running > 0,
+        match state.down_until {
+            Some(until) => now < until || state.local.running > 0,
             None => false,
         }
     }
 }
 
-fn faded(server: &Server, now: Instant) -> f64 {
-    let Some(judged) = server.judged.filter(|_| server.failing > 0.0) else {
+fn decayed_failure_rate(server: &Server, now: Instant) -> f64 {
+    let Some(judged_at) = server.judged_at.filter(|_| server.failure_rate > 0.0) else {
         return 0.0;
     };
-    let age = now.duration_since(judged).as_secs_f64();
-    server.failing * 0.5_f64.powf(age / FORGIVE.as_secs_f64())
+    let age = now.duration_since(judged_at).as_secs_f64();
+    server.failure_rate * 0.5_f64.powf(age / RECOVERY_HALF_LIFE.as_secs_f64())
 }
--- a/crates/hawthornmill/src/routing/mod.rs
+++ b/crates/hawthornmill/src/routing/mod.rs
@@ -1,28 +1,26 @@
-//! Decisions of the gateway: which route, which server, now or later or not at all.
+//! Routing decisions of the gateway: the route, the backend server, and whether a request runs now, waits or is refused.
+//! Gateway callers speak plain HTTP to a host and a path and get the server's response unchanged; backend servers
+//! register themselves. Nothing here does I/O; every function that depends on the time takes `now`.
 //!
-//! The gateway is the second way into the fleet. Its callers speak plain HTTP to a host and a path
-//! and get the server's answer unchanged; its servers register themselves. Everything here is free
-//! of input and output and takes `now`.
-//!
-//! | module | owns |
+//! | module | contents |
 //! |---|---|
-//! | [`catalog`], [`route_table`] | what operators publish, and looking it up |
-//! | [`registry`] | servers as they registered themselves |
-//! | [`departures`] | servers that leave, told at once |
-//! | [`shape`] | what a request will cost an engine |
-//! | [`loads`], [`prefix_index`] | what is under way at each server, and what it has read |
-//! | [`ttft`] | how long engines take to a first token |
-//! | [`request`] | a request that wants a server, and what can become of it |
-//! | [`placement`] | the server for a request |
-//! | [`usage`] | what accounts asked for and got, and their max-min shares |
-//! | [`allowance`] | how much of a server an account's requests may take |
-//! | [`retry_budget`] | second sends over the fleet |
-//! | [`unmet_demand`] | what found no room lately |
-//! | [`scheduler`] | letting in, waiting, turning away |
-//! | [`gossip`] | what instances tell each other |
-//! | [`lag`] | how long it is known that others decide by something newer |
-//! | [`fragments`] | what an instance knows, in parts that fit datagrams |
-//! | [`domain_summary`] | what failure domains tell each other in a large fleet |
+//! | [`catalog`], [`route_table`] | routes, services and accounts as published, and their lookup |
+//! | [`registry`] | backend servers as they registered themselves |
+//! | [`departures`] | servers that leave, announced without waiting for the registrations |
+//! | [`shape`] | size of a request and its cost on a model engine |
+//! | [`loads`], [`prefix_index`] | work in flight at each server, and the prompt prefixes it has cached |
+//! | [`ttft`] | estimated time to the first token |
+//! | [`request`] | a request to be scheduled, and the possible decisions |
+//! | [`placement`] | choice of the server for a request |
+//! | [`usage`] | usage of each account and its max-min fair share |
+//! | [`allowance`] | fraction of a server's capacity that an account may use |
+//! | [`retry_budget`] | fleet-wide bound on retries |
+//! | [`unmet_demand`] | work that recently found no capacity |
+//! | [`scheduler`] | admission, queueing and refusal |
+//! | [`gossip`] | reports that instances exchange, and the table of peers |
+//! | [`lag`] | time since a newer catalog or revision was first heard of |
+//! | [`fragments`] | transfer of a large response in datagrams |
+//! | [`domain_summary`] | sums that failure domains exchange in a large fleet |
 
 pub mod allowance;
 pub mod catalog;
--- a/crates/hawthornmill/src/routing/placement.rs
+++ b/crates/hawthornmill/src/routing/placement.rs
@@ -1,13 +1,13 @@
 //! Chooses the backend server for a request.
 //!
-//! Load pattern: prompts come in families that share a long beginning. Whoever reads it again pays
-//! for it in engine time, so a family has a *home* server that every instance works out alone by
-//! rendezvous hashing, and goes elsewhere only when the home is busier than reading anew costs.
-//! Families with a short shared part have a home in each failure domain, since carrying the request
-//! there costs more than one more reading; long ones have one home in the whole fleet.
+//! Load pattern: prompts come in families that share a long prefix, and a second prefill of it costs engine time. Every
+//! instance computes the same *home* server of a family by rendezvous hashing, and a request spills to another server only
+//! when waiting for the home costs more than the second prefill. Families with a short prefix have a home in each failure
+//! domain, since sending the request to another domain costs more than one more prefill; long ones have one home in the
+//! whole fleet.
 //!
-//! Each candidate gets an expected time to the first token. What a server can't hold besides what
-//! is under way is no candidate; when none is left, the request waits.
+//! Each candidate gets an expected time to the first token (TTFT). A server without capacity beside its work in flight is
+//! no candidate; when none is left, the request is queued.
 
 use std::time::{Duration, Instant};
 
@@ -21,43 +21,41 @@
 use super::ttft::TtftModel;
 use crate::ident::{DomainId, RegionId, ServerId, ServiceId, mix};
 
-/// Shared tokens from which a family has one home in the whole fleet: reading them costs more than the way.
-const FLEET_WIDE: u32 = 2_000;
-/// Tokens of a shared part from which reading it again takes more of an engine than most requests do.
-const LONG_SHARED: u32 = 1_500;
-/// Round trip to the own failure domain, to another one of the region, and to another region.
+/// Shared tokens from which a family has one home in the whole fleet: their prefill costs more than the round trip.
+const FLEET_WIDE_TOKENS: u32 = 2_000;
+/// Shared tokens whose second prefill takes more of an engine than most requests do.
+const LONG_PREFIX_TOKENS: u32 = 1_500;
+/// Round trip within the own failure domain, to another domain of the region, and to another region.
 const ROUND_TRIPS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(3),
     Duration::from_millis(60),
 ];
-/// What reading a shared token again costs beside its own time, in seconds a token: the engine does it
-/// in place of other requests' work.
-const REREAD: f64 = 200e-6;
-/// Servers of a family that are taken in order; beyond them, load alone decides.
-const RANKED: usize = 10;
-/// What each further place in that order costs: little beside a prompt's reading, much beside the
-/// differences between idle servers.
-const RANK: Duration = Duration::from_millis(10);
-/// Part of the objective from which an expected begin counts as at risk.
-const AT_RISK: f64 = 0.6;
-/// Times by which each second at risk counts more than one before.
-const RISK: f64 = 3.0;
-/// Part of the time from which a prompt's own reading makes a request a long one.
-const LONG: f64 = 0.6;
-/// Part of the time for which a long request may have others before it.
-const LONG_WAIT: f64 = 0.2;
-/// Time that an answer takes longer on a server whose slots are nearly all taken: a step of a full
-/// batch takes some milliseconds more, over the tokens of one event and the wait for a place.
-const CROWDED: Duration = Duration::from_millis(120);
-/// What a failure costs a request in time: about the objective and a second try.
-const FAILURE: Duration = Duration::from_millis(1_500);
-/// Part of an engine's memory that requests may take; the rest keeps shared prefixes.
-const MEMORY_PART: f64 = 0.65;
-/// Requests at a plain server beyond its slots: they wait there for about half a request's time.
-const PLAIN_QUEUE: f64 = 0.5;
+/// Cost of a duplicate prefill besides its own time, in seconds per token: it displaces other requests' work.
+const DUPLICATE_TOKEN_COST_S: f64 = 200e-6;
+/// Servers in the order of a family; beyond them, load alone decides.
+const MAX_RANKED: usize = 10;
+/// Cost of each further rank in that order: small beside a prefill, large beside the differences between idle servers.
+const RANK_COST: Duration = Duration::from_millis(10);
+/// Fraction of the objective from which an expected TTFT counts as at risk.
+const RISK_THRESHOLD: f64 = 0.6;
+/// Additional weight of each second at risk.
+const RISK_WEIGHT: f64 = 3.0;
+/// Fraction of the time left from which a request's own prefill makes it prefill-bound.
+const PREFILL_BOUND_FRACTION: f64 = 0.6;
+/// Fraction of the time left that a prefill-bound request may wait for others.
+const MAX_WAIT_FRACTION: f64 = 0.2;
+/// Additional latency on a server whose slots are nearly all used: a step of a full batch takes some milliseconds
+/// longer, over the tokens of one event and the wait for a slot.
+const FULL_BATCH_COST: Duration = Duration::from_millis(120);
+/// Cost of a failure to a request: about its objective and a second attempt.
+const FAILURE_COST: Duration = Duration::from_millis(1_500);
+/// Fraction of an engine's KV memory for requests; the rest caches shared prefixes.
+const KV_FRACTION: f64 = 0.65;
+/// Requests queued at a plain server, as a fraction of its slots; they wait there for about half a request's time.
+const PLAIN_QUEUE_FRACTION: f64 = 0.5;
 
-/// Where this instance stands.
+/// Failure domain and region of this instance.
 #[derive(Debug, Clone, Copy)]
 pub struct Location {
     /// Its failure domain.
@@ -66,91 +64,90 @@
     pub region: RegionId,
 }
 
-/// What a choice looks at.
+/// State on which a choice is based.
 #[derive(Debug)]
 pub struct PlacementView<'a> {
-    /// Servers.
+    /// Registered servers.
     pub registry: &'a Registry,
-    /// Their work.
+    /// Load and health of the servers.
     pub loads: &'a LoadTracker,
-    /// What they have read.
+    /// Prompt prefixes that the servers have cached.
     pub prefix_index: &'a PrefixIndex,
-    /// Where this instance stands.
+    /// Location of this instance.
     pub location: Location,
     /// Region of each failure domain.
     pub regions: &'a [(DomainId, RegionId)],
 }
 
-/// A request that needs a server.
+/// A request to be placed.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest<'a> {
     /// Service that serves it.
     pub service: ServiceId,
-    /// Set where model engines serve it.
+    /// Set where model engines serve the request.
     pub engine: Option<Engine>,
-    /// Its size.
+    /// Size of its prompt and response.
     pub shape: &'a Shape,
-    /// Servers that had it before.
+    /// Servers to which it was already sent.
     pub excluded: &'a [ServerId],
-    /// Servers for which others wait that go before it.
+    /// Servers reserved for queued requests that go before it.
     pub reserved: &'a [ServerId],
-    /// How long the service's engines take to a first token.
+    /// TTFT estimate of the service's engines.
     pub ttft: TtftModel,
-    /// Time that is left of the objective.
+    /// Time left of the latency objective.
     pub time_left: Duration,
-    /// The whole objective.
+    /// The whole latency objective.
     pub full_objective: Duration,
-    /// Part of a server's room and of the objective that the request may take.
+    /// Fraction of a server's capacity and of the objective that the request may use.
     pub capacity_fraction: f64,
-    /// Servers of its family, in their order, to which it may go though a long shared part may have to be
-    /// read again there.
+    /// Number of servers, in the order of its family, where a long shared prefix may be prefilled for it.
     pub max_copies: usize,
 }
 
-/// The server chosen.
+/// The chosen server and the expected latency there.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Placement {
     /// The server.
     pub server: ServerId,
-    /// What the request adds to the server's work.
+    /// Work that the request adds to the server.
     pub work: Work,
-    /// Effort of the reading before its first token, its own included, in tokens.
+    /// Prefill cost ahead of its first token, including its own, in tokens.
     pub queued_prefill: u32,
     /// Round trip to the server.
     pub round_trip: Duration,
-    /// Time to the first token if the server is as fast as the others.
+    /// TTFT if the server is as fast as the others.
     pub baseline_ttft: Duration,
-    /// Expected time to the first token.
+    /// Expected TTFT.
     pub expected_ttft: Duration,
-    /// The same if nothing were before it there.
+    /// Expected TTFT without other work on the server.
     pub unloaded_ttft: Duration,
-    /// Tokens of shared parts that the server must read though another one keeps them.
+    /// Shared tokens that the server must prefill though another one has cached them.
     pub duplicate_prefill: u32,
-    /// It goes to another server than the one that keeps its shared prefix.
+    /// The server is not the home of its shared prefix.
     pub spilled: bool,
 }
 
-/// Servers for which a request waits.
+/// Servers that a queued request waits for.
 pub type HomeServers = SmallVec<[ServerId; 2]>;
 
 /// Why no server was chosen.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacementError {
-    /// The service has no server that could ever take it.
+    /// The service has no usable server.
     NoServer,
-    /// All servers that could take it are full.
+    /// All usable servers are at capacity.
     AllFull,
-    /// The few servers that may read its shared prefix are full, and it goes to no other.
+    /// The few servers that may prefill its shared prefix are at capacity, and it may go to no other.
     HomesFull(HomeServers),
-    /// It would be late even if nothing were before it.
+    /// It would be late even on an idle server.
     TooLong,
 }
 
-/// What is the same for all candidates of one request.
-struct Known {
+/// Values that are common to all candidates of a request.
+struct RequestContext {
     homes: Vec<ServerId>,
-    keepers: PrefixHits,
-    shared: u32,
+    hits: PrefixHits,
+    shared_tokens: u32,
 }
 
 struct Candidate {
@@ -159,58 +156,60 @@
     slots: u32,
 }
 
-/// Chooses the server with the least expected time to the first token.
+/// Chooses the server with the least cost; most of it is the expected TTFT.
 ///
 /// # Errors
-/// [`PlacementError`] says whether waiting can help.
+/// [`PlacementError`] tells whether waiting can help.
 pub fn choose_server(
     view: &PlacementView<'_>,
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     now: Instant,
 ) -> Result<Placement, PlacementError> {
-    let candidates = candidates(view, ask, now);
+    let candidates = candidates(view, request, now);
     if candidates.is_empty() {
         return Err(PlacementError::NoServer);
     }
-    let known = Known {
-        homes: homes(&candidates, ask.shape),
-        keepers: view.prefix_index.lookup(ask.shape, now),
-        shared: ask.shape.shared_tokens(),
+    let context = RequestContext {
+        homes: homes(&candidates, request.shape),
+        hits: view.prefix_index.lookup(request.shape, now),
+        shared_tokens: request.shape.shared_tokens(),
     };
     let mut best: Option<(Placement, f64)> = None;
     let mut full = HomeServers::new();
-    let mut kept_out = false;
+    let mut prefix_limited = false;
     for candidate in &candidates {
-        match weigh(view, ask, candidate, &known, now) {
+        match evaluate(view, request, candidate, &context, now) {
             Ok(found) if best.is_none_or(|(_, cost)| found.1 < cost) => best = Some(found),
-            Ok(_) | Err(Unfit::TooLong) => {}
-            Err(Unfit::Full) => full.push(candidate.server),
-            Err(Unfit::Copies) => kept_out = true,
+            Ok(_) | Err(Rejection::TooLong) => {}
+            Err(Rejection::Full) => full.push(candidate.server),
+            Err(Rejection::PrefixLimit) => prefix_limited = true,
         }
     }
     match best {
-        Some((choice, _)) => Ok(choice),
+        Some((placement, _)) => Ok(placement),
         None if full.is_empty() => Err(PlacementError::TooLong),
-        None if kept_out => Err(PlacementError::HomesFull(full)),
+        None if prefix_limited => Err(PlacementError::HomesFull(full)),
         None => Err(PlacementError::AllFull),
     }
 }
 
 fn candidates(
     view: &PlacementView<'_>,
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     now: Instant,
 ) -> Vec<Candidate> {
-    let usable = |id: &ServerId| !ask.excluded.contains(id) && !view.loads.is_down(*id, now);
+    let usable = |id: &ServerId| !request.excluded.contains(id) && !view.loads.is_down(*id, now);
     view.registry
         .entries()
-        .filter(|(id, known)| {
-            known.registration.service == ask.service && !known.registration.draining && usable(id)
+        .filter(|(id, entry)| {
+            entry.registration.service == request.service
+                && !entry.registration.draining
+                && usable(id)
         })
-        .map(|(server, known)| Candidate {
+        .map(|(server, entry)| Candidate {
             server,
-            tier: tier(view, known.registration.domain),
-            slots: known.registration.slots,
+            tier: tier(view, entry.registration.domain),
+            slots: entry.registration.slots,
         })
         .collect()
 }
@@ -227,16 +226,16 @@
     }
 }
 
-/// The servers that keep the request's shared prefix, in the order in which every instance takes them.
+/// Returns the servers that cache the request's shared prefix, in the order in which every instance tries them.
 ///
-/// The first one is its home. When that is full, all instances go on to the same second one, which
-/// therefore keeps the prefix too; so a family has as many copies as its load needs.
+/// The first one is the home. When it is at capacity, all instances go on to the same second server, which then caches
+/// the prefix too; so a family has as many copies as its load needs.
 fn homes(candidates: &[Candidate], shape: &Shape) -> Vec<ServerId> {
     let Some(family) = shape.shared_prefix() else {
         return Vec::new();
     };
     let nearest = candidates.iter().map(|c| c.tier).min().unwrap_or(0);
-    let reach = if shape.shared_tokens() >= FLEET_WIDE {
+    let reach = if shape.shared_tokens() >= FLEET_WIDE_TOKENS {
         2
     } else {
         nearest
@@ -246,144 +245,166 @@
         .map(|c| (mix(family.0 ^ c.server.0), c.server))
         .collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
-    ranked.truncate(RANKED);
+    ranked.truncate(MAX_RANKED);
     ranked.into_iter().map(|(_, server)| server).collect()
 }
 
 /// Why a server can't take a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Unfit {
-    /// It has too much under way.
+enum Rejection {
+    /// It is at capacity or reserved.
     Full,
-    /// The request would be late there with nothing before it.
+    /// The request would be late there even without other work.
     TooLong,
-    /// Its shared part would be read there once more than its account may ask.
-    Copies,
+    /// It isn't among the servers that may prefill the shared prefix for this account.
+    PrefixLimit,
 }
 
-/// The choice of one candidate and its cost in seconds.
-fn weigh(
+/// Returns the placement on one candidate and its cost in seconds.
+fn evaluate(
     view: &PlacementView<'_>,
-    ask: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     candidate: &Candidate,
-    known: &Known,
+    context: &RequestContext,
     now: Instant,
-) -> Result<(Placement, f64), Unfit> {
-    let homes = &known.homes;
+) -> Result<(Placement, f64), Rejection> {
+    let homes = &context.homes;
     let home = homes.first().copied();
-    let read = to_read(ask, known, candidate.server);
-    let unique = ask.shape.prompt_tokens.saturating_sub(known.shared);
-    let again = read.saturating_sub(unique);
+    let uncached = uncached_tokens(request, context, candidate.server);
+    let own_tokens = request
+        .shape
+        .prompt_tokens
+        .saturating_sub(context.shared_tokens);
+    let duplicate = uncached.saturating_sub(own_tokens);
     let rank = homes.iter().position(|h| *h == candidate.server);
     let rank = rank.unwrap_or(homes.len());
-    if again >= LONG_SHARED && rank >= ask.max_copies {
-        return Err(Unfit::Copies);
+    if duplicate >= LONG_PREFIX_TOKENS && rank >= request.max_copies {
+        return Err(Rejection::PrefixLimit);
     }
-    if ask.reserved.contains(&candidate.server) {
-        return Err(Unfit::Full);
+    if request.reserved.contains(&candidate.server) {
+        return Err(Rejection::Full);
     }
-    let glance = view.loads.snapshot(candidate.server, now);
-    let total = glance.total;
-    let room = room(ask, candidate);
-    if f64::from(total.running) + 1.0 > (room * ask.capacity_fraction).max(1.0) {
-        return Err(Unfit::Full);
+    let load = view.loads.snapshot(candidate.server, now);
+    let total = load.total;
+    let capacity = capacity(request, candidate);
+    if f64::from(total.running) + 1.0 > (capacity * request.capacity_fraction).max(1.0) {
+        return Err(Rejection::Full);
     }
-    let held = held(ask.shape, read);
-    if let Some(engine) = ask.engine
+    let kv_tokens = kv_tokens(request.shape, uncached);
+    if let Some(engine) = request.engine
         && total.running > 0
-        && f64::from(total.kv_tokens + held)
-            > f64::from(engine.kv_capacity) * MEMORY_PART * ask.capacity_fraction
+        && f64::from(total.kv_tokens + kv_tokens)
+            > f64::from(engine.kv_capacity) * KV_FRACTION * request.capacity_fraction
     {
-        return Err(Unfit::Full);
+        return Err(Rejection::Full);
     }
-    let effort = ask.shape.prefill_cost(read);
-    let ahead = glance.backlog + effort;
-    let pace = glance.slowdown.max(1.0);
-    let first = ask
+    let prefill = request.shape.prefill_cost(uncached);
+    let queued = load.backlog + prefill;
+    let slowdown = load.slowdown.max(1.0);
+    let base = request
         .engine
-        .map_or(Duration::ZERO, |_| ask.ttft.base_latency());
-    let way = ROUND_TRIPS[candidate.tier];
-    let usual = first + ask.ttft.prefill_time(ahead) + way;
-    let expected = usual.mul_f64(pace);
-    let alone = (first + ask.ttft.prefill_time(effort)).mul_f64(pace) + way;
-    let allowed = ask.time_left.mul_f64(ask.capacity_fraction);
-    if ask.capacity_fraction < 1.0 && expected > allowed {
+        .map_or(Duration::ZERO, |_| request.ttft.base_latency());
+    let round_trip = ROUND_TRIPS[candidate.tier];
+    let baseline = base + request.ttft.prefill_time(queued) + round_trip;
+    let expected = baseline.mul_f64(slowdown);
+    let unloaded = (base + request.ttft.prefill_time(prefill)).mul_f64(slowdown) + round_trip;
+    let time_limit = request.time_left.mul_f64(request.capacity_fraction);
+    if request.capacity_fraction < 1.0 && expected > time_limit {
         return Err(
-            if alone > ask.full_objective.mul_f64(ask.capacity_fraction) {
-                Unfit::TooLong
+            if unloaded > request.full_objective.mul_f64(request.capacity_fraction) {
+                Rejection::TooLong
             } else {
-                Unfit::Full
+                Rejection::Full
             },
         );
     }
-    let choice = Placement {
+    let placement = Placement {
         server: candidate.server,
         work: Work {
             running: 1,
-            pending_prefill: effort,
-            kv_tokens: held,
+            pending_prefill: prefill,
+            kv_tokens,
             total_prefill: 0,
         },
-        queued_prefill: ahead,
-        round_trip: way,
-        baseline_ttft: usual,
+        queued_prefill: queued,
+        round_trip,
+        baseline_ttft: baseline,
         expected_ttft: expected,
-        unloaded_ttft: alone,
-        duplicate_prefill: again,
+        unloaded_ttft: unloaded,
+        duplicate_prefill: duplicate,
         spilled: home.is_some_and(|h| h != candidate.server),
     };
-    let full = f64::from(total.running) / room;
-    let cost = cost(&choice, ask.time_left, rank, full, glance.failure_rate);
-    Ok((choice, cost))
+    let utilization = f64::from(total.running) / capacity;
+    let cost = cost(
+        &placement,
+        request.time_left,
+        rank,
+        utilization,
+        load.failure_rate,
+    );
+    Ok((placement, cost))
 }
 
-/// What a choice costs its request and the others, in seconds.
+/// Returns the cost of a placement to its request and to others, in seconds.
 ///
-/// `rank` is the server's place among the family's, `full` the part of its room that is taken, `failing` that of
-/// its answers that fail.
-fn cost(choice: &Placement, objective: Duration, rank: usize, full: f64, failing: f64) -> f64 {
-    let risk = choice
+/// `rank` is the server's position in the family's order, `utilization` the used fraction of its capacity, `failure_rate`
+/// its recent fraction of failed requests.
+fn cost(
+    placement: &Placement,
+    objective: Duration,
+    rank: usize,
+    utilization: f64,
+    failure_rate: f64,
+) -> f64 {
+    let risk = placement
         .expected_ttft
-        .saturating_sub(objective.mul_f64(AT_RISK));
-    choice.expected_ttft.as_secs_f64()
-        + REREAD * f64::from(choice.duplicate_prefill)
-        + RISK * risk.as_secs_f64()
-        + CROWDED.as_secs_f64() * full * full
-        + RANK.as_secs_f64() * rank as f64
-        + FAILURE.as_secs_f64() * failing
+        .saturating_sub(objective.mul_f64(RISK_THRESHOLD));
+    placement.expected_ttft.as_secs_f64()
+        + DUPLICATE_TOKEN_COST_S * f64::from(placement.duplicate_prefill)
+        + RISK_WEIGHT * risk.as_secs_f64()
+        + FULL_BATCH_COST.as_secs_f64() * utilization * utilization
+        + RANK_COST.as_secs_f64() * rank as f64
+        + FAILURE_COST.as_secs_f64() * failure_rate
 }
 
-/// Tells whether a request is late wherever it goes, and hardly anything is before it at its server.
+/// Returns whether a request would be late on any server, and waits for hardly any other work on its own.
 ///
-/// A prompt can be so long that its reading alone takes most of the time. It delays several others, so it is served
-/// only while nothing else waits.
-pub fn is_prefill_bound(choice: &Placement, time: Duration) -> bool {
-    let wait = choice.expected_ttft.saturating_sub(choice.unloaded_ttft);
-    choice.unloaded_ttft > time.mul_f64(LONG) && wait <= time.mul_f64(LONG_WAIT)
+/// A prompt can be so long that its prefill alone takes most of the time. It delays several other requests, so it is
+/// served only while nothing else is queued.
+pub fn is_prefill_bound(placement: &Placement, time: Duration) -> bool {
+    let wait = placement
+        .expected_ttft
+        .saturating_sub(placement.unloaded_ttft);
+    placement.unloaded_ttft > time.mul_f64(PREFILL_BOUND_FRACTION)
+        && wait <= time.mul_f64(MAX_WAIT_FRACTION)
 }
 
-/// Requests that the server may have at once.
-fn room(ask: &PlacementRequest<'_>, candidate: &Candidate) -> f64 {
+/// Returns the number of concurrent requests that the server may have.
+fn capacity(request: &PlacementRequest<'_>, candidate: &Candidate) -> f64 {
     let own = f64::from(candidate.slots.max(1));
-    match ask.engine {
+    match request.engine {
         Some(engine) => own.min(f64::from(engine.slots)),
-        None => own * (1.0 + PLAIN_QUEUE),
+        None => own * (1.0 + PLAIN_QUEUE_FRACTION),
     }
 }
 
-/// Prompt tokens that the server must read.
-fn to_read(ask: &PlacementRequest<'_>, known: &Known, server: ServerId) -> u32 {
-    let seen = known.keepers.iter().find(|(id, _)| *id == server);
-    let seen = seen.map_or(0, |(_, tokens)| *tokens);
-    let kept = if known.homes.first() == Some(&server) {
-        seen.max(known.shared)
+/// Returns the prompt tokens that the server must prefill.
+fn uncached_tokens(
+    request: &PlacementRequest<'_>,
+    context: &RequestContext,
+    server: ServerId,
+) -> u32 {
+    let cached = context.hits.iter().find(|(id, _)| *id == server);
+    let cached = cached.map_or(0, |(_, tokens)| *tokens);
+    let retained = if context.homes.first() == Some(&server) {
+        cached.max(context.shared_tokens)
     } else {
-        seen
+        cached
     };
-    ask.shape.prompt_tokens.saturating_sub(kept)
+    request.shape.prompt_tokens.saturating_sub(retained)
 }
 
-/// Tokens that the request takes in the engine's memory besides what is kept there already.
-fn held(shape: &Shape, read: u32) -> u32 {
-    read + shape.expected_output()
+/// Returns the tokens that the request occupies in the engine's KV memory besides what is cached there.
+fn kv_tokens(shape: &Shape, uncached: u32) -> u32 {
+    uncached + shape.expected_output()
 }
--- a/crates/hawthornmill/src/routing/prefix_index.rs
+++ b/crates/hawthornmill/src/routing/prefix_index.rs
@@ -1,4 +1,4 @@
-//! Which server has read which prompt prefix lately, as far as this instance sent it there or heard.
+//! Prompt prefixes that each server has cached, as far as this instance sent them there or was told.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,69 +8,71 @@
 use super::shape::{PrefixKey, Shape};
 use crate::ident::ServerId;
 
-/// Time for which a prefix is taken to be kept after its last use: engines keep what is used again
-/// within several seconds, and give up the least recently used first.
-const KEPT: Duration = Duration::from_secs(7);
-/// Prefixes that are remembered at most; each takes 32 bytes besides the map's own.
-const MOST: usize = 20_000;
+/// Time after its last use for which a prefix counts as cached.
+///
+/// Engines keep a prefix that is used again within several seconds, and evict the least recently used first.
+const PREFIX_TTL: Duration = Duration::from_secs(7);
+/// Maximum number of entries; each takes 32 bytes besides the map's overhead.
+const MAX_ENTRIES: usize = 20_000;
 
-/// Servers and the tokens of one prompt that each keeps.
+/// Servers that have cached a prefix of one prompt, each with the number of cached tokens.
 pub type PrefixHits = SmallVec<[(ServerId, u32); 8]>;
 
-/// Prefixes that servers have read.
+/// Prefixes that servers have cached, by the time of their last use.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixIndex {
-    used: BTreeMap<(PrefixKey, ServerId), Instant>,
+    last_used: BTreeMap<(PrefixKey, ServerId), Instant>,
 }
 
 impl PrefixIndex {
-    /// `server` reads the prompt of `shape`.
+    /// Records that `server` prefills the prompt of `shape`.
     pub fn record(&mut self, server: ServerId, shape: &Shape, now: Instant) {
-        if self.used.len() >= MOST {
+        if self.last_used.len() >= MAX_ENTRIES {
             self.evict_expired(now);
         }
-        if self.used.len() >= MOST {
+        if self.last_used.len() >= MAX_ENTRIES {
             return;
         }
         for (key, _) in shape.prefixes() {
-            self.used.insert((key, server), now);
+            self.last_used.insert((key, server), now);
         }
     }
 
-    /// Another instance says that `server` has read the prefix `key`.
+    /// Records another instance's report that `server` has cached the prefix `key`.
     pub fn record_remote(&mut self, server: ServerId, key: PrefixKey, now: Instant) {
-        if self.used.len() < MOST {
-            self.used.insert((key, server), now);
+        if self.last_used.len() < MAX_ENTRIES {
+            self.last_used.insert((key, server), now);
         }
     }
 
-    /// Servers that need not read all of the prompt, with the tokens that each one keeps.
+    /// Returns servers that have cached a part of the prompt, each with the number of cached tokens.
     ///
-    /// One search for each prefix finds all of them, however many servers there are.
+    /// One range scan per prefix finds all of them, whatever the number of servers.
     pub fn lookup(&self, shape: &Shape, now: Instant) -> PrefixHits {
-        let mut keepers = PrefixHits::new();
+        let mut hits = PrefixHits::new();
         for (key, tokens) in shape.prefixes() {
-            let all = self
-                .used
+            let cached = self
+                .last_used
                 .range((key, ServerId(0))..=(key, ServerId(u64::MAX)));
-            for ((_, server), _) in all.filter(|(_, at)| now.duration_since(**at) < KEPT) {
-                // Whoever keeps a prefix keeps all that is before it.
-                match keepers.iter_mut().find(|(id, _)| id == server) {
-                    Some(known) => known.1 = tokens,
-                    None => keepers.push((*server, tokens)),
+            for ((_, server), _) in cached.filter(|(_, at)| now.duration_since(**at) < PREFIX_TTL) {
+                // A server that caches a prefix caches everything before it too.
+                match hits.iter_mut().find(|(id, _)| id == server) {
+                    Some(hit) => hit.1 = tokens,
+                    None => hits.push((*server, tokens)),
                 }
             }
         }
-        keepers
+        hits
     }
 
-    /// Forgets what servers will have given up.
+    /// Removes prefixes that servers will have evicted.
     pub fn evict_expired(&mut self, now: Instant) {
-        self.used.retain(|_, at| now.duration_since(*at) < KEPT);
+        self.last_used
+            .retain(|_, at| now.duration_since(*at) < PREFIX_TTL);
     }
 
-    /// Forgets everything of a server that is gone or has started anew.
+    /// Removes everything recorded for a server that is gone or has restarted.
     pub fn remove_server(&mut self, server: ServerId) {
-        self.used.retain(|(_, s), _| *s != server);
+        self.last_used.retain(|(_, s), _| *s != server);
     }
 }
--- a/crates/hawthornmill/src/routing/registry.rs
+++ b/crates/hawthornmill/src/routing/registry.rs
@@ -1,9 +1,9 @@
-//! Backend servers as they have registered themselves.
+//! Registry of backend servers as they registered themselves.
 //!
-//! Entries come from the platform's store, read here or by a peer, each with the store's revision.
-//! A newer revision of an entry replaces an older one whatever the order of arrival. An entry that
-//! is missing after the store was away is kept for a short grace: servers register anew within
-//! about two seconds of its return, and dropping all of them meanwhile would refuse every request.
+//! Entries come from the platform's store, read by this instance or by a peer, each with the store's revision. A newer
+//! revision of an entry replaces an older one whatever their order of arrival. An entry that is missing after an outage of
+//! the store is kept for a short grace period: servers register again within about two seconds of the store's return, and
+//! dropping all of them meanwhile would refuse every request.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,210 +14,211 @@
 use super::departures::Departure;
 use crate::ident::{DomainId, ServerId, ServiceId};
 
-/// Time for which an entry that was lost while the store was away still counts.
+/// Grace period of an entry that was lost during an outage of the store.
 ///
-/// The platform promises that a live server's entry is back within about two seconds.
+/// The platform guarantees that a live server's entry is back within about two seconds.
 pub const REREGISTRATION_GRACE: Duration = Duration::from_millis(2_200);
-/// Time for which the revision of a removed entry is remembered, so that a late copy can't revive it.
-const REMEMBER_GONE: Duration = Duration::from_mins(2);
+/// Time for which the revision of a removed entry is kept, so that a late copy can't restore the entry.
+const TOMBSTONE_TTL: Duration = Duration::from_mins(2);
 
-/// What a server says of itself.
+/// Registration of a server, as it published it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
     /// Name of this run of the server.
     pub name: Box<str>,
-    /// Service that it offers.
+    /// Service that it provides.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// It takes no new work.
+    /// It accepts no new work.
     pub draining: bool,
-    /// Start of the run in milliseconds of Unix time; 0 where it isn't said.
+    /// Start of the run in milliseconds of Unix time; 0 when not given.
     pub start_ms: u64,
 }
 
-/// One change of an entry.
+/// A change of one entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Entry that changed.
+    /// Server whose entry changed.
     pub server: ServerId,
     /// The store's revision of the change.
     pub revision: u64,
-    /// The entry now; none when it was removed or can't be used.
+    /// The new registration; `None` when it was removed or is unreadable.
     pub registration: Option<Registration>,
 }
 
 impl Change {
-    /// The word that the server leaves, if the change says so.
+    /// Returns the departure of the server, if the change announces one.
     pub fn departure(&self) -> Option<Departure> {
-        let leaves = self.registration.as_ref().is_none_or(|e| e.draining);
-        leaves.then_some(Departure {
+        let leaving = self.registration.as_ref().is_none_or(|e| e.draining);
+        leaving.then_some(Departure {
             server: self.server,
             revision: self.revision,
         })
     }
 }
 
-/// An entry that was found missing after the store was away, and counts for a grace only.
+/// An entry that was missing after an outage of the store and counts for a grace period only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unconfirmed {
-    /// The entry.
+    /// Server of the entry.
     pub server: ServerId,
-    /// What is left of its grace.
+    /// Remaining grace period.
     pub remaining: Duration,
 }
 
-/// A whole list of entries.
+/// A list of all entries.
 #[derive(Debug, Clone)]
 pub struct RegistrationList {
     /// The entries.
     pub entries: Vec<Change>,
-    /// Those of them that whoever made the list doubts.
+    /// Entries that are unconfirmed for the sender of the list.
     pub unconfirmed: Vec<Unconfirmed>,
     /// The store's revision of the list.
     pub revision: u64,
-    /// The store was out of reach before, so that live servers may be missing.
+    /// The store was unreachable before, so that live servers may be missing.
     pub after_outage: bool,
 }
 
-/// An entry in force.
+/// A current entry.
 #[derive(Debug, Clone)]
 pub struct RegistryEntry {
-    /// What the server said last.
+    /// Latest registration of the server.
     pub registration: Registration,
-    /// The store's revision of that.
+    /// The store's revision of the registration.
     pub revision: u64,
-    /// Set when the entry was found missing after the store was away: when it ceases to count.
+    /// End of the grace period; set while the entry is unconfirmed.
     pub expires_at: Option<Instant>,
 }
 
-/// Every registration that this instance knows of.
+/// All registrations that this instance knows.
 #[derive(Debug, Clone, Default)]
 pub struct Registry {
-    known: BTreeMap<ServerId, RegistryEntry>,
-    gone: BTreeMap<ServerId, (u64, Instant)>,
+    entries: BTreeMap<ServerId, RegistryEntry>,
+    tombstones: BTreeMap<ServerId, (u64, Instant)>,
     /// Revision of the store up to which changes are known.
     revision: u64,
     /// Revision of the newest change of any entry.
     latest_revision: u64,
-    /// Servers that are gone or have started anew since [`Self::take_lost`] was last asked.
-    lost: Vec<ServerId>,
+    /// Servers that were removed or restarted since the last [`Self::take_lost_caches`].
+    lost_caches: Vec<ServerId>,
 }
 
 impl Registry {
-    /// Revision of the store up to which changes are known; 0 before the first list.
+    /// Returns the store's revision up to which changes are known; 0 before the first list.
     pub const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Revision of the newest change of any entry, removals included.
+    /// Returns the revision of the newest change of any entry, including removals.
     pub const fn latest_revision(&self) -> u64 {
         self.latest_revision
     }
 
-    /// Entries in force.
+    /// Returns the current entries.
     pub fn entries(&self) -> impl Iterator<Item = (ServerId, &RegistryEntry)> {
-        self.known.iter().map(|(id, known)| (*id, known))
+        self.entries.iter().map(|(id, entry)| (*id, entry))
     }
 
-    /// An entry in force.
+    /// Returns the current entry of a server.
     pub fn get(&self, id: ServerId) -> Option<&RegistryEntry> {
-        self.known.get(&id)
+        self.entries.get(&id)
     }
 
-    /// Takes one change; false when it is older than what is known.
+    /// Applies one change; returns false when it is older than the current entry.
     pub fn apply(&mut self, change: Change, now: Instant) -> bool {
-        let known = self.known.get(&change.server).map_or(0, |k| k.revision);
-        let gone = self.gone.get(&change.server).map_or(0, |(r, _)| *r);
-        if change.revision <= known.max(gone) {
+        let current = self.entries.get(&change.server).map_or(0, |k| k.revision);
+        let tombstone = self.tombstones.get(&change.server).map_or(0, |(r, _)| *r);
+        if change.revision <= current.max(tombstone) {
             return false;
         }
         self.latest_revision = self.latest_revision.max(change.revision);
-        let before = self
-            .known
+        let old_start = self
+            .entries
             .get(&change.server)
             .map(|k| k.registration.start_ms);
-        let after = change.registration.as_ref().map(|e| e.start_ms);
-        if before.is_some() && before != after {
-            self.lost.push(change.server);
+        let new_start = change.registration.as_ref().map(|e| e.start_ms);
+        if old_start.is_some() && old_start != new_start {
+            self.lost_caches.push(change.server);
         }
-        if let Some(entry) = change.registration {
-            self.gone.remove(&change.server);
-            let known = RegistryEntry {
-                registration: entry,
+        if let Some(registration) = change.registration {
+            self.tombstones.remove(&change.server);
+            let entry = RegistryEntry {
+                registration,
                 revision: change.revision,
                 expires_at: None,
             };
-            self.known.insert(change.server, known);
+            self.entries.insert(change.server, entry);
         } else {
-            self.known.remove(&change.server);
-            self.gone.insert(change.server, (change.revision, now));
+            self.entries.remove(&change.server);
+            self.tombstones
+                .insert(change.server, (change.revision, now));
         }
         true
     }
 
-    /// Another instance knows that a server leaves: it takes no new work; false when that, or newer, is known here.
+    /// Marks a server that another instance knows to leave as draining; returns false when nothing changed.
     ///
-    /// The entry stays as it is known otherwise, until its own change comes.
-    pub fn mark_draining(&mut self, leaving: Departure) -> bool {
-        let known = self.known.get_mut(&leaving.server);
-        let Some(known) = known.filter(|k| k.revision < leaving.revision) else {
+    /// The entry stays otherwise unchanged until its own change arrives.
+    pub fn mark_draining(&mut self, departure: Departure) -> bool {
+        let entry = self.entries.get_mut(&departure.server);
+        let Some(entry) = entry.filter(|k| k.revision < departure.revision) else {
             return false;
         };
-        !std::mem::replace(&mut known.registration.draining, true)
+        !std::mem::replace(&mut entry.registration.draining, true)
     }
 
-    /// Changes up to `revision` have been taken.
+    /// Records that all changes up to `revision` were applied.
     pub fn advance(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Takes a whole list; entries that it lacks are gone, at once or after a grace.
+    /// Applies a whole list; entries missing from it are removed, at once or after a grace period.
     ///
-    /// A list that is older than what is known says nothing of missing entries.
+    /// A list that is older than the registry removes nothing.
     pub fn replace_all(&mut self, list: RegistrationList, now: Instant) {
         let RegistrationList {
             entries,
-            unconfirmed: doubted,
+            unconfirmed,
             revision,
-            after_outage: away,
+            after_outage,
         } = list;
         if self.revision == 0 {
-            // Removals before the first list are in it by their absence.
+            // Entries removed before the first list are missing from it.
             self.latest_revision = self
                 .latest_revision
                 .max(entries.iter().map(|c| c.revision).max().unwrap_or(0));
         }
-        let stale = revision < self.revision;
+        let outdated = revision < self.revision;
         let listed: Vec<ServerId> = entries.iter().map(|c| c.server).collect();
         for change in entries {
-            if doubted.iter().all(|d| d.server != change.server) {
+            if unconfirmed.iter().all(|d| d.server != change.server) {
                 self.confirm(change.server);
             }
             self.apply(change, now);
         }
-        for doubt in doubted {
-            self.doubt(doubt, now);
+        for item in unconfirmed {
+            self.apply_unconfirmed(item, now);
         }
-        if stale {
+        if outdated {
             return;
         }
         let missing: Vec<ServerId> = self
-            .known
+            .entries
             .iter()
-            .filter(|(id, known)| !listed.contains(id) && known.revision <= revision)
+            .filter(|(id, entry)| !listed.contains(id) && entry.revision <= revision)
             .map(|(id, _)| *id)
             .collect();
         if !missing.is_empty() {
-            // No change of an entry tells others of these removals.
+            // No change of an entry announces these removals to others.
             self.latest_revision = self.latest_revision.max(revision);
         }
         for server in missing {
-            if away {
+            if after_outage {
                 self.mark_unconfirmed(server, revision, now);
             } else {
                 self.remove(server, revision, now);
@@ -226,93 +227,88 @@
         self.advance(revision);
     }
 
-    /// Servers that are gone or have started anew, and so keep nothing of what they had read.
+    /// Returns servers that were removed or restarted, and so have lost their caches, and clears the list.
     pub fn take_lost_caches(&mut self) -> Vec<ServerId> {
-        std::mem::take(&mut self.lost)
+        std::mem::take(&mut self.lost_caches)
     }
 
-    /// Entries that count for a grace only, and what is left of it at `now`.
+    /// Returns the unconfirmed entries and their remaining grace period at `now`.
     pub fn unconfirmed(&self, now: Instant) -> Vec<Unconfirmed> {
-        let doubt = |(server, known): (&ServerId, &RegistryEntry)| {
-            let left = known.expires_at?.saturating_duration_since(now);
+        let unconfirmed = |(server, entry): (&ServerId, &RegistryEntry)| {
+            let remaining = entry.expires_at?.saturating_duration_since(now);
             Some(Unconfirmed {
                 server: *server,
-                remaining: left,
+                remaining,
             })
         };
-        self.known.iter().filter_map(doubt).collect()
+        self.entries.iter().filter_map(unconfirmed).collect()
     }
 
-    /// Changes up to `revision` were taken from another instance's list, removals included.
+    /// Records that another instance's list up to `revision` was applied, including removals.
     ///
-    /// A list names no removals. Without this, an instance that was told of one would seem to be behind
-    /// for ever and ask for the whole list again and again.
+    /// A list names no removals. Without this call, an instance that heard of a removal would seem to be behind forever and
+    /// request the whole list again and again.
     pub fn advance_latest(&mut self, revision: u64) {
         self.latest_revision = self.latest_revision.max(revision);
     }
 
-    /// Entries whose grace is over are removed.
+    /// Removes the entries whose grace period is over, and returns them.
     pub fn expire(&mut self, now: Instant) -> Vec<ServerId> {
-        let over = |k: &RegistryEntry| k.expires_at.is_some_and(|until| until <= now);
+        let expired = |k: &RegistryEntry| k.expires_at.is_some_and(|until| until <= now);
         let ids: Vec<ServerId> = self
-            .known
+            .entries
             .iter()
-            .filter(|(_, known)| over(known))
+            .filter(|(_, entry)| expired(entry))
             .map(|(id, _)| *id)
             .collect();
         for id in &ids {
             self.remove(*id, self.revision, now);
         }
-        self.gone
-            .retain(|_, (_, at)| now.duration_since(*at) < REMEMBER_GONE);
+        self.tombstones
+            .retain(|_, (_, at)| now.duration_since(*at) < TOMBSTONE_TTL);
         ids
     }
 
-    /// Every entry, for a peer that knows less.
+    /// Returns all entries, for a peer that is behind.
     pub fn snapshot(&self) -> Vec<Change> {
-        self.known
+        self.entries
             .iter()
-            .map(|(id, known)| Change {
+            .map(|(id, entry)| Change {
                 server: *id,
-                revision: known.revision,
-                registration: Some(known.registration.clone()),
+                revision: entry.revision,
+                registration: Some(entry.registration.clone()),
             })
             .collect()
     }
 
-    /// An entry was removed at `revision`, maybe since the store was away: it counts until a new grace is over.
+    /// Marks an entry removed at `revision` as unconfirmed: it counts until a new grace period is over.
     ///
-    /// The revision is told to others as that of any change, so that they come to doubt the entry too.
+    /// The revision is announced like that of any change, so that others mark the entry too.
     pub fn mark_unconfirmed(&mut self, server: ServerId, revision: u64, now: Instant) {
-        let left = REREGISTRATION_GRACE;
-        self.doubt(
-            Unconfirmed {
-                server,
-                remaining: left,
-            },
-            now,
-        );
+        let remaining = REREGISTRATION_GRACE;
+        self.apply_unconfirmed(Unconfirmed { server, remaining }, now);
         self.latest_revision = self.latest_revision.max(revision);
     }
 
-    /// Takes another instance's doubt, with what is left of its grace; one that runs here isn't prolonged.
-    fn doubt(&mut self, doubt: Unconfirmed, now: Instant) {
-        if let Some(known) = self.known.get_mut(&doubt.server) {
-            let until = now + doubt.remaining;
-            known.expires_at = Some(known.expires_at.map_or(until, |u| u.min(until)));
+    /// Applies another instance's remaining grace period; one that already runs here is never extended.
+    fn apply_unconfirmed(&mut self, item: Unconfirmed, now: Instant) {
+        if let Some(entry) = self.entries.get_mut(&item.server) {
+            let until = now + item.remaining;
+            entry.expires_at = Some(entry.expires_at.map_or(until, |u| u.min(until)));
         }
     }
 
     fn confirm(&mut self, id: ServerId) {
-        if let Some(known) = self.known.get_mut(&id) {
-            known.expires_at = None;
+        if let Some(entry) = self.entries.get_mut(&id) {
+            entry.expires_at = None;
         }
     }
 
     fn remove(&mut self, id: ServerId, revision: u64, now: Instant) {
-        if let Some(known) = self.known.remove(&id) {
-            self.gone.insert(id, (revision.max(known.revision), now));
-            self.lost.push(id);
+        if let Some(entry) = self.entries.remove(&id) {
+            self.tombstones
+                .insert(id, (revision.max(entry.revision), now));
+            self.lost_caches.push(id);
         }
     }
 }
--- a/crates/hawthornmill/src/routing/request.rs
+++ b/crates/hawthornmill/src/routing/request.rs
@@ -1,4 +1,4 @@
-//! A request that wants a server, and what can become of it.
+//! Requests to be scheduled, and the decisions on them.
 
 use std::time::{Duration, Instant};
 
@@ -13,73 +13,73 @@
 use crate::ident::{AccountId, ServerId, ServiceId};
 
 new_key_type! {
-    /// A request that waits.
+    /// Identifies a queued request.
     pub struct Ticket;
 }
 
-/// A request that wants a server.
+/// A request to be scheduled.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Account that pays; none on public routes.
+    /// Account that is charged; `None` on public routes.
     pub account: Option<AccountId>,
     /// Service that serves it.
     pub service: ServiceId,
-    /// Set where model engines serve it.
+    /// Set where model engines serve the request.
     pub engine: Option<Engine>,
-    /// Its size.
+    /// Size of its prompt and response.
     pub shape: Shape,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is served first.
     pub priority: u32,
-    /// Time to the answer's begin that its caller is promised.
+    /// Latency objective of its route.
     pub objective: Duration,
-    /// When it came.
+    /// When it arrived.
     pub arrival: Instant,
     /// When its caller gives up or the route's timeout passes.
     pub deadline: Instant,
-    /// Servers that had it before.
+    /// Servers to which it was already sent.
     pub tried: SmallVec<[ServerId; 2]>,
 }
 
-/// What an instance believes of a request's service and account.
+/// State on which the decision on a request is based.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct DecisionContext {
     /// Servers registered for the service.
     pub servers: usize,
-    /// Those of them that drain.
+    /// Draining servers among them.
     pub draining: usize,
-    /// Those that could not be reached lately.
+    /// Servers that recently couldn't be reached.
     pub down: usize,
-    /// Those whose slots are all taken.
+    /// Servers whose slots are all in use.
     pub full: usize,
-    /// Requests that wait at this instance.
+    /// Queued requests of this instance.
     pub queue_len: usize,
-    /// Instances at which requests of the service found no room lately.
+    /// Instances with recent unmet demand for the service.
     pub unmet_instances: usize,
-    /// Cost of those, in tokens.
+    /// Cost of that demand, in tokens.
     pub unmet_cost: u32,
-    /// How the request's account stands to its share.
+    /// Fair share of the request's account.
     pub share: FairShare,
-    /// What the account asked for and got over the fleet lately, in tokens.
+    /// Recent fleet-wide usage of the account, in tokens.
     pub usage: AccountUsage,
 }
 
-/// What turned a request away.
+/// Cause of a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// No server could take it.
+    /// The service has no server that could take it.
     NoServer,
-    /// Accounts that are owed find no room, and its account has had its part.
+    /// Accounts below their guarantee have unmet demand, and this account has had its share.
     OverFairShare,
-    /// It would begin too late even if nothing were before it.
+    /// It would be late even on an idle server.
     TooLong,
-    /// Too many wait before it.
+    /// Too many requests are queued ahead of it.
     QueueFull,
-    /// No room came free while it waited.
+    /// No capacity became free while it was queued.
     QueueTimeout,
 }
 
 impl Cause {
-    /// Name in log lines.
+    /// Returns the name that log lines use.
     pub const fn log_name(self) -> &'static str {
         match self {
             Self::NoServer => "NoServer",
@@ -91,26 +91,25 @@
     }
 }
 
-/// Why a request is turned away, and when its caller may come back.
+/// Why a request is refused, and when its caller may retry.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Refusal {
-    /// Numbered reason.
+    /// Numbered reason for the caller.
     pub code: Code,
-    /// What turned it away, for the log.
+    /// Cause for the log.
     pub cause: Cause,
-    /// Time after which to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Duration,
 }
 
-/// The server for a request, where its work is counted from then on, or why it is turned away; it has
-/// not run then.
+/// The placement of a request, whose work is counted from then on, or its refusal; a refused request has not run.
 pub type Decision = Result<Placement, Refusal>;
 
-/// What becomes of a request that comes.
+/// Result of submitting a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Admission {
-    /// It goes to a server or is turned away.
+    /// It is placed or refused.
     Decided(Decision),
-    /// It waits; [`super::scheduler::Scheduler::dispatch_queued`] tells when that is over.
+    /// It is queued; [`super::scheduler::Scheduler::dispatch_queued`] returns the decision.
     Queued(Ticket),
 }
--- a/crates/hawthornmill/src/routing/retry_budget.rs
+++ b/crates/hawthornmill/src/routing/retry_budget.rs
@@ -1,47 +1,47 @@
-//! How many requests may be sent a second time.
+//! Fleet-wide budget for retries.
 //!
-//! The whole fleet shares one budget for each service: over any window, a part of the requests that
-//! came plus a fixed extra. No instance asks another before it sends again; each takes its own part
-//! of the extra, by the greatest number of instances that it has seen, and the ratio of its own
-//! requests. The sum over all instances then stays within the budget whatever each one sees.
+//! All instances share one budget per service: in any window, a ratio of the requests plus a fixed extra. No instance
+//! asks another before a retry. Each one uses the ratio of its own requests and its part of the extra, divided by the
+//! largest number of instances it has seen. The sum over all instances therefore stays within the budget even when they
+//! see different numbers.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use crate::ident::ServiceId;
 
-/// Part of the budget that is used: windows of two observers are never cut at the same instant.
-const USED_PART: f64 = 0.7;
+/// Usable fraction of the budget; the windows of two observers never begin at the same instant.
+const USABLE_FRACTION: f64 = 0.7;
 
-/// The fleet's budget of second sends.
+/// Settings of the fleet's retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Second sends for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Second sends besides, in any window.
+    /// Further retries allowed in any window.
     pub extra: f64,
-    /// Length of a window.
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// Events of one service within the last window, in tenths of it.
+/// Requests and retries of one service within the last window, by bucket.
 #[derive(Debug, Clone, Default)]
-struct Counts {
+struct WindowCounts {
     buckets: VecDeque<(u64, u32, u32)>,
 }
 
-/// Parts into which a window is divided for counting.
-const PARTS: u32 = 10;
+/// Buckets per window.
+const BUCKETS: u32 = 10;
 
-impl Counts {
-    fn at(&mut self, part: u64) -> &mut (u64, u32, u32) {
-        if self.buckets.back().is_none_or(|b| b.0 < part) {
-            self.buckets.push_back((part, 0, 0));
+impl WindowCounts {
+    fn bucket(&mut self, index: u64) -> &mut (u64, u32, u32) {
+        if self.buckets.back().is_none_or(|b| b.0 < index) {
+            self.buckets.push_back((index, 0, 0));
         }
         while self
             .buckets
             .front()
-            .is_some_and(|b| b.0 + u64::from(PARTS) < part)
+            .is_some_and(|b| b.0 + u64::from(BUCKETS) < index)
         {
             self.buckets.pop_front();
         }
@@ -49,59 +49,60 @@
         &mut self.buckets[last]
     }
 
-    fn sums(&self) -> (u32, u32) {
-        let firsts = self.buckets.iter().map(|b| b.1).sum();
-        (firsts, self.buckets.iter().map(|b| b.2).sum())
+    fn totals(&self) -> (u32, u32) {
+        let requests = self.buckets.iter().map(|b| b.1).sum();
+        (requests, self.buckets.iter().map(|b| b.2).sum())
     }
 }
 
-/// This instance's part of the budget.
+/// This instance's part of the retry budget.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    terms: RetryBudgetConfig,
+    config: RetryBudgetConfig,
     start: Instant,
-    sharers: usize,
-    counts: BTreeMap<ServiceId, Counts>,
+    instances: usize,
+    counts: BTreeMap<ServiceId, WindowCounts>,
 }
 
 impl RetryBudget {
-    /// A budget of which nothing is used.
-    pub const fn new(terms: RetryBudgetConfig, now: Instant) -> Self {
+    /// Creates an unused budget.
+    pub const fn new(config: RetryBudgetConfig, now: Instant) -> Self {
         Self {
-            terms,
+            config,
             start: now,
-            sharers: 1,
+            instances: 1,
             counts: BTreeMap::new(),
         }
     }
 
-    /// Learns how many instances share the budget; the greatest number counts.
+    /// Sets the number of instances that share the budget; the largest number seen counts.
     pub fn observe_instances(&mut self, instances: usize) {
-        self.sharers = self.sharers.max(instances);
+        self.instances = self.instances.max(instances);
     }
 
-    fn part(&self, now: Instant) -> u64 {
-        let part = self.terms.window.as_millis() / u128::from(PARTS);
-        (now.duration_since(self.start).as_millis() / part.max(1)) as u64
+    fn bucket_index(&self, now: Instant) -> u64 {
+        let length = self.config.window.as_millis() / u128::from(BUCKETS);
+        (now.duration_since(self.start).as_millis() / length.max(1)) as u64
     }
 
-    /// A request came for `service`.
+    /// Records a first attempt for `service`.
     pub fn record_request(&mut self, service: ServiceId, now: Instant) {
-        let part = self.part(now);
-        self.counts.entry(service).or_default().at(part).1 += 1;
+        let index = self.bucket_index(now);
+        self.counts.entry(service).or_default().bucket(index).1 += 1;
     }
 
-    /// Takes one second send; false when there is none left.
+    /// Takes one retry from the budget; returns false when none is left.
     pub fn try_acquire(&mut self, service: ServiceId, now: Instant) -> bool {
-        let part = self.part(now);
+        let index = self.bucket_index(now);
         let counts = self.counts.entry(service).or_default();
-        let _current = counts.at(part);
-        let (came, sent) = counts.sums();
-        let allowed = f64::from(came) * self.terms.ratio + self.terms.extra / self.sharers as f64;
-        if f64::from(sent) + 1.0 > allowed * USED_PART {
+        let _current = counts.bucket(index);
+        let (requests, retries) = counts.totals();
+        let allowed =
+            f64::from(requests) * self.config.ratio + self.config.extra / self.instances as f64;
+        if f64::from(retries) + 1.0 > allowed * USABLE_FRACTION {
             return false;
         }
-        counts.at(part).2 += 1;
+        counts.bucket(index).2 += 1;
         true
     }
 }
--- a/crates/hawthornmill/src/routing/route_table.rs
+++ b/crates/hawthornmill/src/routing/route_table.rs
@@ -1,4 +1,4 @@
-//! Looks up the route and the account of a request.
+//! Lookup of the route and the account of a request.
 
 use std::collections::BTreeMap;
 
@@ -6,22 +6,22 @@
 use crate::codes::Code;
 use crate::ident::ServiceId;
 
-/// A catalog in force, indexed.
+/// An indexed catalog in force.
 #[derive(Debug, Clone)]
 pub struct RouteTable {
     catalog: Catalog,
-    /// Indexes of routes by host, the longest prefix first.
+    /// Indexes of routes by host, longest prefix first.
     hosts: BTreeMap<Box<str>, Vec<usize>>,
-    tokens: BTreeMap<TokenDigest, usize>,
+    accounts_by_token: BTreeMap<TokenDigest, usize>,
     services: BTreeMap<ServiceId, usize>,
 }
 
-/// For whom a request is made.
+/// On whose behalf a request is made.
 #[derive(Debug, Clone, Copy)]
 pub enum Caller<'a> {
-    /// A token that belongs to an account.
+    /// The token belongs to this account.
     Account(&'a Account),
-    /// The route needs no token, and none that is known came.
+    /// The route needs no token, and no known one was sent.
     Anonymous,
 }
 
@@ -29,7 +29,7 @@
     /// Indexes `catalog`.
     ///
     /// # Errors
-    /// As [`check`].
+    /// Returns the fault that [`validate`] finds.
     pub fn new(catalog: Catalog) -> Result<Self, (Code, Box<str>)> {
         validate(&catalog)?;
         let mut hosts: BTreeMap<Box<str>, Vec<usize>> = BTreeMap::new();
@@ -40,7 +40,7 @@
             list.sort_by_key(|i| std::cmp::Reverse(catalog.routes[*i].prefix.len()));
         }
         let accounts = catalog.accounts.iter().enumerate();
-        let tokens = accounts
+        let accounts_by_token = accounts
             .flat_map(|(index, account)| account.tokens.iter().map(move |t| (*t, index)))
             .collect();
         let services = catalog.services.iter().enumerate();
@@ -48,32 +48,32 @@
         Ok(Self {
             catalog,
             hosts,
-            tokens,
+            accounts_by_token,
             services,
         })
     }
 
-    /// The catalog as published.
+    /// Returns the catalog as published.
     pub const fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// Version of the catalog.
+    /// Returns the version of the catalog.
     pub const fn version(&self) -> u64 {
         self.catalog.version
     }
 
-    /// Bounds on callers.
+    /// Returns the limits on callers.
     pub const fn limits(&self) -> &Limits {
         &self.catalog.limits
     }
 
-    /// A service by key.
+    /// Returns the service with key `id`.
     pub fn service(&self, id: ServiceId) -> Option<&Service> {
         self.services.get(&id).map(|i| &self.catalog.services[*i])
     }
 
-    /// The route with the longest prefix of `path` at `host`, which may carry a port.
+    /// Returns the route with the longest prefix of `path` at `host`, which may include a port.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let list = self.hosts.get(name.to_ascii_lowercase().as_str())?;
@@ -81,12 +81,12 @@
         routes.into_iter().find(|r| path.starts_with(&*r.prefix))
     }
 
-    /// For whom a request with `token` is made; none when it must be refused.
+    /// Returns the caller that `token` identifies, or `None` when the request must be refused.
     pub fn authenticate(&self, route: &Route, token: Option<&[u8]>) -> Option<Caller<'_>> {
         if self.catalog.accounts.is_empty() {
             return Some(Caller::Anonymous);
         }
-        let known = token.and_then(|t| self.tokens.get(&TokenDigest::of(t)));
+        let known = token.and_then(|t| self.accounts_by_token.get(&TokenDigest::of(t)));
         match known {
             Some(index) => Some(Caller::Account(&self.catalog.accounts[*index])),
             None if route.public => Some(Caller::Anonymous),
@@ -94,13 +94,13 @@
         }
     }
 
-    /// Tells whether callers carry tokens at all.
+    /// Returns whether callers need tokens at all.
     pub const fn has_accounts(&self) -> bool {
         !self.catalog.accounts.is_empty()
     }
 }
 
-/// The service of `route` for a draw between 0 and 1, by weight.
+/// Picks a service of `route` by weight, for a `draw` between 0 and 1.
 pub fn pick_service(route: &Route, draw: f64) -> ServiceId {
     let total: u32 = route.targets.iter().map(|t| t.weight).sum();
     let mut left = draw * f64::from(total);
@@ -110,7 +110,7 @@
             return target.service;
         }
     }
-    // A draw of exactly 1 lands behind the last target.
+    // A draw of exactly 1 is past the last target.
     let usable = route.targets.iter().rfind(|t| t.weight > 0);
     usable.map_or(route.targets[0].service, |t| t.service)
 }
--- a/crates/hawthornmill/src/routing/scheduler.rs
+++ b/crates/hawthornmill/src/routing/scheduler.rs
@@ -1,10 +1,9 @@
-//! Lets requests in, makes them wait, or turns them away.
+//! Admits requests, queues them or refuses them.
 //!
-//! Load pattern: more work arrives than the servers can hold. A request goes to a server only when
-//! it can begin there in time, so the servers' own queues, which know no order, stay short. Others
-//! wait here for a small part of their objective: that evens out bursts, and a longer wait would
-//! only make a late answer of one that could have been refused at once. While anything waits,
-//! accounts below their max-min share go first, then urgent routes, then the longest waiting.
+//! Load pattern: more work arrives than the servers can hold. A request is sent only to a server where it can begin in
+//! time, so the servers' own queues, which know no priorities, stay short. Other requests wait here for a small fraction
+//! of their objective. That smooths bursts; a longer wait would only turn an immediate refusal into a late response. The
+//! queue is served in the order of the accounts' max-min fair shares, then of priority, then of arrival.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -32,67 +31,67 @@
 use crate::ident::{AccountId, DomainId, InstanceId, RegionId, ServerId, ServiceId};
 use crate::limits::pace::Pace;
 
-/// Part of its objective for which a request waits for room at most; the rest is for its answer.
-const PATIENCE: f64 = 0.3;
-/// Requests that wait at one instance at most; each holds its body.
-const MOST_WAITING: usize = 512;
-/// Time after which the shares are worked out anew.
-const SHARES_EVERY: Duration = Duration::from_millis(200);
-/// The refusal when no server of the service is known: most are back, or replaced, within a second.
+/// Fraction of its objective for which a request may be queued; the rest is left for its response.
+const MAX_WAIT_FRACTION: f64 = 0.3;
+/// Maximum number of queued requests of one instance; each holds its body in memory.
+const MAX_QUEUE_LEN: usize = 512;
+/// Interval at which fair shares are recomputed.
+const SHARE_INTERVAL: Duration = Duration::from_millis(200);
+/// Refusal while the service has no known server; most servers are back, or replaced, within a second.
 const NO_SERVER: Refusal = Refusal {
     code: Code::UpstreamUnreachable,
     cause: Cause::NoServer,
     retry_after: Duration::from_millis(700),
 };
 
-/// A request that waits.
+/// A queued request.
 #[derive(Debug, Clone)]
-struct InLine {
+struct QueuedRequest {
     request: Request,
-    /// The only servers that it waits for; empty when any server will do.
+    /// The only servers that it waits for; empty when it waits for any server.
     homes: HomeServers,
 }
 
-/// What those further back in the line may not take, since others that go before wait for it.
+/// Capacity reserved for queued requests, which later ones in the queue may not take.
 #[derive(Debug, Default)]
-struct Taken {
-    /// Services of which any server would do.
+struct Reserved {
+    /// Services whose requests wait for any server.
     services: SmallVec<[ServiceId; 4]>,
     servers: HomeServers,
 }
 
-/// Everything that decides where requests go.
+/// Decides which requests run where and when.
 #[derive(Debug)]
 pub struct Scheduler {
-    /// Servers.
+    /// Registered servers.
     pub registry: Registry,
-    /// Their work.
+    /// Load and health of the servers.
     pub loads: LoadTracker,
-    /// What they have read.
+    /// Prompt prefixes that the servers have cached.
     pub prefix_index: PrefixIndex,
-    /// What accounts asked for and got.
+    /// Usage of the accounts.
     pub account_usage: UsageTracker,
-    /// Second sends.
+    /// Budget for retries.
     pub retry_budget: RetryBudget,
     /// Region of each failure domain.
     pub regions: Vec<(DomainId, RegionId)>,
-    /// Tokens a second of all engines; 0 when unknown.
+    /// Tokens per second that all engines yield; 0 when unknown.
     pub token_rate: f64,
-    place: Location,
-    times: BTreeMap<ServiceId, TtftModel>,
+    location: Location,
+    ttft_models: BTreeMap<ServiceId, TtftModel>,
     paces: BTreeMap<ServiceId, Pace>,
-    line: SlotMap<Ticket, InLine>,
-    fleet: BTreeMap<AccountId, AccountUsage>,
+    queue: SlotMap<Ticket, QueuedRequest>,
+    fleet_usage: BTreeMap<AccountId, AccountUsage>,
     shares: BTreeMap<AccountId, FairShare>,
-    shortages: UnmetDemandTracker,
-    strays: VecDeque<(PrefixKey, ServerId, Instant)>,
-    heard_strays: VecDeque<(PrefixKey, ServerId, Instant)>,
-    shared: Option<Instant>,
+    unmet_tracker: UnmetDemandTracker,
+    spilled: VecDeque<(PrefixKey, ServerId, Instant)>,
+    peer_spilled: VecDeque<(PrefixKey, ServerId, Instant)>,
+    shares_updated: Option<Instant>,
 }
 
 impl Scheduler {
-    /// A scheduler that knows no server.
-    pub fn new(place: Location, budget: RetryBudget) -> Self {
+    /// Creates a scheduler without servers.
+    pub fn new(location: Location, budget: RetryBudget) -> Self {
         Self {
             registry: Registry::default(),
             loads: LoadTracker::default(),
@@ -101,35 +100,35 @@
             retry_budget: budget,
             regions: Vec::new(),
             token_rate: 0.0,
-            place,
-            times: BTreeMap::new(),
+            location,
+            ttft_models: BTreeMap::new(),
             paces: BTreeMap::new(),
-            line: SlotMap::with_key(),
-            fleet: BTreeMap::new(),
+            queue: SlotMap::with_key(),
+            fleet_usage: BTreeMap::new(),
             shares: BTreeMap::new(),
-            shortages: UnmetDemandTracker::default(),
-            strays: VecDeque::new(),
-            heard_strays: VecDeque::new(),
-            shared: None,
+            unmet_tracker: UnmetDemandTracker::default(),
+            spilled: VecDeque::new(),
+            peer_spilled: VecDeque::new(),
+            shares_updated: None,
         }
     }
 
-    /// Requests that wait.
+    /// Returns the number of queued requests.
     pub fn queue_len(&self) -> usize {
-        self.line.len()
+        self.queue.len()
     }
 
-    /// Decides on a request that came, or that its server did not run.
+    /// Decides on a request that arrived, or that its last server did not run.
     pub fn submit(&mut self, request: &Request, now: Instant) -> Admission {
-        self.count(request, now);
-        self.work_out(now);
+        self.record_arrival(request, now);
+        self.update_shares(now);
         let blocked = self.is_blocked(request, now);
         let mut homes = HomeServers::new();
-        if let Some(kept) = self.kept_for_better(request)
+        if let Some(reserved) = self.reserved_servers(request)
             && !blocked
         {
-            match self.place(request, &kept, now) {
-                Ok(choice) => return Admission::Decided(Ok(choice)),
+            match self.try_place(request, &reserved, now) {
+                Ok(placement) => return Admission::Decided(Ok(placement)),
                 Err(PlacementError::NoServer) => return Admission::Decided(Err(NO_SERVER)),
                 Err(PlacementError::TooLong) => {
                     return Admission::Decided(Err(self.refuse(request, Cause::TooLong, now)));
@@ -138,20 +137,21 @@
                 Err(PlacementError::HomesFull(full)) => homes = full,
             }
         }
-        let (standing, cost) = (self.standing(request), request.shape.cost());
-        self.shortages.record(request.service, standing, cost, now);
+        let (status, cost) = (self.status(request), request.shape.cost());
+        self.unmet_tracker
+            .record(request.service, status, cost, now);
         if blocked {
             return Admission::Decided(Err(self.refuse(request, Cause::OverFairShare, now)));
         }
-        if self.line.len() >= MOST_WAITING || self.is_hopeless(request, now) {
+        if self.queue.len() >= MAX_QUEUE_LEN || self.is_hopeless(request, now) {
             return Admission::Decided(Err(self.refuse(request, Cause::QueueFull, now)));
         }
         let request = request.clone();
-        Admission::Queued(self.line.insert(InLine { request, homes }))
+        Admission::Queued(self.queue.insert(QueuedRequest { request, homes }))
     }
 
-    /// Counts a request that came for the first time.
-    fn count(&mut self, request: &Request, now: Instant) {
+    /// Records a request's first attempt.
+    fn record_arrival(&mut self, request: &Request, now: Instant) {
         if !request.tried.is_empty() {
             return;
         }
@@ -162,200 +162,210 @@
         }
     }
 
-    /// Decides on those that wait; every request is named at most once.
+    /// Decides on queued requests; each request is returned at most once.
     ///
-    /// Nobody passes one of the same service that goes before and finds no room: a long prompt would
-    /// never be placed while short ones keep taking what comes free. One that waits for few servers keeps
-    /// the others from just these.
+    /// No request overtakes one of the same service that goes before it and finds no capacity; otherwise a long prompt would
+    /// never be placed while short ones keep taking each free slot. A request that waits for a few servers only reserves
+    /// just these.
     pub fn dispatch_queued(&mut self, now: Instant) -> Vec<(Ticket, Decision)> {
-        self.work_out(now);
-        let mut order: Vec<Ticket> = self.line.keys().collect();
-        order.sort_by_key(|t| self.rank(&self.line[*t].request));
-        let mut taken = Taken::default();
+        self.update_shares(now);
+        let mut order: Vec<Ticket> = self.queue.keys().collect();
+        order.sort_by_key(|t| self.rank(&self.queue[*t].request));
+        let mut reserved = Reserved::default();
         let mut all = Vec::new();
         for ticket in order {
-            let Some(decided) = self.try_waiting(ticket, &mut taken, now) else {
+            let Some(decision) = self.try_dispatch(ticket, &mut reserved, now) else {
                 continue;
             };
-            if let Some(waiting) = self.line.remove(ticket) {
-                self.left(waiting.request.service, decided.is_ok(), now);
+            if let Some(queued) = self.queue.remove(ticket) {
+                self.record_dequeue(queued.request.service, decision.is_ok(), now);
             }
-            all.push((ticket, decided));
+            all.push((ticket, decision));
         }
         all
     }
 
-    /// Decides on one that waits; none when it stays in the line.
-    fn try_waiting(&mut self, ticket: Ticket, taken: &mut Taken, now: Instant) -> Option<Decision> {
-        let request = self.line[ticket].request.clone();
-        let over = now >= patience_end(&request);
-        if taken.services.contains(&request.service) || self.is_blocked(&request, now) {
-            return over.then(|| Err(self.refuse(&request, Cause::QueueTimeout, now)));
+    /// Decides on a queued request; returns `None` when it stays in the queue.
+    fn try_dispatch(
+        &mut self,
+        ticket: Ticket,
+        reserved: &mut Reserved,
+        now: Instant,
+    ) -> Option<Decision> {
+        let request = self.queue[ticket].request.clone();
+        let expired = now >= wait_deadline(&request);
+        if reserved.services.contains(&request.service) || self.is_blocked(&request, now) {
+            return expired.then(|| Err(self.refuse(&request, Cause::QueueTimeout, now)));
         }
-        match self.place(&request, &taken.servers, now) {
-            Ok(choice) => Some(Ok(choice)),
+        match self.try_place(&request, &reserved.servers, now) {
+            Ok(placement) => Some(Ok(placement)),
             Err(PlacementError::NoServer) => Some(Err(NO_SERVER)),
             Err(PlacementError::TooLong) => Some(Err(self.refuse(&request, Cause::TooLong, now))),
-            Err(_full) if over => Some(Err(self.refuse(&request, Cause::QueueTimeout, now))),
+            Err(_full) if expired => Some(Err(self.refuse(&request, Cause::QueueTimeout, now))),
             Err(PlacementError::AllFull) => {
-                taken.services.push(request.service);
-                self.line[ticket].homes.clear();
+                reserved.services.push(request.service);
+                self.queue[ticket].homes.clear();
                 None
             }
             Err(PlacementError::HomesFull(homes)) => {
-                taken.servers.extend_from_slice(&homes);
-                self.line[ticket].homes = homes;
+                reserved.servers.extend_from_slice(&homes);
+                self.queue[ticket].homes = homes;
                 None
             }
         }
     }
 
-    /// A request that waited is no longer wanted by its caller.
+    /// Removes a queued request whose caller no longer wants it.
     pub fn cancel(&mut self, ticket: Ticket) {
-        self.line.remove(ticket);
+        self.queue.remove(ticket);
     }
 
-    /// Takes one change of a registration; false when it is older than what is known.
+    /// Applies one change of a registration; returns false when it is older than the current entry.
     pub fn apply_change(&mut self, change: Change, now: Instant) -> bool {
-        let taken = self.registry.apply(change, now);
-        self.forget_lost();
-        taken
+        let applied = self.registry.apply(change, now);
+        self.drop_lost_caches();
+        applied
     }
 
-    /// Takes a whole list of registrations, as [`Registry::replace_all`] does.
+    /// Applies a whole list of registrations; see [`Registry::replace_all`].
     pub fn replace_registrations(&mut self, list: RegistrationList, now: Instant) {
         self.registry.replace_all(list, now);
-        self.forget_lost();
+        self.drop_lost_caches();
     }
 
-    /// Forgets what servers had read that are gone, or have started anew under their old name.
+    /// Drops cached prefixes of servers that are gone or have restarted under the same name.
     ///
-    /// Taken for the run before, such a server would draw prompts whose beginnings it no longer keeps.
-    fn forget_lost(&mut self) {
+    /// Otherwise a restarted server would attract prompts whose prefixes it no longer caches.
+    fn drop_lost_caches(&mut self) {
         for server in self.registry.take_lost_caches() {
             self.prefix_index.remove_server(server);
         }
     }
 
-    /// The first token, or the whole answer, came `time` after a request was sent.
+    /// Records the first token, or the whole response, `time` after the request was sent.
     ///
-    /// None when this process was behind with its work: the time would tell of that, and not of the server.
+    /// `time` is `None` when this process lagged: it would measure the process and not the server.
     pub fn record_first_token(
         &mut self,
         service: ServiceId,
-        choice: &Placement,
+        placement: &Placement,
         time: Option<Duration>,
         now: Instant,
     ) {
-        if let Some(time) = time.filter(|_| choice.queued_prefill > 0) {
-            let times = self.times.entry(service).or_default();
-            times.observe(
-                choice.queued_prefill,
-                time.saturating_sub(choice.round_trip),
+        if let Some(time) = time.filter(|_| placement.queued_prefill > 0) {
+            let model = self.ttft_models.entry(service).or_default();
+            model.observe(
+                placement.queued_prefill,
+                time.saturating_sub(placement.round_trip),
                 now,
             );
             self.loads
-                .observe_latency(choice.server, choice.baseline_ttft, time, now);
+                .observe_latency(placement.server, placement.baseline_ttft, time, now);
         }
-        let read = Work {
-            pending_prefill: choice.work.pending_prefill,
+        let prefill = Work {
+            pending_prefill: placement.work.pending_prefill,
             ..Work::default()
         };
-        self.loads.end(choice.server, read);
+        self.loads.end(placement.server, prefill);
     }
 
-    /// The request is no longer under way; `began` says whether [`Self::began`] was called for it.
-    pub fn finish(&mut self, choice: &Placement, began: bool) {
-        let mut work = choice.work;
-        if began {
+    /// Ends a request; `prefilled` tells whether [`Self::record_first_token`] was called for it.
+    pub fn finish(&mut self, placement: &Placement, prefilled: bool) {
+        let mut work = placement.work;
+        if prefilled {
             work.pending_prefill = 0;
         }
-        self.loads.end(choice.server, work);
+        self.loads.end(placement.server, work);
     }
 
-    /// What a decision on `request` rests on now.
+    /// Returns what a decision on `request` is based on now.
     pub fn decision_context(&self, request: &Request, now: Instant) -> DecisionContext {
         let entries = self.registry.entries();
-        let lack = self.better(request, now);
-        let mut outlook = DecisionContext {
+        let unmet = self.unmet_ahead(request, now);
+        let mut context = DecisionContext {
             share: self.share_of(request),
-            usage: self.sums_of(request),
-            queue_len: self.line.len(),
-            unmet_instances: lack.instances.into(),
-            unmet_cost: lack.cost,
+            usage: self.usage_of(request),
+            queue_len: self.queue.len(),
+            unmet_instances: unmet.instances.into(),
+            unmet_cost: unmet.cost,
             ..DecisionContext::default()
         };
-        for (id, known) in entries.filter(|(_, k)| k.registration.service == request.service) {
-            outlook.servers += 1;
-            outlook.draining += usize::from(known.registration.draining);
-            outlook.down += usize::from(self.loads.is_down(id, now));
+        for (id, entry) in entries.filter(|(_, k)| k.registration.service == request.service) {
+            context.servers += 1;
+            context.draining += usize::from(entry.registration.draining);
+            context.down += usize::from(self.loads.is_down(id, now));
             let running = self.loads.total(id, now).running;
-            outlook.full += usize::from(running >= known.registration.slots);
+            context.full += usize::from(running >= entry.registration.slots);
         }
-        outlook
+        context
     }
 
-    /// Drops what no longer counts and returns the servers that are gone.
+    /// Drops expired state and returns the servers whose registrations expired.
     pub fn sweep(&mut self, now: Instant) -> Vec<ServerId> {
-        let gone = self.registry.expire(now);
-        self.forget_lost();
+        let expired = self.registry.expire(now);
+        self.drop_lost_caches();
         let registry = &self.registry;
         self.loads.sweep(|id| registry.get(id).is_some(), now);
-        gone
+        expired
     }
 
-    fn place(
+    fn try_place(
         &mut self,
         request: &Request,
-        kept: &[ServerId],
+        reserved: &[ServerId],
         now: Instant,
     ) -> Result<Placement, PlacementError> {
-        let calm = self.better(request, now).instances == 0;
+        let uncontended = self.unmet_ahead(request, now).instances == 0;
         let share = self.share_of(request);
         let view = PlacementView {
             registry: &self.registry,
             loads: &self.loads,
             prefix_index: &self.prefix_index,
-            location: self.place,
+            location: self.location,
             regions: &self.regions,
         };
-        let ask = PlacementRequest {
+        let query = PlacementRequest {
             service: request.service,
             engine: request.engine,
             shape: &request.shape,
             excluded: &request.tried,
-            reserved: kept,
+            reserved,
             ttft: self
-                .times
+                .ttft_models
                 .get(&request.service)
                 .copied()
                 .unwrap_or_default()
                 .decayed(now),
             time_left: (request.arrival + request.objective).saturating_duration_since(now),
             full_objective: request.objective,
-            capacity_fraction: allowance::capacity_fraction(share, calm),
+            capacity_fraction: allowance::capacity_fraction(share, uncontended),
             max_copies: allowance::max_prefix_copies(share.status),
         };
-        let choice = choose_server(&view, &ask, now)?;
-        // Elsewhere it would begin sooner at the price of reading its shared part again, which is
-        // what servers have no time for when this one is late.
-        let timely = choice.expected_ttft <= ask.time_left;
+        let placement = choose_server(&view, &query, now)?;
+        // Another server would begin sooner, at the price of a second prefill of the shared prefix. When this server is
+        // late, there is no capacity for that.
+        let on_time = placement.expected_ttft <= query.time_left;
         if request.tried.is_empty()
-            && !timely
-            && !(calm && is_prefill_bound(&choice, ask.time_left))
+            && !on_time
+            && !(uncontended && is_prefill_bound(&placement, query.time_left))
         {
-            // What would be late on idle servers too tells of no shortage.
-            return Err(if choice.unloaded_ttft > ask.time_left {
+            // A request that is late even on idle servers is no sign of unmet demand.
+            return Err(if placement.unloaded_ttft > query.time_left {
                 PlacementError::TooLong
             } else {
                 PlacementError::AllFull
             });
         }
-        self.loads
-            .begin(choice.server, choice.work, ask.ttft.prefill_rate(), now);
-        self.prefix_index.record(choice.server, &request.shape, now);
-        if let (true, Some(family)) = (choice.spilled, request.shape.shared_prefix()) {
-            push_stray(&mut self.strays, family, choice.server, now);
+        self.loads.begin(
+            placement.server,
+            placement.work,
+            query.ttft.prefill_rate(),
+            now,
+        );
+        self.prefix_index
+            .record(placement.server, &request.shape, now);
+        if let (true, Some(prefix)) = (placement.spilled, request.shape.shared_prefix()) {
+            push_spilled(&mut self.spilled, prefix, placement.server, now);
         }
         if let Some(account) = request.account
             && request.tried.is_empty()
@@ -363,93 +373,94 @@
             self.account_usage
                 .record_served(account, request.shape.cost(), now);
         }
-        Ok(choice)
+        Ok(placement)
     }
 
-    /// The servers for which others wait that go before `request`; none when some of those wait for any server.
-    fn kept_for_better(&self, request: &Request) -> Option<HomeServers> {
+    /// Returns the servers reserved for queued requests ahead of `request`; `None` when one of those waits for any server.
+    fn reserved_servers(&self, request: &Request) -> Option<HomeServers> {
         let rank = self.rank(request);
-        let mut kept = HomeServers::new();
-        for waiting in self.same(request.service) {
-            if self.rank(&waiting.request) >= rank {
+        let mut reserved = HomeServers::new();
+        for queued in self.queued_for(request.service) {
+            if self.rank(&queued.request) >= rank {
                 continue;
             }
-            if waiting.homes.is_empty() {
+            if queued.homes.is_empty() {
                 return None;
             }
-            kept.extend_from_slice(&waiting.homes);
+            reserved.extend_from_slice(&queued.homes);
         }
-        Some(kept)
+        Some(reserved)
     }
 
-    /// Those that wait for a server of `service`.
-    fn same(&self, service: ServiceId) -> impl Iterator<Item = &InLine> {
-        self.line
+    /// Queued requests for `service`.
+    fn queued_for(&self, service: ServiceId) -> impl Iterator<Item = &QueuedRequest> {
+        self.queue
             .values()
             .filter(move |w| w.request.service == service)
     }
 
     fn rank(&self, request: &Request) -> (ShareStatus, u32, Instant) {
-        (self.standing(request), request.priority, request.arrival)
+        (self.status(request), request.priority, request.arrival)
     }
 
-    fn standing(&self, request: &Request) -> ShareStatus {
+    fn status(&self, request: &Request) -> ShareStatus {
         self.share_of(request).status
     }
 
     fn share_of(&self, request: &Request) -> FairShare {
-        let known = request.account.and_then(|a| self.shares.get(&a));
-        known.copied().unwrap_or_default()
+        let entry = request.account.and_then(|a| self.shares.get(&a));
+        entry.copied().unwrap_or_default()
     }
 
-    fn sums_of(&self, request: &Request) -> AccountUsage {
-        let known = request.account.and_then(|a| self.fleet.get(&a));
-        known.copied().unwrap_or_default()
+    fn usage_of(&self, request: &Request) -> AccountUsage {
+        let entry = request.account.and_then(|a| self.fleet_usage.get(&a));
+        entry.copied().unwrap_or_default()
     }
 
-    /// What found no room lately, here or elsewhere, of accounts that are not beyond their share.
-    fn better(&self, request: &Request, now: Instant) -> UnmetDemand {
-        self.shortages
+    /// Recent unmet demand, here or elsewhere, of accounts not above their fair share.
+    fn unmet_ahead(&self, request: &Request, now: Instant) -> UnmetDemand {
+        self.unmet_tracker
             .ahead_of(request.service, ShareStatus::AboveFairShare, now)
     }
 
-    /// Tells whether accounts that go before this request's find no room, here or elsewhere.
+    /// Returns whether accounts ahead of this request's account have unmet demand, here or elsewhere.
     ///
-    /// Only accounts that are owed shut others out. Accounts around an even part change sides several
-    /// times a second; if one side shut out the other each time, servers would idle.
+    /// Only accounts below their guarantee preempt others. Accounts around their fair share change sides several times a
+    /// second; if one side preempted the other each time, servers would idle.
     fn is_blocked(&self, request: &Request, now: Instant) -> bool {
-        let standing = self.standing(request).min(ShareStatus::BelowFairShare);
-        let lack = self.shortages.ahead_of(request.service, standing, now);
-        preempts_others(lack, self.token_rate)
+        let status = self.status(request).min(ShareStatus::BelowFairShare);
+        let unmet = self.unmet_tracker.ahead_of(request.service, status, now);
+        preempts_others(unmet, self.token_rate)
     }
 
-    /// Work that found no room lately, for the others.
+    /// Returns this instance's recent unmet demand, to report to others.
     pub fn unmet_demand(&self, now: Instant) -> Vec<(ServiceId, ShareStatus, UnmetDemand)> {
-        self.shortages.report(now)
+        self.unmet_tracker.report(now)
     }
 
-    /// Prefixes that were sent to other servers than their homes lately, for the others.
+    /// Returns prefixes recently sent to a server other than their home, to report to others.
     pub fn spilled_prefixes(&mut self, now: Instant) -> Vec<(PrefixKey, ServerId)> {
-        self.strays
+        self.spilled
             .retain(|(_, _, at)| now.duration_since(*at) < REPORT_TTL);
-        self.strays.iter().map(|(f, s, _)| (*f, *s)).collect()
+        self.spilled.iter().map(|(f, s, _)| (*f, *s)).collect()
     }
 
-    /// Takes what another instance tells.
-    pub fn apply_report(&mut self, from: InstanceId, news: &InstanceReport, now: Instant) {
-        self.loads.apply_peer_report(from, news.work.clone(), now);
+    /// Applies the report of another instance.
+    pub fn apply_report(&mut self, from: InstanceId, report: &InstanceReport, now: Instant) {
+        self.loads.apply_peer_report(from, report.work.clone(), now);
         self.account_usage
-            .apply_peer_report(from, news.usage.clone(), now);
-        for (family, server) in &news.spilled {
-            self.prefix_index.record_remote(*server, *family, now);
+            .apply_peer_report(from, report.usage.clone(), now);
+        for (prefix, server) in &report.spilled {
+            self.prefix_index.record_remote(*server, *prefix, now);
         }
-        self.shortages.apply_peer_report(from, &news.unmet, now);
-        for (family, server) in &news.spilled {
-            push_stray(&mut self.heard_strays, *family, *server, now);
+        self.unmet_tracker
+            .apply_peer_report(from, &report.unmet, now);
+        for (prefix, server) in &report.spilled {
+            push_spilled(&mut self.peer_spilled, *prefix, *server, now);
         }
     }
 
-    /// What the own failure domain tells the others: `members` are its live instances, this one among them.
+    /// Builds the report of the own failure domain; `members` are its live instances, including this one.
     pub fn domain_members(
         &mut self,
         domain: DomainId,
@@ -457,71 +468,71 @@
         now: Instant,
     ) -> DomainMembers {
         let ids: Vec<InstanceId> = members.iter().map(|m| m.id).collect();
-        let short = self.shortages.domain_sum(&ids, now);
+        let unmet = self.unmet_tracker.domain_sum(&ids, now);
         let fresh = |at: &Instant| now.duration_since(*at) < REPORT_TTL;
-        self.heard_strays.retain(|(_, _, at)| fresh(at));
-        let all = self.strays.iter().chain(&self.heard_strays).rev();
-        let strays = all.filter(|(_, _, at)| fresh(at));
+        self.peer_spilled.retain(|(_, _, at)| fresh(at));
+        let all = self.spilled.iter().chain(&self.peer_spilled).rev();
+        let spilled = all.filter(|(_, _, at)| fresh(at));
         DomainMembers {
             domain,
             members,
-            unmet: short,
-            spilled: strays
+            unmet,
+            spilled: spilled
                 .take(domain_summary::MAX_SPILLED)
                 .map(|(f, s, _)| (*f, *s))
                 .collect(),
         }
     }
 
-    /// Takes what another failure domain tells of itself.
+    /// Applies another failure domain's report on its members.
     pub fn apply_domain_members(&mut self, members: &DomainMembers, now: Instant) {
-        let teller = domain_summary::source_id(members.domain, 0);
-        self.shortages
-            .apply_peer_report(teller, &members.unmet, now);
-        for (family, server) in &members.spilled {
-            self.prefix_index.record_remote(*server, *family, now);
+        let source = domain_summary::source_id(members.domain, 0);
+        self.unmet_tracker
+            .apply_peer_report(source, &members.unmet, now);
+        for (prefix, server) in &members.spilled {
+            self.prefix_index.record_remote(*server, *prefix, now);
         }
     }
 
-    /// Takes what another failure domain has under way.
-    pub fn apply_domain_work(&mut self, told: DomainWork, now: Instant) {
-        let teller = told.source_id();
-        if told.number == 0 {
+    /// Applies another failure domain's report on its work in flight.
+    pub fn apply_domain_work(&mut self, summary: DomainWork, now: Instant) {
+        let source = summary.source_id();
+        if summary.number == 0 {
             self.account_usage
-                .apply_peer_report(teller, told.usage, now);
+                .apply_peer_report(source, summary.usage, now);
         }
-        self.loads.apply_peer_report(teller, told.work, now);
+        self.loads.apply_peer_report(source, summary.work, now);
     }
 
-    /// Tells whether a request can't get to the head of the line while it may wait.
+    /// Returns whether a request can't reach the head of the queue within its time to wait.
     fn is_hopeless(&self, request: &Request, now: Instant) -> bool {
         let rank = self.rank(request);
-        let same = self.same(request.service);
-        let ahead = same.filter(|w| self.rank(&w.request) <= rank).count();
-        let left = patience_end(request).saturating_duration_since(now);
+        let queued = self.queued_for(request.service);
+        let ahead = queued.filter(|w| self.rank(&w.request) <= rank).count();
+        let left = wait_deadline(request).saturating_duration_since(now);
         let pace = self.paces.get(&request.service);
         left.is_zero() || pace.is_some_and(|p| p.hopeless(ahead, left, now))
     }
 
     fn refuse(&self, request: &Request, cause: Cause, now: Instant) -> Refusal {
-        let ahead = self.same(request.service).count();
+        let ahead = self.queued_for(request.service).count();
         let pace = self
             .paces
             .get(&request.service)
             .copied()
             .unwrap_or_default();
-        // The ticket's place in the line is as good a spread as any, and needs no randomness here.
-        let draw = (ahead % 8) as f64 / 8.0;
-        let again = pace.come_back(ahead, draw, now);
+        // The position in the queue spreads retries well enough without a source of randomness.
+        let jitter = (ahead % 8) as f64 / 8.0;
+        let retry_after = pace.come_back(ahead, jitter, now);
         Refusal {
             code: Code::QueueLate,
             cause,
-            retry_after: again.max(request.objective.mul_f64(PATIENCE)),
+            retry_after: retry_after.max(request.objective.mul_f64(MAX_WAIT_FRACTION)),
         }
     }
 
-    fn left(&mut self, service: ServiceId, placed: bool, now: Instant) {
-        let left = self.same(service).count();
+    fn record_dequeue(&mut self, service: ServiceId, placed: bool, now: Instant) {
+        let left = self.queued_for(service).count();
         let pace = self.paces.entry(service).or_default();
         if placed {
             pace.served(left, now);
@@ -530,36 +541,39 @@
         }
     }
 
-    /// Works out which accounts have had their share.
-    fn work_out(&mut self, now: Instant) {
+    /// Recomputes the fair shares of the accounts.
+    fn update_shares(&mut self, now: Instant) {
         if self
-            .shared
-            .is_some_and(|at| now.duration_since(at) < SHARES_EVERY)
+            .shares_updated
+            .is_some_and(|at| now.duration_since(at) < SHARE_INTERVAL)
         {
             return;
         }
-        self.shared = Some(now);
+        self.shares_updated = Some(now);
         self.shares.clear();
         if self.token_rate <= 0.0 {
             return;
         }
-        self.fleet = self.account_usage.fleet_totals(now);
-        self.shares = fair_shares(&self.fleet, self.token_rate * DECAY_TIME.as_secs_f64());
+        self.fleet_usage = self.account_usage.fleet_totals(now);
+        self.shares = fair_shares(
+            &self.fleet_usage,
+            self.token_rate * DECAY_TIME.as_secs_f64(),
+        );
     }
 }
 
-fn push_stray(
-    strays: &mut VecDeque<(PrefixKey, ServerId, Instant)>,
-    family: PrefixKey,
+fn push_spilled(
+    spilled: &mut VecDeque<(PrefixKey, ServerId, Instant)>,
+    prefix: PrefixKey,
     server: ServerId,
     now: Instant,
 ) {
-    if strays.len() >= domain_summary::MAX_SPILLED {
-        strays.pop_front();
+    if spilled.len() >= domain_summary::MAX_SPILLED {
+        spilled.pop_front();
     }
-    strays.push_back((family, server, now));
+    spilled.push_back((prefix, server, now));
 }
 
-fn patience_end(request: &Request) -> Instant {
-    (request.arrival + request.objective.mul_f64(PATIENCE)).min(request.deadline)
+fn wait_deadline(request: &Request) -> Instant {
+    (request.arrival + request.objective.mul_f64(MAX_WAIT_FRACTION)).min(request.deadline)
 }
