--- a/crates/hawthornmill/src/routing/ttft.rs
+++ b/crates/hawthornmill/src/routing/ttft.rs
@@ -1,32 +1,32 @@
-//! How long engines of a service take to a first token, learnt from their answers.
+//! Estimates the time to the first token (TTFT) of a service's engines from their responses.
 //!
-//! Load pattern: an instance's own link is full, and every answer reaches it half a second late. Taken for slow
-//! reading, that makes all servers look busy, and the instance turns away work for which engines idle.
+//! Load pattern: an instance's own link is saturated, and every response reaches it half a second late. Taken for slow
+//! prefill, that makes all servers look busy, and the instance refuses work while engines idle.
 //!
-//! So a line is laid through the times by the tokens before them, the older answers weighing less: its slope is the
-//! reading, its begin is what is the same for all requests. What it says decides which requests are sent at all, so
-//! without new answers it goes back to what was assumed first: else a wrong one could last for ever.
+//! The model is therefore a linear regression of the TTFT on the prefill tokens ahead, with exponentially decaying weights:
+//! the slope is the prefill time per token, the intercept is common to all requests. The estimate decides which requests
+//! are sent at all, so without new responses it returns to its prior; otherwise a wrong estimate could last forever.
 
 use std::time::{Duration, Instant};
 
-/// Time to a first token besides the reading, until answers have shown it.
-const FIRST_TIME: Duration = Duration::from_millis(60);
-/// Rate of reading until answers have shown it, in tokens a millisecond.
-const FIRST_RATE: f64 = 60.0;
-/// Tokens of the longer of the two prompts that stand in for answers at the begin.
-const FIRST_PROMPT: f64 = 10_000.0;
-/// Answers of each of the two that stand in.
-const FIRST_ANSWERS: f64 = 5.0;
-/// Part of its weight that an answer loses with each newer one.
-const FADE: f64 = 0.01;
-/// Time without an answer after which what was learnt begins to count less.
-const SILENT: Duration = Duration::from_millis(500);
-/// Further time in which it comes to count half.
-const FORGET: Duration = Duration::from_millis(250);
-/// Bounds of a plausible rate, in tokens a millisecond.
-const RATES: (f64, f64) = (5.0, 400.0);
+/// Prior TTFT without the prefill.
+const INITIAL_LATENCY: Duration = Duration::from_millis(60);
+/// Prior prefill rate, in tokens per millisecond.
+const INITIAL_RATE_PER_MS: f64 = 60.0;
+/// Prompt length of the second of the two prior samples; the first has none.
+const PRIOR_PROMPT_TOKENS: f64 = 10_000.0;
+/// Weight of each prior sample, in responses.
+const PRIOR_WEIGHT: f64 = 5.0;
+/// Fraction of its weight that a sample loses with each newer one.
+const SAMPLE_DECAY: f64 = 0.01;
+/// Time without a response after which the estimate begins to return to the prior.
+const DECAY_DELAY: Duration = Duration::from_millis(500);
+/// Half-life of the samples from then on.
+const DECAY_HALF_LIFE: Duration = Duration::from_millis(250);
+/// Bounds of a plausible prefill rate, in tokens per millisecond.
+const RATE_BOUNDS_PER_MS: (f64, f64) = (5.0, 400.0);
 
-/// Weighted sums over answers: tokens before the first one, and milliseconds to it.
+/// Weighted sums over samples of prefill tokens and milliseconds to the first token.
 #[derive(Debug, Clone, Copy)]
 pub struct TtftModel {
     weight: f64,
@@ -39,7 +39,7 @@
 
 impl Default for TtftModel {
     fn default() -> Self {
-        let mut times = Self {
+        let mut model = Self {
             weight: 0.0,
             tokens: 0.0,
             millis: 0.0,
@@ -47,41 +47,42 @@
             products: 0.0,
             last: None,
         };
-        let first = FIRST_TIME.as_secs_f64() * 1000.0;
-        times.add(FIRST_ANSWERS, 0.0, first);
-        times.add(
-            FIRST_ANSWERS,
-            FIRST_PROMPT,
-            first + FIRST_PROMPT / FIRST_RATE,
+        let latency = INITIAL_LATENCY.as_secs_f64() * 1000.0;
+        model.add(PRIOR_WEIGHT, 0.0, latency);
+        model.add(
+            PRIOR_WEIGHT,
+            PRIOR_PROMPT_TOKENS,
+            latency + PRIOR_PROMPT_TOKENS / INITIAL_RATE_PER_MS,
         );
-        times
+        model
     }
 }
 
 impl TtftModel {
-    /// The first token came `time` after `tokens` were before it, its own prompt included; above 0.
+    /// Records a TTFT of `time` with `tokens` to prefill ahead, including the request's own prompt; above 0.
     pub fn observe(&mut self, tokens: u32, time: Duration, now: Instant) {
         *self = self.decayed(now);
         self.last = Some(now);
-        self.keep(1.0 - FADE);
+        self.scale(1.0 - SAMPLE_DECAY);
         self.add(1.0, f64::from(tokens), time.as_secs_f64() * 1000.0);
     }
 
-    /// What it says at `now`: the longer no answer came, the more of what was assumed first.
+    /// Returns the model at `now`: the longer without a response, the closer to the prior.
     #[must_use]
     pub fn decayed(self, now: Instant) -> Self {
         let silence = self.last.map_or(Duration::ZERO, |last| {
-            now.saturating_duration_since(last).saturating_sub(SILENT)
+            now.saturating_duration_since(last)
+                .saturating_sub(DECAY_DELAY)
         });
         if silence.is_zero() {
             return self;
         }
-        let kept = 0.5_f64.powf(silence.as_secs_f64() / FORGET.as_secs_f64());
-        let (mut learnt, mut assumed) = (self, Self::default());
-        learnt.keep(kept);
-        assumed.keep(1.0 - kept);
-        learnt.merge(assumed);
-        learnt
+        let factor = 0.5_f64.powf(silence.as_secs_f64() / DECAY_HALF_LIFE.as_secs_f64());
+        let (mut learned, mut prior) = (self, Self::default());
+        learned.scale(factor);
+        prior.scale(1.0 - factor);
+        learned.merge(prior);
+        learned
     }
 
     fn merge(&mut self, other: Self) {
@@ -92,12 +93,12 @@
         self.products += other.products;
     }
 
-    fn keep(&mut self, kept: f64) {
-        self.weight *= kept;
-        self.tokens *= kept;
-        self.millis *= kept;
-        self.squares *= kept;
-        self.products *= kept;
+    fn scale(&mut self, factor: f64) {
+        self.weight *= factor;
+        self.tokens *= factor;
+        self.millis *= factor;
+        self.squares *= factor;
+        self.products *= factor;
     }
 
     fn add(&mut self, weight: f64, tokens: f64, millis: f64) {
@@ -111,26 +112,26 @@
         });
     }
 
-    /// Tokens that are read in a millisecond.
-    fn rate(self) -> f64 {
+    /// Prefill rate in tokens per millisecond.
+    fn rate_per_ms(self) -> f64 {
         let spread = self.squares - self.tokens * self.tokens / self.weight;
         let slope = (self.products - self.tokens * self.millis / self.weight) / spread.max(1.0);
-        (1.0 / slope.max(f64::MIN_POSITIVE)).clamp(RATES.0, RATES.1)
+        (1.0 / slope.max(f64::MIN_POSITIVE)).clamp(RATE_BOUNDS_PER_MS.0, RATE_BOUNDS_PER_MS.1)
     }
 
-    /// Tokens that are read in a second.
+    /// Returns the prefill rate in tokens per second.
     pub fn prefill_rate(self) -> f64 {
-        self.rate() * 1000.0
+        self.rate_per_ms() * 1000.0
     }
 
-    /// Time in which `tokens` are read.
+    /// Returns the time to prefill `tokens`.
     pub fn prefill_time(self, tokens: u32) -> Duration {
         Duration::from_secs_f64(f64::from(tokens) / self.prefill_rate())
     }
 
-    /// Time to a first token besides the reading.
+    /// Returns the TTFT without the prefill.
     pub fn base_latency(self) -> Duration {
-        let millis = (self.millis - self.tokens / self.rate()) / self.weight;
+        let millis = (self.millis - self.tokens / self.rate_per_ms()) / self.weight;
         Duration::from_secs_f64(millis.max(0.0) / 1000.0)
     }
 }
--- a/crates/hawthornmill/src/routing/unmet_demand.rs
+++ b/crates/hawthornmill/src/routing/unmet_demand.rs
@@ -1,4 +1,4 @@
-//! Work that found no room lately, here and elsewhere.
+//! Recent work that found no capacity, here and at other instances.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,22 +7,22 @@
 use super::usage::{DECAY_TIME, ShareStatus};
 use crate::ident::{InstanceId, ServiceId};
 
-/// Time for which a service counts as short after a request found no room.
-const SHORT: Duration = Duration::from_millis(600);
-/// Part of the promised capacity that must lack room for a service to count as short, wherever it came in.
-const LACK_PART: f64 = 0.06;
-/// Time for which a shortage or a stray is told, so that it outlives lost news.
+/// Time for which demand counts as unmet after its last request found no capacity.
+const DEMAND_TTL: Duration = Duration::from_millis(600);
+/// Fraction of the guaranteed capacity that must be unmet to preempt others, at whichever instances it arrived.
+const PREEMPTION_FRACTION: f64 = 0.06;
+/// Time for which unmet demand and spilled prefixes are reported, so that they outlast lost reports.
 pub const REPORT_TTL: Duration = Duration::from_millis(900);
 
-/// Work that found no room here.
+/// Work that found no capacity at this instance.
 #[derive(Debug, Clone, Copy)]
-struct Own {
+struct LocalDemand {
     cost: f64,
     at: Instant,
 }
 
-impl Own {
-    fn lack(&self, now: Instant) -> UnmetDemand {
+impl LocalDemand {
+    fn demand(&self, now: Instant) -> UnmetDemand {
         let age = now.saturating_duration_since(self.at);
         let left = (-age.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
         UnmetDemand {
@@ -32,86 +32,90 @@
     }
 }
 
-/// What found no room, by service and standing.
+/// Unmet demand by service and share status.
 #[derive(Debug, Clone, Default)]
 pub struct UnmetDemandTracker {
-    own: BTreeMap<(ServiceId, ShareStatus), Own>,
-    heard: BTreeMap<(ServiceId, ShareStatus, InstanceId), (Instant, UnmetDemand)>,
+    local: BTreeMap<(ServiceId, ShareStatus), LocalDemand>,
+    remote: BTreeMap<(ServiceId, ShareStatus, InstanceId), (Instant, UnmetDemand)>,
 }
 
 impl UnmetDemandTracker {
-    /// A request of `cost` found no room here.
-    pub fn record(&mut self, service: ServiceId, standing: ShareStatus, cost: f64, now: Instant) {
-        let key = (service, standing);
-        let before = self.own.get(&key).map_or(0, |o| o.lack(now).cost);
+    /// Records that a request of `cost` found no capacity here.
+    pub fn record(&mut self, service: ServiceId, status: ShareStatus, cost: f64, now: Instant) {
+        let key = (service, status);
+        let before = self.local.get(&key).map_or(0, |o| o.demand(now).cost);
         let cost = f64::from(before) + cost;
-        self.own.insert(key, Own { cost, at: now });
+        self.local.insert(key, LocalDemand { cost, at: now });
     }
 
-    /// What of a better standing than `standing` found no room lately, here and elsewhere.
-    pub fn ahead_of(&self, service: ServiceId, standing: ShareStatus, now: Instant) -> UnmetDemand {
+    /// Returns recent unmet demand, here and elsewhere, of accounts ahead of those with `status`.
+    pub fn ahead_of(&self, service: ServiceId, status: ShareStatus, now: Instant) -> UnmetDemand {
         let counts = |s: ServiceId, better: ShareStatus, at: Instant| {
-            s == service && better < standing && now.duration_since(at) < SHORT
+            s == service && better < status && now.duration_since(at) < DEMAND_TTL
         };
         let mut all = UnmetDemand::default();
-        for ((s, better), own) in &self.own {
-            if counts(*s, *better, own.at) {
-                all.add(own.lack(now));
+        for ((s, better), local) in &self.local {
+            if counts(*s, *better, local.at) {
+                all.add(local.demand(now));
             }
         }
-        // Several standings that found no room here are one place all the same.
+        // Several statuses with unmet demand here still count as one instance.
         all.instances = all.instances.min(1);
-        for ((s, better, _), (at, lack)) in &self.heard {
+        for ((s, better, _), (at, demand)) in &self.remote {
             if counts(*s, *better, *at) {
-                all.add(*lack);
+                all.add(*demand);
             }
         }
         all
     }
 
-    /// What found no room here, for the others.
+    /// Returns this instance's unmet demand, to report to others.
     pub fn report(&self, now: Instant) -> Vec<(ServiceId, ShareStatus, UnmetDemand)> {
-        let recent = |o: &Own| now.duration_since(o.at) < REPORT_TTL;
-        let own = self.own.iter();
-        let told = own.filter(|((_, s), o)| *s < ShareStatus::AboveFairShare && recent(o));
-        told.map(|((service, standing), o)| (*service, *standing, o.lack(now)))
+        let recent = |o: &LocalDemand| now.duration_since(o.at) < REPORT_TTL;
+        let local = self.local.iter();
+        let reported = local.filter(|((_, s), o)| *s < ShareStatus::AboveFairShare && recent(o));
+        reported
+            .map(|((service, status), o)| (*service, *status, o.demand(now)))
             .collect()
     }
 
-    /// What found no room here and at the `members` of the own failure domain, in sum.
+    /// Returns the total unmet demand of this instance and the `members` of its failure domain.
     pub fn domain_sum(
         &self,
         members: &[InstanceId],
         now: Instant,
     ) -> Vec<(ServiceId, ShareStatus, UnmetDemand)> {
         let mut all: BTreeMap<(ServiceId, ShareStatus), UnmetDemand> = BTreeMap::new();
-        for (service, standing, lack) in self.report(now) {
-            all.entry((service, standing)).or_default().add(lack);
+        for (service, status, demand) in self.report(now) {
+            all.entry((service, status)).or_default().add(demand);
         }
-        for ((service, standing, from), (at, lack)) in &self.heard {
-            if members.contains(from) && now.duration_since(*at) < SHORT {
-                all.entry((*service, *standing)).or_default().add(*lack);
+        for ((service, status, from), (at, demand)) in &self.remote {
+            if members.contains(from) && now.duration_since(*at) < DEMAND_TTL {
+                all.entry((*service, *status)).or_default().add(*demand);
             }
         }
         all.into_iter().map(|((s, st), l)| (s, st, l)).collect()
     }
 
-    /// Takes what `from` tells, an instance or a failure domain.
+    /// Applies the report of `from`, an instance or a failure domain.
     pub fn apply_peer_report(
         &mut self,
         from: InstanceId,
-        told: &[(ServiceId, ShareStatus, UnmetDemand)],
+        reported: &[(ServiceId, ShareStatus, UnmetDemand)],
         now: Instant,
     ) {
-        for (service, standing, lack) in told {
-            self.heard.insert((*service, *standing, from), (now, *lack));
+        for (service, status, demand) in reported {
+            self.remote
+                .insert((*service, *status, from), (now, *demand));
         }
     }
 }
 
-/// Tells whether `lack` shuts others out, where engines yield `rate` tokens a second.
+/// Returns whether unmet `demand` preempts other accounts, where engines yield `rate` tokens per second.
 ///
-/// Single requests find no room at any time, in a large fleet at several instances at once; so much work must lack it.
-pub fn preempts_others(lack: UnmetDemand, rate: f64) -> bool {
-    lack.cost > 0 && f64::from(lack.cost) >= LACK_PART * rate * DECAY_TIME.as_secs_f64()
+/// Single requests find no capacity at any time, in a large fleet at several instances at once, so a small amount of
+/// work must not preempt others.
+pub fn preempts_others(demand: UnmetDemand, rate: f64) -> bool {
+    demand.cost > 0
+        && f64::from(demand.cost) >= PREEMPTION_FRACTION * rate * DECAY_TIME.as_secs_f64()
 }
--- a/crates/hawthornmill/src/routing/usage.rs
+++ b/crates/hawthornmill/src/routing/usage.rs
@@ -1,9 +1,9 @@
-//! What each account asked for and got in the last seconds, over the whole fleet.
+//! Recent usage of each account over the whole fleet.
 //!
-//! An account's cost is its tokens read plus twice its tokens generated. While capacity is short,
-//! the accounts share it max-min: whoever asks for less than an even share gets all of it, and the
-//! rest is divided evenly among the others. The shares are worked out here from what this instance
-//! counted and what the others last said, so no instance has to be asked before a request goes.
+//! The cost of a request is its prompt tokens plus twice its generated tokens. While capacity is scarce, accounts share it
+//! max-min: an account that requests less than an even share gets all of it, and the rest is split evenly among the others.
+//! Shares are computed from local counts and the latest reports of the other instances, so no request waits for another
+//! instance.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -12,38 +12,39 @@
 
 use crate::ident::{AccountId, InstanceId};
 
-/// Time in which a cost counts for a third of what it did.
+/// Time constant of the decay: after it, a cost counts for 1/e of its value.
 ///
-/// Costs fade, since an account whose costs leave a window all at once gets nothing until then, and then too much.
+/// Costs decay exponentially. With a sliding window, an account whose costs leave the window all at once gets nothing
+/// until then, and too much afterwards.
 pub const DECAY_TIME: Duration = Duration::from_secs(1);
-/// Cost, in tokens, under which an account is no longer told of.
-const LEAST: f32 = 1.0;
-/// Time for which a peer's last word counts.
-const PEER_LIFE: Duration = Duration::from_millis(2_500);
+/// Cost in tokens below which an account is no longer reported.
+const MIN_REPORTED_COST: f32 = 1.0;
+/// Lifetime of a peer's report.
+const PEER_REPORT_TTL: Duration = Duration::from_millis(2_500);
 
-/// Costs of one account as they count now, in tokens.
+/// Usage of one account after decay, in tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct AccountUsage {
-    /// Cost of requests that came.
+    /// Cost of requests that arrived.
     pub requested: f32,
     /// Cost of requests that were sent to a server.
     pub served: f32,
 }
 
-/// How an account stands to its share, the ones to serve first in front.
+/// Status of an account relative to its share of the capacity, in the order in which accounts are served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub enum ShareStatus {
-    /// It has had less than its part of the capacity that operators promise.
+    /// It has had less than its share of the guaranteed capacity.
     #[default]
     BelowGuarantee,
-    /// It has had that, but less than an even part of what the servers yield.
+    /// It has had that, but less than its fair share of what the servers yield.
     BelowFairShare,
-    /// It has had more than an even part.
+    /// It has had its fair share of what the servers yield, or more.
     AboveFairShare,
 }
 
 impl ShareStatus {
-    /// Name in log lines.
+    /// Returns the name that log lines use.
     pub const fn log_name(self) -> &'static str {
         match self {
             Self::BelowGuarantee => "Owed",
@@ -53,12 +54,12 @@
     }
 }
 
-/// How an account stands, and how far it is ahead.
+/// An account's status and its usage relative to its fair share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FairShare {
-    /// Whose turn it is.
+    /// Status that decides the order of service.
     pub status: ShareStatus,
-    /// What it has had, in times of an even part of what the servers yield.
+    /// Usage in multiples of the fair share of what the servers yield.
     pub usage_ratio: f64,
 }
 
@@ -71,34 +72,38 @@
     }
 }
 
-/// The share of each account, from its sums over the fleet and the capacity in tokens a window.
+/// Computes the share of each account from fleet-wide usage and the guaranteed capacity, in tokens per decay time.
 pub fn fair_shares(
     fleet: &BTreeMap<AccountId, AccountUsage>,
-    promised: f64,
+    guaranteed: f64,
 ) -> BTreeMap<AccountId, FairShare> {
-    let asked = || fleet.values().map(|s| f64::from(s.requested));
-    let yielded: f64 = fleet.values().map(|s| f64::from(s.served)).sum();
-    let owed = max_min_share(asked(), promised);
-    let even = max_min_share(asked(), yielded.max(promised));
+    let requested = || fleet.values().map(|s| f64::from(s.requested));
+    let total_served: f64 = fleet.values().map(|s| f64::from(s.served)).sum();
+    let guaranteed_level = max_min_share(requested(), guaranteed);
+    let fair_level = max_min_share(requested(), total_served.max(guaranteed));
     let share = |sums: &AccountUsage| {
-        let got = f64::from(sums.served);
-        let standing = match got {
-            got if got < owed => ShareStatus::BelowGuarantee,
-            got if got < even => ShareStatus::BelowFairShare,
+        let served = f64::from(sums.served);
+        let status = match served {
+            served if served < guaranteed_level => ShareStatus::BelowGuarantee,
+            served if served < fair_level => ShareStatus::BelowFairShare,
             _ => ShareStatus::AboveFairShare,
         };
-        let lead = if even.is_finite() { got / even } else { 1.0 };
+        let usage_ratio = if fair_level.is_finite() {
+            served / fair_level
+        } else {
+            1.0
+        };
         FairShare {
-            status: standing,
-            usage_ratio: lead,
+            status,
+            usage_ratio,
         }
     };
     fleet.iter().map(|(id, sums)| (*id, share(sums))).collect()
 }
 
 impl AccountUsage {
-    /// What is left of it after `time`.
-    fn faded(self, time: Duration) -> Self {
+    /// Returns the usage after a decay over `time`.
+    fn decayed(self, time: Duration) -> Self {
         let left = (-time.as_secs_f32() / DECAY_TIME.as_secs_f32()).exp();
         Self {
             requested: self.requested * left,
@@ -112,16 +117,16 @@
     }
 }
 
-/// AccountUsage at an instant.
+/// Usage at an instant.
 #[derive(Debug, Clone, Copy)]
-struct Fading {
+struct Decaying {
     sums: AccountUsage,
     at: Instant,
 }
 
-impl Fading {
+impl Decaying {
     fn at(&self, now: Instant) -> AccountUsage {
-        self.sums.faded(now.saturating_duration_since(self.at))
+        self.sums.decayed(now.saturating_duration_since(self.at))
     }
 
     fn add(&mut self, sums: AccountUsage, now: Instant) {
@@ -131,55 +136,56 @@
     }
 }
 
-/// Costs by account, here and elsewhere.
+/// Usage by account, local and of other instances.
 #[derive(Debug, Clone, Default)]
 pub struct UsageTracker {
-    local: BTreeMap<AccountId, Fading>,
+    local: BTreeMap<AccountId, Decaying>,
     peers: BTreeMap<InstanceId, (Instant, Vec<(AccountId, AccountUsage)>)>,
 }
 
 impl UsageTracker {
     fn count(&mut self, account: AccountId, sums: AccountUsage, now: Instant) {
-        let none = Fading {
+        let none = Decaying {
             sums: AccountUsage::default(),
             at: now,
         };
         self.local.entry(account).or_insert(none).add(sums, now);
     }
 
-    /// A request of `cost` came.
+    /// Records that a request of `cost` arrived.
     pub fn record_requested(&mut self, account: AccountId, cost: f64, now: Instant) {
-        let asked = cost as f32;
+        let requested = cost as f32;
         self.count(
             account,
             AccountUsage {
-                requested: asked,
+                requested,
                 served: 0.0,
             },
             now,
         );
     }
 
-    /// A request of `cost` was sent to a server.
+    /// Records that a request of `cost` was sent to a server.
     pub fn record_served(&mut self, account: AccountId, cost: f64, now: Instant) {
-        let got = cost as f32;
+        let served = cost as f32;
         self.count(
             account,
             AccountUsage {
                 requested: 0.0,
-                served: got,
+                served,
             },
             now,
         );
     }
 
-    /// This instance's sums, for the others.
+    /// Returns this instance's usage, to report to others.
     pub fn local(&mut self, now: Instant) -> Vec<(AccountId, AccountUsage)> {
-        self.local.retain(|_, f| f.at(now).requested >= LEAST);
+        self.local
+            .retain(|_, f| f.at(now).requested >= MIN_REPORTED_COST);
         self.local.iter().map(|(id, f)| (*id, f.at(now))).collect()
     }
 
-    /// AccountUsage of this instance and the `members` of its failure domain.
+    /// Returns the total usage of this instance and the `members` of its failure domain.
     pub fn domain_sum(
         &mut self,
         members: &[InstanceId],
@@ -187,11 +193,11 @@
     ) -> Vec<(AccountId, AccountUsage)> {
         let mut all: BTreeMap<AccountId, AccountUsage> = self.local(now).into_iter().collect();
         let peers = members.iter().filter_map(|id| self.peers.get(id));
-        add_told(&mut all, peers, now);
+        add_peer_reports(&mut all, peers, now);
         all.into_iter().collect()
     }
 
-    /// Takes a peer's sums in place of what it said before.
+    /// Replaces a peer's earlier report.
     pub fn apply_peer_report(
         &mut self,
         peer: InstanceId,
@@ -201,40 +207,40 @@
         self.peers.insert(peer, (now, sums));
     }
 
-    /// AccountUsage over the fleet.
+    /// Returns fleet-wide usage.
     pub fn fleet_totals(&mut self, now: Instant) -> BTreeMap<AccountId, AccountUsage> {
         self.peers
-            .retain(|_, (at, _)| now.duration_since(*at) < PEER_LIFE);
+            .retain(|_, (at, _)| now.duration_since(*at) < PEER_REPORT_TTL);
         let mut all: BTreeMap<AccountId, AccountUsage> = self.local(now).into_iter().collect();
-        add_told(&mut all, self.peers.values(), now);
+        add_peer_reports(&mut all, self.peers.values(), now);
         all
     }
 }
 
-fn add_told<'a>(
+fn add_peer_reports<'a>(
     all: &mut BTreeMap<AccountId, AccountUsage>,
-    told: impl Iterator<Item = &'a (Instant, Vec<(AccountId, AccountUsage)>)>,
+    reports: impl Iterator<Item = &'a (Instant, Vec<(AccountId, AccountUsage)>)>,
     now: Instant,
 ) {
-    for (at, list) in told {
+    for (at, list) in reports {
         let age = now.saturating_duration_since(*at);
         for (account, sums) in list {
-            all.entry(*account).or_default().add(sums.faded(age));
+            all.entry(*account).or_default().add(sums.decayed(age));
         }
     }
 }
 
-/// The most that an account gets when `capacity` is shared max-min among those that `asked`.
+/// Returns the most that one account gets when `capacity` is shared max-min among the amounts in `requested`.
 ///
-/// Infinite when everybody can have all of it.
-pub fn max_min_share(asked: impl Iterator<Item = f64>, capacity: f64) -> f64 {
-    let mut asked: Vec<f64> = asked.collect();
-    asked.sort_by(f64::total_cmp);
+/// Infinite when all of them fit.
+pub fn max_min_share(requested: impl Iterator<Item = f64>, capacity: f64) -> f64 {
+    let mut requested: Vec<f64> = requested.collect();
+    requested.sort_by(f64::total_cmp);
     let mut left = capacity;
-    for (index, amount) in asked.iter().enumerate() {
-        let even = left / (asked.len() - index) as f64;
-        if *amount > even {
-            return even;
+    for (index, amount) in requested.iter().enumerate() {
+        let fair_level = left / (requested.len() - index) as f64;
+        if *amount > fair_level {
+            return fair_level;
         }
         left -= amount;
     }
