--- a/crates/hawthornmill-gateway/src/proxy/admission.rs
+++ b/crates/hawthornmill-gateway/src/proxy/admission.rs
@@ -23,7 +23,7 @@
     /// The request as the desk sees it when it chooses a server.
     pub request: Request,
     /// Whether the request may be executed more than once.
-    pub repeat: RetryPolicy,
+    pub retry_policy: RetryPolicy,
     /// Whether the response is a stream of events.
     pub streaming: bool,
     /// Maximum number of servers to which the request may be sent.
@@ -100,7 +100,7 @@
     };
     Ok(Admitted {
         request: pending,
-        repeat: route.retry_policy,
+        retry_policy: route.retry_policy,
         streaming: route.streaming,
         max_attempts: route.max_attempts.max(1),
         account_name: account.map(|a| a.name.clone()),
--- a/crates/hawthornmill-gateway/src/proxy/forward.rs
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -146,7 +146,7 @@
         Buffered::Truncated => return ForwardOutcome::Truncated,
     }
     slot.record_first_token();
-    record_server_verdict(context.gateway, &response);
+    record_server_outcome(context.gateway, &response);
     let outcome = write_buffered(context, progress, &response, out).await;
     response.recycle_connection(context.gateway);
     match outcome {
@@ -164,13 +164,13 @@
     }
 }
 
-fn record_server_verdict(gateway: &Gateway, response: &ServerResponse) {
-    let verdict = if retry::is_server_error(response) {
+fn record_server_outcome(gateway: &Gateway, response: &ServerResponse) {
+    let outcome = if retry::is_server_error(response) {
         ServerOutcome::Failed
     } else {
         ServerOutcome::Success
     };
-    retry::record_verdict(gateway, response.server, verdict);
+    retry::record_outcome(gateway, response.server, outcome);
 }
 
 /// Writes a response whose body was buffered.
@@ -223,7 +223,7 @@
             BodyPart::End => break,
         }
     }
-    record_server_verdict(context.gateway, &response);
+    record_server_outcome(context.gateway, &response);
     if chunked {
         bytes.last_chunk();
         if out.write_all(&bytes.0).await.is_err() {
@@ -284,7 +284,7 @@
     }
     bytes.chunk(&splitter.take_rest());
     bytes.last_chunk();
-    record_server_verdict(context.gateway, &response);
+    record_server_outcome(context.gateway, &response);
     if out.write_all(&bytes.0).await.is_err() {
         return ForwardOutcome::ClientClosed;
     }
--- a/crates/hawthornmill-gateway/src/proxy/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -104,7 +104,7 @@
 pub struct SlotGuard<'a> {
     gateway: &'a Gateway,
     admitted: &'a Admitted,
-    choice: Placement,
+    placement: Placement,
     sent_at: Instant,
     responded: bool,
 }
@@ -120,13 +120,13 @@
         let limit = self.admitted.request.objective.mul_f64(UNRESPONSIVE_FACTOR);
         let elapsed = self.gateway.now().duration_since(self.sent_at);
         if !self.responded && elapsed > limit {
-            retry::record_verdict(
+            retry::record_outcome(
                 self.gateway,
-                self.choice.server,
+                self.placement.server,
                 loads::ServerOutcome::Failed,
             );
         }
-        self.gateway.release(&self.choice, self.responded);
+        self.gateway.release(&self.placement, self.responded);
     }
 }
 
@@ -141,7 +141,7 @@
         let elapsed = (!self.gateway.is_overloaded()).then(|| now.duration_since(self.sent_at));
         self.gateway.scheduler.borrow_mut().record_first_token(
             request.service,
-            &self.choice,
+            &self.placement,
             elapsed,
             now,
         );
@@ -163,19 +163,19 @@
     let mut request = admitted.request.clone();
     let mut fallback: Option<ServerResponse> = None;
     loop {
-        let choice = match context.gateway.select_server(&request).await {
-            Ok(choice) => choice,
+        let placement = match context.gateway.select_server(&request).await {
+            Ok(placement) => placement,
             Err(refusal) => {
                 progress::log_rejection(context, &request, &refusal);
                 return end_without_server(context, progress, fallback, refusal, out).await;
             }
         };
-        request.tried.push(choice.server);
-        let decision = match attempt(context, admitted, progress, choice, &mut fallback, out).await
-        {
-            Ok(outcome) => return outcome,
-            Err(decision) => decision,
-        };
+        request.tried.push(placement.server);
+        let decision =
+            match attempt(context, admitted, progress, placement, &mut fallback, out).await {
+                Ok(outcome) => return outcome,
+                Err(decision) => decision,
+            };
         match decision {
             RetryDecision::Retry => {}
             RetryDecision::Reject => {
@@ -208,25 +208,25 @@
     context: RequestContext<'_>,
     admitted: &Admitted,
     progress: &mut RequestProgress,
-    choice: Placement,
+    placement: Placement,
     fallback: &mut Option<ServerResponse>,
     out: &mut OwnedWriteHalf,
 ) -> Result<RequestOutcome, RetryDecision> {
-    let (gateway, server) = (context.gateway, choice.server);
-    progress.start_attempt(gateway, context.request, &choice);
+    let (gateway, server) = (context.gateway, placement.server);
+    progress.start_attempt(gateway, context.request, &placement);
     let mut slot = SlotGuard {
         gateway,
         admitted,
-        choice,
+        placement,
         sent_at: gateway.now(),
         responded: false,
     };
-    match send(gateway, context.request, admitted, progress, &choice).await {
+    match send(gateway, context.request, admitted, progress, &placement).await {
         SendOutcome::Response(response)
             if retry::is_server_error(&response)
                 && retry::try_retry(gateway, admitted, progress) =>
         {
-            retry::record_verdict(gateway, server, loads::ServerOutcome::Failed);
+            retry::record_outcome(gateway, server, loads::ServerOutcome::Failed);
             if let Some(response) = forward::read_to_end(response).await {
                 *fallback = Some(response);
             }
--- a/crates/hawthornmill-gateway/src/proxy/progress.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -18,15 +18,15 @@
 pub fn log_rejection(context: RequestContext<'_>, request: &Request, refusal: &Refusal) {
     let (gateway, now) = (context.gateway, context.gateway.now());
     let scheduler = gateway.scheduler.borrow();
-    let outlook = scheduler.decision_context(request, now);
+    let decision = scheduler.decision_context(request, now);
     let fields = json!({
         "code": refusal.code.number(), "cause": refusal.cause.log_name(),
         "again_ms": refusal.retry_after.as_millis() as u64,
         "waited_ms": now.duration_since(request.arrival).as_millis() as u64,
-        "servers": outlook.servers, "draining": outlook.draining, "down": outlook.down,
-        "full": outlook.full, "waiting": outlook.queue_len, "short_at": outlook.unmet_instances,
-        "lack": outlook.unmet_cost, "standing": outlook.share.status.log_name(), "lead": outlook.share.usage_ratio,
-        "asked": outlook.usage.requested, "got": outlook.usage.served, "registrations": scheduler.registry.latest_revision(),
+        "servers": decision.servers, "draining": decision.draining, "down": decision.down,
+        "full": decision.full, "waiting": decision.queue_len, "short_at": decision.unmet_instances,
+        "lack": decision.unmet_cost, "standing": decision.share.status.log_name(), "lead": decision.share.usage_ratio,
+        "asked": decision.usage.requested, "got": decision.usage.served, "registrations": scheduler.registry.latest_revision(),
         "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway),
         "link_wait_ms": gateway.link.borrow().queueing_delay(now).as_millis() as u64,
     });
@@ -79,13 +79,13 @@
         &mut self,
         gateway: &Gateway,
         request: &ClientRequest,
-        choice: &Placement,
+        placement: &Placement,
     ) {
-        let name = gateway.server_name(choice.server);
+        let name = gateway.server_name(placement.server);
         let waited = gateway.now().duration_since(request.received);
         let fields = json!({
             "server": name, "waited_ms": waited.as_millis() as u64, "send": self.sends + 1,
-            "tokens_before_first": choice.queued_prefill, "tokens_again": choice.duplicate_prefill, "stray": choice.spilled, "expected_ms": choice.expected_ttft.as_millis() as u64,
+            "tokens_before_first": placement.queued_prefill, "tokens_again": placement.duplicate_prefill, "stray": placement.spilled, "expected_ms": placement.expected_ttft.as_millis() as u64,
             "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway), "registrations": gateway.scheduler.borrow().registry.latest_revision(),
         });
         event_log::request_step("sent", &request.attempt_id, fields);
--- a/crates/hawthornmill-gateway/src/proxy/retry.rs
+++ b/crates/hawthornmill-gateway/src/proxy/retry.rs
@@ -35,23 +35,23 @@
 }
 
 /// Records how a request to `server` ended, for later choices of a server.
-pub fn record_verdict(gateway: &Gateway, server: ServerId, verdict: ServerOutcome) {
+pub fn record_outcome(gateway: &Gateway, server: ServerId, outcome: ServerOutcome) {
     let now = gateway.now();
     gateway
         .scheduler
         .borrow_mut()
         .loads
-        .record_outcome(server, verdict, now);
+        .record_outcome(server, outcome, now);
 }
 
 /// Takes a retry from the budget for a request that may have been executed.
 pub fn try_retry(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
-    admitted.repeat.allows_retry() && take_budget(gateway, admitted, progress)
+    admitted.retry_policy.allows_retry() && take_budget(gateway, admitted, progress)
 }
 
 /// Returns whether the request could be sent to another server after one that may have executed it.
 pub fn can_retry(admitted: &Admitted, progress: &RequestProgress) -> bool {
-    admitted.repeat.allows_retry() && progress.sends < admitted.max_attempts
+    admitted.retry_policy.allows_retry() && progress.sends < admitted.max_attempts
 }
 
 /// Takes one retry from the budget of the service, unless the request has used all its attempts.
@@ -93,7 +93,7 @@
     let fields = json!({"server": gateway.server_name(server), "why": reason});
     event_log::request_problem("server_unreached", &request.attempt_id, fields);
     gateway.pool.discard_idle(server);
-    record_verdict(gateway, server, ServerOutcome::Unreachable);
+    record_outcome(gateway, server, ServerOutcome::Unreachable);
     progress.unreachable += 1;
     if progress.unreachable <= MAX_UNREACHABLE {
         RetryDecision::Retry
@@ -112,9 +112,9 @@
 ) -> RetryDecision {
     if misdirected {
         gateway.pool.discard_idle(server);
-        record_verdict(gateway, server, ServerOutcome::Unreachable);
+        record_outcome(gateway, server, ServerOutcome::Unreachable);
     } else {
-        record_verdict(gateway, server, ServerOutcome::Full);
+        record_outcome(gateway, server, ServerOutcome::Full);
     }
     progress.record_not_executed();
     if take_budget(gateway, admitted, progress) {
@@ -131,7 +131,7 @@
     progress: &mut RequestProgress,
     server: ServerId,
 ) -> RetryDecision {
-    record_verdict(gateway, server, ServerOutcome::Failed);
+    record_outcome(gateway, server, ServerOutcome::Failed);
     if try_retry(gateway, admitted, progress) {
         RetryDecision::Retry
     } else {
--- a/crates/hawthornmill-gateway/src/proxy/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -75,9 +75,9 @@
     request: &ClientRequest,
     admitted: &Admitted,
     progress: &mut RequestProgress,
-    choice: &Placement,
+    placement: &Placement,
 ) -> SendOutcome {
-    let server = choice.server;
+    let server = placement.server;
     let target = {
         let scheduler = gateway.scheduler.borrow();
         let known = scheduler.registry.get(server);
@@ -87,7 +87,7 @@
         return SendOutcome::Unreachable("server is gone".into());
     };
     let now = gateway.now();
-    let once = admitted.repeat == RetryPolicy::AtMostOnce;
+    let once = admitted.retry_policy == RetryPolicy::AtMostOnce;
     let taken = gateway.pool.acquire(server, address, once, now).await;
     if !taken.as_ref().is_ok_and(|u| u.reused) {
         let after = gateway.now();
@@ -117,13 +117,13 @@
         return response.await;
     }
     // A timeout drops the connection, which cancels the request before it is sent to another server.
-    let response = tokio::time::timeout(silence_limit(admitted, choice), response).await;
+    let response = tokio::time::timeout(silence_limit(admitted, placement), response).await;
     response.unwrap_or_else(|_elapsed| SendOutcome::Interrupted("no answer in time".into()))
 }
 
 /// Returns how long a server may be silent before the request is sent to another one.
-fn silence_limit(admitted: &Admitted, choice: &Placement) -> Duration {
-    admitted.request.objective.mul_f64(ABANDON_FACTOR) + choice.expected_ttft * 2
+fn silence_limit(admitted: &Admitted, placement: &Placement) -> Duration {
+    admitted.request.objective.mul_f64(ABANDON_FACTOR) + placement.expected_ttft * 2
 }
 
 /// Encodes the request for the server.
