--- /dev/null
+++ b/crates/hawthornmill-gateway/src/endpoints.rs
@@ -0,0 +1,224 @@
+//! HTTP endpoints of the gateway itself: readiness, directory, metrics.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::BytesMut;
+use hawthornmill::ident::{DomainId, RegionId};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+
+use crate::adapter::DirectoryQuery;
+use crate::gateway::Gateway;
+use crate::http::head;
+use crate::http::write::MessageBuffer;
+
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// Ready instances that suffice for a response to list only those near the client.
+///
+/// A single one would get all requests of the failure domain, and its clients would have no alternative.
+const MIN_LOCAL_INSTANCES: usize = 2;
+/// Most addresses in one response.
+const MAX_ADDRESSES: usize = 64;
+const METRICS_PATH: &str = "/metrics";
+
+/// Which endpoint a listener serves.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Endpoint {
+    /// Whether the process accepts requests.
+    Ready,
+    /// Which addresses clients should use.
+    Directory,
+    /// Metrics in the text format of Prometheus.
+    Metrics,
+}
+
+/// Serves `endpoint` on `listener` until the process ends.
+pub async fn serve(gateway: Rc<Gateway>, listener: TcpListener, endpoint: Endpoint) {
+    loop {
+        let Ok((stream, _from)) = listener.accept().await else {
+            // Mostly the process is out of file descriptors, and others are closed meanwhile.
+            tokio::time::sleep(Duration::from_millis(50)).await;
+            continue;
+        };
+        let gateway = Rc::clone(&gateway);
+        tokio::task::spawn_local(async move {
+            // A client that disconnects or sends nothing only ends its own connection.
+            let _ended = tokio::time::timeout(
+                IDLE_TIMEOUT * 30,
+                handle_requests(&gateway, stream, endpoint),
+            )
+            .await;
+        });
+    }
+}
+
+async fn handle_requests(
+    gateway: &Gateway,
+    mut stream: TcpStream,
+    endpoint: Endpoint,
+) -> std::io::Result<()> {
+    let mut buffer = BytesMut::with_capacity(1024);
+    loop {
+        let Some((head, head_length)) = read_head(&mut stream, &mut buffer).await? else {
+            return Ok(());
+        };
+        let _head = buffer.split_to(head_length);
+        let (status, reason, content_type, body) = respond(gateway, &head, endpoint);
+        let close = head.closes_connection() || !buffer.is_empty();
+        let mut bytes = MessageBuffer::response(status, reason);
+        bytes.header("Content-Type", content_type);
+        bytes.header("Content-Length", body.len().to_string());
+        if close {
+            bytes.header("Connection", "close");
+        }
+        bytes.end_head();
+        bytes.0.extend_from_slice(&body);
+        stream.write_all(&bytes.0).await?;
+        if close {
+            return stream.shutdown().await;
+        }
+    }
+}
+
+async fn read_head(
+    stream: &mut TcpStream,
+    buffer: &mut BytesMut,
+) -> std::io::Result<Option<(head::RequestHead, usize)>> {
+    loop {
+        match head::parse_request(buffer) {
+            Ok(Some(found)) => return Ok(Some(found)),
+            Ok(None) if buffer.len() <= MAX_HEAD_BYTES => {}
+            _ => return Ok(None),
+        }
+        let received = tokio::time::timeout(IDLE_TIMEOUT, stream.read_buf(buffer)).await;
+        if received.map_err(|_elapsed| std::io::Error::from(std::io::ErrorKind::TimedOut))?? == 0 {
+            return Ok(None);
+        }
+    }
+}
+
+type Response = (u16, &'static str, &'static str, Vec<u8>);
+
+const JSON: &str = "application/json";
+const TEXT: &str = "text/plain";
+
+fn respond(gateway: &Gateway, head: &head::RequestHead, endpoint: Endpoint) -> Response {
+    let discovery = &gateway.adapter.discovery;
+    match endpoint {
+        Endpoint::Ready if head.path() == discovery.ready_path => {
+            if gateway.is_ready() {
+                (200, "OK", TEXT, b"ready\n".to_vec())
+            } else {
+                (503, "Service Unavailable", TEXT, b"not ready\n".to_vec())
+            }
+        }
+        Endpoint::Directory => match (discovery.parse_query)(&head.target) {
+            Some(query) => directory_response(gateway, &query),
+            None => (404, "Not Found", TEXT, b"no such call\n".to_vec()),
+        },
+        Endpoint::Metrics if head.path() == METRICS_PATH => {
+            (200, "OK", TEXT, encode_metrics(gateway).into_bytes())
+        }
+        Endpoint::Ready | Endpoint::Metrics => (404, "Not Found", TEXT, b"no such call\n".to_vec()),
+    }
+}
+
+fn directory_response(gateway: &Gateway, query: &DirectoryQuery) -> Response {
+    let addresses = ready_addresses(gateway, query);
+    if addresses.is_empty() {
+        return (
+            503,
+            "Service Unavailable",
+            TEXT,
+            b"no instance is ready\n".to_vec(),
+        );
+    }
+    let ttl = gateway.settings().guarantees.directory_ttl.as_secs_f64();
+    (
+        200,
+        "OK",
+        JSON,
+        (gateway.adapter.discovery.encode_addresses)(&addresses, ttl),
+    )
+}
+
+/// Returns the ready instances of the client's failure domain, or of a wider scope if they are too few.
+fn ready_addresses(gateway: &Gateway, query: &DirectoryQuery) -> Vec<SocketAddr> {
+    let settings = gateway.settings();
+    let now = gateway.now();
+    let peers = gateway.peers.borrow();
+    let live = peers.live(now).filter(|(_, h)| h.ready && !h.leaving);
+    let mut all: Vec<(DomainId, SocketAddr)> = live
+        .map(|(_, h)| (h.info.domain, h.info.client_addr))
+        .collect();
+    if gateway.is_ready() {
+        all.push((settings.domain, settings.listen.front));
+    }
+    let domain = DomainId::of(&query.domain);
+    let region = RegionId::of(&query.region);
+    let within = |d: DomainId| settings.regions.contains(&(d, region));
+    let scopes: [&dyn Fn(DomainId) -> bool; 3] = [&|d| d == domain, &within, &|_| true];
+    let mut chosen = Vec::new();
+    for scope in scopes {
+        chosen = all
+            .iter()
+            .filter(|(d, _)| scope(*d))
+            .map(|(_, a)| *a)
+            .collect();
+        if chosen.len() >= MIN_LOCAL_INSTANCES {
+            break;
+        }
+    }
+    chosen.truncate(MAX_ADDRESSES);
+    chosen
+}
+
+fn encode_metrics(gateway: &Gateway) -> String {
+    let now = gateway.now();
+    let scheduler = gateway.scheduler.borrow();
+    let work = scheduler.loads.local();
+    let running: u32 = work.iter().map(|(_, w)| w.running).sum();
+    let unread: u32 = work.iter().map(|(_, w)| w.pending_prefill).sum();
+    let peers = gateway.peers.borrow().live(now).count();
+    let count = |value: usize| value.cast_signed() as i64;
+    let gauge = |value: u64| value.cast_signed();
+    gateway.metrics.encode(&[
+        (
+            "catalog_version",
+            "Catalog in force",
+            gauge(gateway.catalog_version()),
+        ),
+        (
+            "registrations_revision",
+            "Newest change known",
+            gauge(scheduler.registry.latest_revision()),
+        ),
+        (
+            "registrations",
+            "Servers known",
+            count(scheduler.registry.entries().count()),
+        ),
+        ("mates", "Other instances heard", count(peers)),
+        ("waiting", "Requests in line", count(scheduler.queue_len())),
+        ("running", "Requests at servers", i64::from(running)),
+        (
+            "unread_prompt_tokens",
+            "Tokens sent and not begun",
+            i64::from(unread),
+        ),
+        ("flying", "Requests in all", count(gateway.in_flight.get())),
+        (
+            "connections",
+            "Callers' connections",
+            count(gateway.connections.get()),
+        ),
+        (
+            "body_bytes",
+            "Bytes of bodies in memory",
+            count(gateway.body_bytes.get()),
+        ),
+    ])
+}
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -1,7 +1,7 @@
-//! What the tasks of one gateway process share.
+//! State shared by the tasks of one gateway process.
 //!
-//! The process has one thread, so the shared state is borrowed for the length of a call and never
-//! across an await.
+//! The process has one thread, so shared state is borrowed for the length of a call and never across
+//! an await.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,385 +10,403 @@
 use hawthornmill::clock::Clock;
 use hawthornmill::codes::Code;
 use hawthornmill::ident::{Incarnation, InstanceId, ServerId};
-use hawthornmill::limits::link::Link;
-use hawthornmill::limits::strain::Strain;
-use hawthornmill::routing::budget::Budget;
+use hawthornmill::limits::congestion::LinkMonitor;
+use hawthornmill::limits::load_shedding::LoadShedder;
 use hawthornmill::routing::catalog::Catalog;
-use hawthornmill::routing::desk::Desk;
+use hawthornmill::routing::departures::{Departure, RecentDepartures, Source};
+use hawthornmill::routing::fragments::ResponseCache;
+use hawthornmill::routing::gossip::{PeerTable, StoreRole};
 use hawthornmill::routing::lag::Lag;
-use hawthornmill::routing::leaving::{Leavers, Leaving, Source};
-use hawthornmill::routing::news::{Mates, Reading};
-use hawthornmill::routing::parts::RecentAnswers;
-use hawthornmill::routing::place::{Choice, Place};
-use hawthornmill::routing::registry::{Change, List};
-use hawthornmill::routing::request::{Cause, Refusal, Request, Ticket, Verdict};
-use hawthornmill::routing::table::Table;
+use hawthornmill::routing::placement::{Location, Placement};
+use hawthornmill::routing::registry::{Change, RegistrationList};
+use hawthornmill::routing::request::{Admission, Cause, Refusal, Request, Ticket};
+use hawthornmill::routing::retry_budget::RetryBudget;
+use hawthornmill::routing::route_table::RouteTable;
+use hawthornmill::routing::scheduler::Scheduler;
 use serde_json::json;
 use slotmap::SecondaryMap;
 use tokio::sync::{Notify, oneshot, watch};
 
-use crate::awaited::Awaited;
-use crate::dialect::Dialect;
-use crate::journal;
-use crate::meters::Meters;
+use crate::adapter::Adapter;
+use crate::event_log;
+use crate::metrics::Metrics;
+use crate::pending_state::PendingState;
 use crate::pool::Pool;
 use crate::settings::Settings;
 
-/// Part of the time in which a catalog must be in force after which an instance without it decides nothing; the
-/// rest is for news of it on their way.
-const OUTDATED: f64 = 0.75;
+/// Share of the guaranteed apply time after which an instance without the newest catalog rejects requests.
+///
+/// The rest covers the time that gossip about a new catalog takes to arrive.
+const OUTDATED_FACTOR: f64 = 0.75;
 
-/// How far the process is on its way out.
+/// Phase of the process in its lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It serves.
+    /// Accepts requests.
     Serving,
-    /// It was told to stop and serves those that have not heard of it.
-    Leaving,
-    /// It refuses new requests and waits for those under way.
-    Closed,
+    /// Was told to stop, and still accepts requests of clients that have not heard of it.
+    LameDuck,
+    /// Rejects new requests and waits for those in flight.
+    Draining,
 }
 
-/// Connections that were turned away because the process was behind.
+/// Connections rejected because the process was overloaded.
 #[derive(Debug, Default)]
-pub struct Turned {
-    /// Requests that were told when to come back.
-    pub told: Vec<Box<str>>,
-    /// Connections that were closed unread.
+pub struct RejectedConnections {
+    /// Attempt ids of the requests that were answered with a time to retry.
+    pub answered: Vec<Box<str>>,
+    /// Number of connections closed without reading from them.
     pub unread: u64,
 }
 
-/// The shared state.
+/// Shared state of the process.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Settings in force.
+    /// Current settings.
     pub settings: RefCell<Rc<Settings>>,
-    /// The adapter.
-    pub dialect: Dialect,
+    /// The interface to the platform.
+    pub adapter: Adapter,
     /// Source of time.
     pub clock: Clock,
-    /// This instance's key.
-    pub me: InstanceId,
-    /// This process run.
+    /// Identifies this instance.
+    pub id: InstanceId,
+    /// Identifies this run of the process.
     pub incarnation: Incarnation,
-    /// Decisions.
-    pub desk: RefCell<Desk>,
-    /// Catalog in force.
-    pub table: RefCell<Option<Rc<Table>>>,
-    /// Catalogs that others have and this instance has not.
-    pub lag: RefCell<Lag>,
-    /// Servers that leave, as heard lately.
-    pub leavers: RefCell<Leavers>,
-    /// What this instance told others lately of what it knows.
-    pub answers: RefCell<RecentAnswers>,
-    /// What another instance tells of what it knows.
-    pub awaited: Awaited,
+    /// Selects a server for each request.
+    pub scheduler: RefCell<Scheduler>,
+    /// Index of the current catalog, if there is one.
+    pub table: RefCell<Option<Rc<RouteTable>>>,
+    /// How long this instance has lacked a catalog that another one has.
+    pub catalog_lag: RefCell<Lag>,
+    /// Recent announcements that servers are leaving.
+    pub leaving_servers: RefCell<RecentDepartures>,
+    /// Encoded state that was recently sent to peers.
+    pub state_cache: RefCell<ResponseCache>,
+    /// State that is being received from a peer.
+    pub pending_state: PendingState,
     /// The other instances.
-    pub mates: RefCell<Mates>,
+    pub peers: RefCell<PeerTable>,
     /// Connections to servers.
     pub pool: Pool,
-    /// Counters.
-    pub meters: Meters,
-    /// Callers' connections that are open.
+    /// Counters and histograms.
+    pub metrics: Metrics,
+    /// Number of open client connections.
     pub connections: Cell<usize>,
-    /// How full the instance's link is.
-    pub link: RefCell<Link>,
-    /// How late the process is with its work.
-    pub strain: Cell<Strain>,
-    /// Connections turned away since the log told of them.
-    pub turned: RefCell<Turned>,
-    /// Requests under way.
-    pub flying: Cell<usize>,
-    /// Bytes of bodies in memory.
-    pub bodies: Cell<usize>,
-    /// The catalog or the registrations came from the store or a mate since the start.
-    pub listed: Cell<bool>,
-    /// What this instance has to do with the store.
-    pub reading: Cell<Reading>,
-    /// A place came free, or something else that waiting requests depend on changed.
-    pub nudge: Notify,
-    /// Something that the others should hear at once changed.
-    pub hurry: Notify,
-    /// The others should hear of this instance's work before its next news.
-    pub stir: Notify,
+    /// Congestion of the network link of this instance.
+    pub link: RefCell<LinkMonitor>,
+    /// How late the process runs its timers.
+    pub strain: Cell<LoadShedder>,
+    /// Connections rejected since they were last logged.
+    pub rejected: RefCell<RejectedConnections>,
+    /// Number of requests in flight.
+    pub in_flight: Cell<usize>,
+    /// Bytes of request bodies held in memory.
+    pub body_bytes: Cell<usize>,
+    /// Whether a list of registrations came from the store or a peer since the start.
+    pub has_registrations: Cell<bool>,
+    /// Whether this instance reads the store, and whether the store answers.
+    pub store_access: Cell<StoreRole>,
+    /// Wakes the dispatch loop: a slot became free, or another input of queued requests changed.
+    pub queue_wakeup: Notify,
+    /// Wakes the gossip task: something changed that peers should learn at once.
+    pub news_wakeup: Notify,
+    /// Wakes the gossip task: the work of this instance changed much since it was last announced.
+    pub work_wakeup: Notify,
     phase: watch::Sender<Phase>,
-    waiters: RefCell<SecondaryMap<Ticket, oneshot::Sender<Result<Choice, Refusal>>>>,
+    waiters: RefCell<SecondaryMap<Ticket, oneshot::Sender<Result<Placement, Refusal>>>>,
 }
 
 impl Gateway {
-    /// The state of a process that has heard nothing yet.
+    /// Creates the state of a process that has not yet received anything.
     pub fn new(
         settings: Settings,
-        dialect: Dialect,
+        adapter: Adapter,
         clock: Clock,
         incarnation: Incarnation,
     ) -> Rc<Self> {
         let now = clock.now();
-        let place = Place {
+        let place = Location {
             domain: settings.domain,
             region: settings.region,
         };
-        let mut desk = Desk::new(place, Budget::new(settings.promises.resends, now));
-        desk.regions.clone_from(&settings.regions);
+        let mut scheduler = Scheduler::new(
+            place,
+            RetryBudget::new(settings.guarantees.resend_budget, now),
+        );
+        scheduler.regions.clone_from(&settings.regions);
         Rc::new(Self {
-            me: InstanceId::of(&settings.name),
+            id: InstanceId::of(&settings.name),
             settings: RefCell::new(Rc::new(settings)),
-            dialect,
+            adapter,
             clock,
             incarnation,
-            desk: RefCell::new(desk),
+            scheduler: RefCell::new(scheduler),
             table: RefCell::default(),
-            lag: RefCell::default(),
-            leavers: RefCell::default(),
-            answers: RefCell::default(),
-            awaited: Awaited::default(),
-            mates: RefCell::new(Mates::new(place.domain)),
+            catalog_lag: RefCell::default(),
+            leaving_servers: RefCell::default(),
+            state_cache: RefCell::default(),
+            pending_state: PendingState::default(),
+            peers: RefCell::new(PeerTable::new(place.domain)),
             pool: Pool::default(),
-            meters: Meters::default(),
+            metrics: Metrics::default(),
             connections: Cell::new(0),
             link: RefCell::default(),
             strain: Cell::default(),
-            turned: RefCell::default(),
-            flying: Cell::new(0),
-            bodies: Cell::new(0),
-            listed: Cell::new(false),
-            reading: Cell::new(Reading::Answered),
-            nudge: Notify::new(),
-            hurry: Notify::new(),
-            stir: Notify::new(),
+            rejected: RefCell::default(),
+            in_flight: Cell::new(0),
+            body_bytes: Cell::new(0),
+            has_registrations: Cell::new(false),
+            store_access: Cell::new(StoreRole::Connected),
+            queue_wakeup: Notify::new(),
+            news_wakeup: Notify::new(),
+            work_wakeup: Notify::new(),
             phase: watch::Sender::new(Phase::Serving),
             waiters: RefCell::default(),
         })
     }
 
-    /// The present instant.
+    /// Returns the current time.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// Settings in force.
+    /// Returns the current settings.
     pub fn settings(&self) -> Rc<Settings> {
         Rc::clone(&self.settings.borrow())
     }
 
-    /// Tells whether times that are measured now tell more of this instance than of servers.
-    pub fn is_behind(&self) -> bool {
+    /// Tells whether latency measured now reflects this instance rather than the servers.
+    pub fn is_overloaded(&self) -> bool {
         let now = self.now();
-        self.strain.get().is_behind(now) || self.link.borrow().is_late(now)
+        self.strain.get().is_overloaded(now) || self.link.borrow().is_congested(now)
     }
 
-    /// Catalog in force.
-    pub fn table(&self) -> Option<Rc<Table>> {
+    /// Returns the index of the current catalog.
+    pub fn table(&self) -> Option<Rc<RouteTable>> {
         self.table.borrow().clone()
     }
 
-    /// Version of the catalog in force; 0 when there is none.
-    pub fn version(&self) -> u64 {
+    /// Returns the version of the current catalog, or 0 if there is none.
+    pub fn catalog_version(&self) -> u64 {
         self.table.borrow().as_ref().map_or(0, |t| t.version())
     }
 
-    /// How far the process is on its way out.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Tells of changes of the phase.
-    pub fn phases(&self) -> watch::Receiver<Phase> {
+    /// Subscribes to changes of the phase.
+    pub fn subscribe_phase(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
-    /// Goes on to `phase`.
-    pub fn enter(&self, phase: Phase) {
+    /// Changes the phase and announces it to peers.
+    pub fn set_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
-        self.hurry.notify_one();
+        self.news_wakeup.notify_one();
     }
 
-    /// Tells whether callers may be sent here.
+    /// Tells whether clients may be sent to this instance.
     pub fn is_ready(&self) -> bool {
-        let known = self.listed.get() && self.table.borrow().is_some();
+        let known = self.has_registrations.get() && self.table.borrow().is_some();
         self.phase() == Phase::Serving && known && !self.is_outdated()
     }
 
-    /// Tells whether a newer catalog is in force by now, so that others must decide.
+    /// Tells whether a live peer has a newer catalog that should be in force by now.
     ///
-    /// Where nobody that lives has it, this instance's own is still the best there is.
+    /// If no live peer has the newer catalog, this instance's own is still the best available.
     pub fn is_outdated(&self) -> bool {
         let now = self.now();
-        let late = self.settings().promises.apply.mul_f64(OUTDATED);
-        self.lag.borrow().time(now) > late && self.mates.borrow().has_newer(self.version(), now)
+        let late = self
+            .settings()
+            .guarantees
+            .apply_time
+            .mul_f64(OUTDATED_FACTOR);
+        self.catalog_lag.borrow().duration(now) > late
+            && self
+                .peers
+                .borrow()
+                .has_newer_catalog(self.catalog_version(), now)
     }
 
-    /// Puts `catalog` in force unless an equal or newer one is; `from` is told in the log.
-    pub fn accept(&self, catalog: Catalog, from: &str) {
-        let (version, before) = (catalog.version, self.version());
+    /// Makes `catalog` the current one, unless its version is not newer; `from` is logged.
+    pub fn apply_catalog(&self, catalog: Catalog, from: &str) {
+        let (version, before) = (catalog.version, self.catalog_version());
         if version <= before {
             return;
         }
-        match Table::new(catalog) {
+        match RouteTable::new(catalog) {
             Ok(table) => {
                 let fields = json!({"version": version, "before": before, "from": from});
-                journal::belief("catalog_in_force", fields);
-                self.desk.borrow_mut().token_rate = table.limits().token_rate;
+                event_log::state_change("catalog_in_force", fields);
+                self.scheduler.borrow_mut().token_rate = table.limits().token_rate;
                 *self.table.borrow_mut() = Some(Rc::new(table));
-                self.lag.borrow_mut().reach(version);
-                self.nudge.notify_one();
-                self.hurry.notify_one();
+                self.catalog_lag.borrow_mut().catch_up(version);
+                self.queue_wakeup.notify_one();
+                self.news_wakeup.notify_one();
             }
-            Err((code, what)) => {
-                let fields = json!({"version": version, "code": code.number(), "why": what});
-                journal::belief("catalog_refused", fields);
+            Err((code, message)) => {
+                let fields = json!({"version": version, "code": code.number(), "why": message});
+                event_log::state_change("catalog_refused", fields);
             }
         }
     }
 
-    /// Another instance decides by the catalog of `version`.
-    pub fn hear_version(&self, version: u64) {
-        let (own, now) = (self.version(), self.now());
-        self.lag.borrow_mut().hear(version, own, now);
+    /// Records that a peer uses the catalog of `version`.
+    pub fn observe_version(&self, version: u64) {
+        let (own, now) = (self.catalog_version(), self.now());
+        self.catalog_lag.borrow_mut().observe(version, own, now);
     }
 
-    /// Takes one change of the registrations.
-    pub fn register(&self, change: Change, from: &str) {
-        let (told, leaving) = (describe(&change, from), change.leaving());
-        if self.desk.borrow_mut().register(change, self.now()) {
-            journal::belief("registration", told);
-            self.nudge.notify_one();
+    /// Applies a change of one registration.
+    pub fn apply_change(&self, change: Change, from: &str) {
+        let (fields, leaving) = (describe_change(&change, from), change.departure());
+        if self.scheduler.borrow_mut().apply_change(change, self.now()) {
+            event_log::state_change("registration", fields);
+            self.queue_wakeup.notify_one();
             if let Some(leaving) = leaving {
-                self.tell_leaving(leaving, Source::Store);
+                self.announce_leaving(leaving, Source::Store);
             }
         }
     }
 
-    /// Takes the word of another instance that servers leave.
-    pub fn hear_leaving(&self, all: &[Leaving]) {
+    /// Applies announcements of a peer that servers are leaving.
+    pub fn apply_leaving(&self, all: &[Departure]) {
         for leaving in all {
-            if self.desk.borrow_mut().registry.leaves(*leaving) {
+            if self.scheduler.borrow_mut().registry.mark_draining(*leaving) {
                 let server = self.server_name(leaving.server);
                 let fields = json!({"server": server, "revision": leaving.revision});
-                journal::belief("registration_leaving", fields);
-                self.tell_leaving(*leaving, Source::Peer);
+                event_log::state_change("registration_leaving", fields);
+                self.announce_leaving(*leaving, Source::Peer);
             }
         }
     }
 
-    fn tell_leaving(&self, leaving: Leaving, source: Source) {
-        self.leavers.borrow_mut().hear(leaving, source, self.now());
-        self.hurry.notify_one();
+    fn announce_leaving(&self, leaving: Departure, source: Source) {
+        self.leaving_servers
+            .borrow_mut()
+            .record(leaving, source, self.now());
+        self.news_wakeup.notify_one();
     }
 
-    /// An entry was removed at `revision`, maybe since the store was away.
-    pub fn doubt(&self, server: ServerId, revision: u64) {
-        let registry = &mut self.desk.borrow_mut().registry;
+    /// Records that a registration was removed at `revision`, possibly because the store was unavailable.
+    ///
+    /// The server could not renew its registration then, and may come back.
+    pub fn suspect_removal(&self, server: ServerId, revision: u64) {
+        let registry = &mut self.scheduler.borrow_mut().registry;
         if let Some(known) = registry.get(server) {
-            let fields = json!({"server": known.entry.name, "revision": revision});
-            journal::belief("registration_doubted", fields);
+            let fields = json!({"server": known.registration.name, "revision": revision});
+            event_log::state_change("registration_doubted", fields);
         }
-        registry.doubt_anew(server, revision, self.now());
+        registry.mark_unconfirmed(server, revision, self.now());
     }
 
-    /// Takes a whole list of registrations.
-    pub fn list(&self, list: List, from: &str) {
+    /// Applies a complete list of registrations.
+    pub fn apply_registrations(&self, list: RegistrationList, from: &str) {
         let fields = json!({
-            "servers": list.entries.len(), "doubted": list.doubted.len(), "revision": list.revision,
-            "store_was_away": list.away, "from": from,
+            "servers": list.entries.len(), "doubted": list.unconfirmed.len(), "revision": list.revision,
+            "store_was_away": list.after_outage, "from": from,
         });
-        journal::belief("registrations_listed", fields);
-        self.desk.borrow_mut().list(list, self.now());
-        self.listed.set(true);
-        self.nudge.notify_one();
+        event_log::state_change("registrations_listed", fields);
+        self.scheduler
+            .borrow_mut()
+            .replace_registrations(list, self.now());
+        self.has_registrations.set(true);
+        self.queue_wakeup.notify_one();
     }
 
-    /// Waits until the desk decides on `request`.
+    /// Waits until a server is selected for `request`.
     ///
     /// # Errors
-    /// Why it is turned away, and when its caller may come back.
-    pub async fn place(&self, request: &Request) -> Result<Choice, Refusal> {
-        let verdict = self.desk.borrow_mut().ask(request, self.now());
-        self.tell_work();
+    /// Why the request is rejected, and when its client may retry.
+    pub async fn select_server(&self, request: &Request) -> Result<Placement, Refusal> {
+        let verdict = self.scheduler.borrow_mut().submit(request, self.now());
+        self.announce_work();
         let decided = match verdict {
-            Verdict::Decided(decided) => return decided,
-            Verdict::Wait(ticket) => self.wait(ticket).await,
+            Admission::Decided(decided) => return decided,
+            Admission::Queued(ticket) => self.wait_for_decision(ticket).await,
         };
-        // The other end is dropped only together with the gateway, and nobody is served then.
+        // The sender is only dropped together with the gateway.
         decided.unwrap_or(Err(Refusal {
             code: Code::NotReady,
             cause: Cause::NoServer,
-            again: request.objective,
+            retry_after: request.objective,
         }))
     }
 
-    async fn wait(&self, ticket: Ticket) -> Option<Result<Choice, Refusal>> {
+    async fn wait_for_decision(&self, ticket: Ticket) -> Option<Result<Placement, Refusal>> {
         let (sender, decided) = oneshot::channel();
         self.waiters.borrow_mut().insert(ticket, sender);
-        let mut waiting = Waiting {
+        let mut queued = QueuedRequest {
             gateway: self,
             ticket,
             decided,
         };
-        (&mut waiting.decided).await.ok()
+        (&mut queued.decided).await.ok()
     }
 
-    /// Lets the desk decide on those that wait.
-    pub fn turn(&self) {
-        let decided = self.desk.borrow_mut().turn(self.now());
-        self.tell_work();
+    /// Selects servers for queued requests as far as possible.
+    pub fn dispatch_queue(&self) {
+        let decided = self.scheduler.borrow_mut().dispatch_queued(self.now());
+        self.announce_work();
         for (ticket, decided) in decided {
             let waiter = self.waiters.borrow_mut().remove(ticket);
-            let untaken = match waiter {
+            let unclaimed = match waiter {
                 Some(waiter) => waiter.send(decided).err(),
                 None => Some(decided),
             };
-            if let Some(Ok(choice)) = untaken {
+            if let Some(Ok(choice)) = unclaimed {
                 self.release(&choice, false);
             }
         }
     }
 
-    /// Lets the others hear of this instance's work if much of it has changed.
-    pub fn tell_work(&self) {
-        if self.desk.borrow().loads.is_untold() {
-            self.stir.notify_one();
+    /// Wakes the gossip task if much of this instance's work has changed.
+    pub fn announce_work(&self) {
+        if self.scheduler.borrow().loads.needs_broadcast() {
+            self.work_wakeup.notify_one();
         }
     }
 
-    /// A request is no longer under way at its server.
-    pub fn release(&self, choice: &Choice, began: bool) {
-        self.desk.borrow_mut().ended(choice, began);
-        self.nudge.notify_one();
+    /// Records that a request is no longer in flight at its server.
+    pub fn release(&self, choice: &Placement, began: bool) {
+        self.scheduler.borrow_mut().finish(choice, began);
+        self.queue_wakeup.notify_one();
     }
 
-    /// Idle connections that this instance may keep to `server`; none once it is gone.
+    /// Returns how many idle connections this instance may keep to `server`; 0 if it is not registered.
     ///
-    /// A server resets what is over its service's bound, and cannot tell idle connections from needed
-    /// ones. Half of the bound, divided by the instances, leaves the other half for requests under way.
-    pub fn idle_bound(&self, server: ServerId) -> usize {
+    /// A server resets connections beyond the limit of its service, whether they are idle or in use.
+    /// Half of the limit, divided by the number of instances, leaves the other half for requests in flight.
+    pub fn max_idle(&self, server: ServerId) -> usize {
         let Some(service) = self
-            .desk
+            .scheduler
             .borrow()
             .registry
             .get(server)
-            .map(|k| k.entry.service)
+            .map(|k| k.registration.service)
         else {
             return 0;
         };
         let table = self.table();
-        let bound = table.and_then(|t| Some(t.service(service)?.connections as usize));
+        let bound = table.and_then(|t| Some(t.service(service)?.max_connections as usize));
         match bound {
-            Some(bound) if bound > 0 => (bound / 2 / self.mates.borrow().most().max(1)).max(1),
+            Some(bound) if bound > 0 => (bound / 2 / self.peers.borrow().max_seen().max(1)).max(1),
             _ => usize::MAX,
         }
     }
 
-    /// Name of a server for logs.
+    /// Returns the name of a server for logs.
     pub fn server_name(&self, server: ServerId) -> Box<str> {
-        let desk = self.desk.borrow();
-        let known = desk.registry.get(server);
-        known.map_or_else(|| "gone".into(), |k| k.entry.name.clone())
+        let scheduler = self.scheduler.borrow();
+        let known = scheduler.registry.get(server);
+        known.map_or_else(|| "gone".into(), |k| k.registration.name.clone())
     }
 }
 
-fn describe(change: &Change, from: &str) -> serde_json::Value {
-    match &change.entry {
+fn describe_change(change: &Change, from: &str) -> serde_json::Value {
+    match &change.registration {
         Some(entry) => json!({
             "server": entry.name, "address": entry.address.to_string(), "draining": entry.draining,
             "revision": change.revision, "from": from,
@@ -398,14 +416,14 @@
     }
 }
 
-/// A request in the line; takes it out when its caller leaves.
-struct Waiting<'a> {
+/// A queued request; removed from the queue on drop, when its client disconnects.
+struct QueuedRequest<'a> {
     gateway: &'a Gateway,
     ticket: Ticket,
-    decided: oneshot::Receiver<Result<Choice, Refusal>>,
+    decided: oneshot::Receiver<Result<Placement, Refusal>>,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
         if self
             .gateway
@@ -414,76 +432,74 @@
             .remove(self.ticket)
             .is_some()
         {
-            self.gateway.desk.borrow_mut().leave(self.ticket);
+            self.gateway.scheduler.borrow_mut().cancel(self.ticket);
         }
-        // A place was found and its caller left before it heard; nobody else would free it.
+        // A server was selected, but the client disconnected before it was told: free the slot here.
         if let Ok(Ok(choice)) = self.decided.try_recv() {
             self.gateway.release(&choice, false);
         }
     }
 }
 
-/// Time between two looks at what waits, beside those that a nudge brings.
-const LOOK: Duration = Duration::from_millis(25);
-/// Time between two clean-ups.
-const SWEEP: Duration = Duration::from_millis(250);
+/// Interval at which queued requests are checked without a wakeup.
+const DISPATCH_INTERVAL: Duration = Duration::from_millis(25);
+const CLEANUP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Decides on waiting requests for as long as the process lives.
-pub async fn turns(gateway: Rc<Gateway>) {
+/// Dispatches queued requests until the process ends.
+pub async fn dispatch_loop(gateway: Rc<Gateway>) {
     loop {
-        if gateway.desk.borrow().waiting() > 0 {
+        if gateway.scheduler.borrow().queue_len() > 0 {
             tokio::select! {
-                () = gateway.nudge.notified() => {}
-                () = tokio::time::sleep(LOOK) => {}
+                () = gateway.queue_wakeup.notified() => {}
+                () = tokio::time::sleep(DISPATCH_INTERVAL) => {}
             }
         } else {
-            gateway.nudge.notified().await;
+            gateway.queue_wakeup.notified().await;
         }
-        gateway.turn();
+        gateway.dispatch_queue();
     }
 }
 
-/// Time between two looks at how late the process is.
-const TICK: Duration = Duration::from_millis(100);
+const LATENESS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Measures how late the process is for as long as it lives.
-pub async fn ticks(gateway: Rc<Gateway>) {
+/// Measures how late timers run until the process ends.
+pub async fn monitor_lateness(gateway: Rc<Gateway>) {
     loop {
         let now = gateway.now();
         let mut strain = gateway.strain.get();
-        strain.tick(now, now + TICK);
+        strain.tick(now, now + LATENESS_INTERVAL);
         gateway.strain.set(strain);
-        tell_turned(&gateway, strain.late(now));
-        tokio::time::sleep(TICK).await;
+        log_rejected(&gateway, strain.lag(now));
+        tokio::time::sleep(LATENESS_INTERVAL).await;
     }
 }
 
-/// One line for all connections that were turned away since the last one: a flood has thousands a second.
-fn tell_turned(gateway: &Gateway, late: Duration) {
-    let turned = gateway.turned.take();
-    if turned.unread == 0 && turned.told.is_empty() {
+/// Logs all rejected connections since the last call in one line: a flood has thousands per second.
+fn log_rejected(gateway: &Gateway, late: Duration) {
+    let rejected = gateway.rejected.take();
+    if rejected.unread == 0 && rejected.answered.is_empty() {
         return;
     }
     let fields = json!({
-        "code": Code::InstanceFull.number(), "late_ms": late.as_millis() as u64, "unread": turned.unread,
-        "connections": gateway.connections.get(), "requests": turned.told,
+        "code": Code::InstanceFull.number(), "late_ms": late.as_millis() as u64, "unread": rejected.unread,
+        "connections": gateway.connections.get(), "requests": rejected.answered,
     });
-    journal::belief("turned_away", fields);
+    event_log::state_change("turned_away", fields);
 }
 
-/// Drops what no longer counts for as long as the process lives.
-pub async fn sweeps(gateway: Rc<Gateway>) {
+/// Removes expired registrations and idle connections until the process ends.
+pub async fn cleanup_loop(gateway: Rc<Gateway>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(CLEANUP_INTERVAL).await;
         let now = gateway.now();
-        let gone = gateway.desk.borrow_mut().sweep(now);
+        let gone = gateway.scheduler.borrow_mut().sweep(now);
         for server in gone {
             let fields = json!({"server": format!("{:x}", server.0), "why": "not back in time"});
-            journal::belief("registration_lapsed", fields);
+            event_log::state_change("registration_lapsed", fields);
         }
-        let desk = gateway.desk.borrow();
+        let scheduler = gateway.scheduler.borrow();
         gateway
             .pool
-            .sweep(|id| desk.registry.get(id).is_some(), now);
+            .evict(|id| scheduler.registry.get(id).is_some(), now);
     }
 }
--- a/crates/hawthornmill-gateway/src/lib.rs
+++ b/crates/hawthornmill-gateway/src/lib.rs
@@ -1,37 +1,39 @@
-//! The gateway: plain HTTP in, registered backend servers behind, answers unchanged.
+//! The gateway: receives HTTP requests of clients and forwards them to registered backend servers.
 //!
-//! A process has one thread. Every task borrows the shared [`gateway::Gateway`] for the length of a
-//! call. Decisions are those of [`hawthornmill::routing`]; what the wire looks like comes from an
-//! adapter as a [`dialect::Dialect`].
+//! Responses are passed on unchanged. The process has one thread, and every task borrows the shared
+//! [`gateway::Gateway`] for the length of a call. [`hawthornmill::routing`] selects the server of each
+//! request; a platform's header names and encodings come from its [`adapter::Adapter`].
 //!
-//! | module | owns |
+//! | module | contents |
 //! |---|---|
-//! | [`door`] | taking new connections of callers, or turning them away |
-//! | [`serve`] | connections of callers |
-//! | [`trip`] | one request: admit, wait, send, deliver, settle |
-//! | [`pool`] | connections to servers |
-//! | [`store`] | following the platform's store |
-//! | [`datagrams`], [`mates`] | datagrams, and the news in them |
-//! | [`catching_up`], [`awaited`] | getting from other instances what they know and this one does not |
-//! | [`side`] | state, directory, metrics |
-//! | [`journal`], [`meters`] | the log and the counters |
-//! | [`http`] | heads and bodies |
-//! | [`settings`], [`daemon`] | the process |
+//! | [`listener`] | accepts or rejects new connections of clients |
+//! | [`connection`] | connections of clients |
+//! | [`proxy`] | one request: admission, queueing, forwarding, the response |
+//! | [`pool`] | connections to backend servers |
+//! | [`store_watch`] | watches the platform's store |
+//! | [`datagrams`], [`gossip`] | messages between instances over UDP |
+//! | [`state_sync`], [`pending_state`] | pulls catalogs and registrations from other instances |
+//! | [`endpoints`] | readiness, directory, metrics |
+//! | [`event_log`], [`metrics`] | the event log, and the counters |
+//! | [`http`] | parsing and writing HTTP messages |
+//! | [`adapter`] | the interface to the platform |
+//! | [`gateway`] | the shared state |
+//! | [`settings`], [`daemon`] | settings and the process |
 
-pub mod awaited;
-pub mod catching_up;
+pub mod adapter;
+pub mod connection;
 pub mod daemon;
 pub mod datagrams;
-pub mod dialect;
-pub mod door;
+pub mod endpoints;
+pub mod event_log;
 pub mod gateway;
+pub mod gossip;
 pub mod http;
-pub mod journal;
-pub mod mates;
-pub mod meters;
+pub mod listener;
+pub mod metrics;
+pub mod pending_state;
 pub mod pool;
-pub mod serve;
+pub mod proxy;
 pub mod settings;
-pub mod side;
-pub mod store;
-pub mod trip;
+pub mod state_sync;
+pub mod store_watch;
--- /dev/null
+++ b/crates/hawthornmill-gateway/src/proxy/error_response.rs
@@ -0,0 +1,82 @@
+//! Error responses that the gateway generates itself.
+
+use std::time::Duration;
+
+use hawthornmill::codes::Code;
+use serde_json::json;
+use tokio::io::AsyncWriteExt;
+use tokio::net::tcp::OwnedWriteHalf;
+
+use crate::gateway::Gateway;
+use crate::http::write::MessageBuffer;
+
+/// An error response of the gateway, with a problem document as its body.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct ErrorResponse {
+    /// Error code, which determines the status.
+    pub code: Code,
+    /// Delay after which the client may retry; set only if the request has not been executed.
+    pub retry_after: Option<Duration>,
+}
+
+impl ErrorResponse {
+    /// Creates a response without a retry delay.
+    pub const fn new(code: Code) -> Self {
+        Self {
+            code,
+            retry_after: None,
+        }
+    }
+
+    /// Creates a response to a request that has not been executed, with a retry delay.
+    pub const fn with_retry_after(code: Code, after: Duration) -> Self {
+        Self {
+            code,
+            retry_after: Some(after),
+        }
+    }
+
+    /// Writes the response; `attempt_id` is that of the request, if it could be read.
+    ///
+    /// # Errors
+    /// Fails if the client has closed its connection.
+    pub async fn write(
+        &self,
+        gateway: &Gateway,
+        attempt_id: Option<&str>,
+        close: bool,
+        out: &mut OwnedWriteHalf,
+    ) -> std::io::Result<()> {
+        out.write_all(&self.encode(gateway, attempt_id, close).0)
+            .await
+    }
+
+    /// Encodes the response; `attempt_id` is that of the request, if it could be read.
+    pub fn encode(
+        &self,
+        gateway: &Gateway,
+        attempt_id: Option<&str>,
+        close: bool,
+    ) -> MessageBuffer {
+        let names = &gateway.adapter.headers;
+        let body = json!({"code": self.code.number(), "title": self.code.title()}).to_string();
+        let mut bytes = MessageBuffer::response(self.code.status(), self.code.title());
+        if let Some(attempt_id) = attempt_id.filter(|a| !a.is_empty()) {
+            bytes.header(names.attempt_id, attempt_id);
+        }
+        if let Some(retry_after) = self.retry_after {
+            bytes.header(
+                names.retry_after,
+                format!("{:.3}", retry_after.as_secs_f64()),
+            );
+        }
+        bytes.header("Content-Type", "application/problem+json");
+        bytes.header("Content-Length", body.len().to_string());
+        if close {
+            bytes.header("Connection", "close");
+        }
+        bytes.end_head();
+        bytes.0.extend_from_slice(body.as_bytes());
+        bytes
+    }
+}
--- /dev/null
+++ b/crates/hawthornmill-gateway/src/proxy/forward.rs
@@ -0,0 +1,293 @@
+//! Forwards a server's response to the client, complete or visibly truncated.
+//!
+//! A short response is buffered to its end before any of it is sent, so that one that is cut off can
+//! still be retried or replaced by an error. Streams and long responses are forwarded as they arrive.
+
+use bytes::BytesMut;
+use hawthornmill::routing::loads::ServerOutcome;
+use tokio::io::AsyncWriteExt;
+use tokio::net::tcp::OwnedWriteHalf;
+
+use super::admission::Admitted;
+use super::events::EventSplitter;
+use super::progress::RequestProgress;
+use super::send::ServerResponse;
+use super::{RequestContext, RequestOutcome, SlotGuard, retry};
+use crate::gateway::Gateway;
+use crate::http::body::{BodyDecoder, Decoded};
+use crate::http::head::{Framing, ResponseHead};
+use crate::http::write::MessageBuffer;
+
+/// Maximum size of a response body that is buffered before it is forwarded.
+const MAX_BUFFERED_BYTES: usize = 64 << 10;
+
+/// How forwarding a response ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ForwardOutcome {
+    /// The client has the complete response.
+    Complete,
+    /// The client closed its connection.
+    ClientClosed,
+    /// The server's response was cut off; what the client has received so far is incomplete.
+    Truncated,
+}
+
+/// The next part of a response body.
+enum BodyPart {
+    Data(bytes::Bytes),
+    End,
+    Truncated,
+}
+
+async fn next_part(response: &mut ServerResponse, decoder: &mut BodyDecoder) -> BodyPart {
+    loop {
+        match decoder.next(&mut response.upstream.buffer) {
+            Ok(Decoded::Data(data)) => return BodyPart::Data(data),
+            Ok(Decoded::End) => return BodyPart::End,
+            Ok(Decoded::Incomplete) => {}
+            Err(_malformed) => return BodyPart::Truncated,
+        }
+        match response.upstream.read_more().await {
+            // Only an orderly close completes a body without a length; a reset truncates it.
+            Ok(0) if decoder.ends_at_close() => return BodyPart::End,
+            Ok(0) | Err(_) => return BodyPart::Truncated,
+            Ok(_) => {}
+        }
+    }
+}
+
+/// Forwards `response` to the client.
+pub async fn forward_response(
+    context: RequestContext<'_>,
+    admitted: &Admitted,
+    progress: &mut RequestProgress,
+    response: ServerResponse,
+    slot: &mut SlotGuard<'_>,
+    out: &mut OwnedWriteHalf,
+) -> ForwardOutcome {
+    if progress.response_started() && response.head.status != 200 {
+        return ForwardOutcome::Truncated;
+    }
+    let content_type = response
+        .head
+        .headers
+        .get_str("content-type")
+        .unwrap_or_default();
+    if admitted.streaming
+        && response.head.status == 200
+        && content_type.starts_with("text/event-stream")
+    {
+        return forward_stream(context, progress, response, slot, out).await;
+    }
+    forward_buffered(context, progress, response, slot, out).await
+}
+
+/// Encodes the head of the response for the client.
+fn encode_head(response: &ResponseHead, framing: Framing, close: bool) -> MessageBuffer {
+    let mut bytes = MessageBuffer::response(response.status, &response.reason);
+    bytes.forwarded_headers(&response.headers, &[]);
+    if framing == Framing::Empty {
+        // A response without a body may still give the length that a body would have, as for HEAD.
+        if let Some(length) = response.headers.get("content-length") {
+            bytes.header("Content-Length", length);
+        }
+    }
+    bytes.framing_header(framing);
+    if close {
+        bytes.header("Connection", "close");
+    }
+    bytes.end_head();
+    bytes
+}
+
+/// How buffering a response ended.
+enum Buffered {
+    /// The response is complete.
+    Complete,
+    /// The response exceeds the buffer limit and has not ended.
+    TooLong,
+    /// The response was cut off.
+    Truncated,
+}
+
+/// Buffers the body of `response` to its end or to the limit, and calls `on_data` after each part.
+async fn buffer_body(
+    response: &mut ServerResponse,
+    decoder: &mut BodyDecoder,
+    mut on_data: impl FnMut(),
+) -> Buffered {
+    let mut body = response.body.take().unwrap_or_default();
+    let outcome = loop {
+        match next_part(response, decoder).await {
+            BodyPart::Data(data) => body.extend_from_slice(&data),
+            BodyPart::Truncated => break Buffered::Truncated,
+            BodyPart::End => break Buffered::Complete,
+        }
+        on_data();
+        if body.len() > MAX_BUFFERED_BYTES {
+            break Buffered::TooLong;
+        }
+    };
+    response.body = Some(body);
+    outcome
+}
+
+async fn forward_buffered(
+    context: RequestContext<'_>,
+    progress: &mut RequestProgress,
+    mut response: ServerResponse,
+    slot: &mut SlotGuard<'_>,
+    out: &mut OwnedWriteHalf,
+) -> ForwardOutcome {
+    let mut decoder = BodyDecoder::new(response.framing);
+    match buffer_body(&mut response, &mut decoder, || slot.record_first_token()).await {
+        Buffered::Complete => {}
+        Buffered::TooLong => return forward_long(context, progress, response, decoder, out).await,
+        Buffered::Truncated => return ForwardOutcome::Truncated,
+    }
+    slot.record_first_token();
+    record_server_verdict(context.gateway, &response);
+    let outcome = write_buffered(context, progress, &response, out).await;
+    response.recycle_connection(context.gateway);
+    match outcome {
+        RequestOutcome::Complete => ForwardOutcome::Complete,
+        RequestOutcome::Truncated | RequestOutcome::ClientClosed => ForwardOutcome::ClientClosed,
+    }
+}
+
+/// Reads a short response to its end; `None` if it is cut off or exceeds the limit.
+pub async fn read_to_end(mut response: ServerResponse) -> Option<ServerResponse> {
+    let mut decoder = BodyDecoder::new(response.framing);
+    match buffer_body(&mut response, &mut decoder, || {}).await {
+        Buffered::Complete => Some(response),
+        Buffered::TooLong | Buffered::Truncated => None,
+    }
+}
+
+fn record_server_verdict(gateway: &Gateway, response: &ServerResponse) {
+    let verdict = if retry::is_server_error(response) {
+        ServerOutcome::Failed
+    } else {
+        ServerOutcome::Success
+    };
+    retry::record_verdict(gateway, response.server, verdict);
+}
+
+/// Writes a response whose body was buffered.
+pub async fn write_buffered(
+    context: RequestContext<'_>,
+    progress: &mut RequestProgress,
+    response: &ServerResponse,
+    out: &mut OwnedWriteHalf,
+) -> RequestOutcome {
+    let empty = BytesMut::new();
+    let body = response.body.as_ref().unwrap_or(&empty);
+    let framing = match response.framing {
+        Framing::Empty => Framing::Empty,
+        _ => Framing::Length(body.len() as u64),
+    };
+    let mut bytes = encode_head(&response.head, framing, context.close.always);
+    bytes.0.extend_from_slice(body);
+    progress.start_response(response.head.status, context.gateway.now());
+    match out.write_all(&bytes.0).await {
+        Ok(()) => RequestOutcome::Complete,
+        Err(_closed) => RequestOutcome::ClientClosed,
+    }
+}
+
+/// Forwards a response that exceeds the buffer limit.
+async fn forward_long(
+    context: RequestContext<'_>,
+    progress: &mut RequestProgress,
+    mut response: ServerResponse,
+    mut decoder: BodyDecoder,
+    out: &mut OwnedWriteHalf,
+) -> ForwardOutcome {
+    let chunked = !matches!(response.framing, Framing::Length(_));
+    let mut bytes = encode_head(&response.head, response.framing, context.close.always);
+    progress.start_response(response.head.status, context.gateway.now());
+    let mut data = response.body.take().unwrap_or_default().freeze();
+    loop {
+        if chunked {
+            bytes.chunk(&data);
+        } else {
+            bytes.0.extend_from_slice(&data);
+        }
+        if out.write_all(&bytes.0).await.is_err() {
+            return ForwardOutcome::ClientClosed;
+        }
+        bytes.0.clear();
+        match next_part(&mut response, &mut decoder).await {
+            BodyPart::Data(next) => data = next,
+            BodyPart::Truncated => return ForwardOutcome::Truncated,
+            BodyPart::End => break,
+        }
+    }
+    record_server_verdict(context.gateway, &response);
+    if chunked {
+        bytes.last_chunk();
+        if out.write_all(&bytes.0).await.is_err() {
+            return ForwardOutcome::ClientClosed;
+        }
+    }
+    response.recycle_connection(context.gateway);
+    ForwardOutcome::Complete
+}
+
+/// Forwards an event stream, one complete event at a time.
+///
+/// The head is sent with the first complete event: until then the request may still be retried.
+async fn forward_stream(
+    context: RequestContext<'_>,
+    progress: &mut RequestProgress,
+    mut response: ServerResponse,
+    slot: &mut SlotGuard<'_>,
+    out: &mut OwnedWriteHalf,
+) -> ForwardOutcome {
+    let mut decoder = BodyDecoder::new(response.framing);
+    let mut splitter = EventSplitter::default();
+    let mut bytes = MessageBuffer::default();
+    let event_id = context.gateway.adapter.parse_event_id;
+    loop {
+        let (events, ended) = match next_part(&mut response, &mut decoder).await {
+            BodyPart::Data(data) => (
+                splitter.push(&data, event_id, progress.last_event_id),
+                false,
+            ),
+            BodyPart::End => (None, true),
+            BodyPart::Truncated => return ForwardOutcome::Truncated,
+        };
+        if splitter.exceeds_limit() {
+            return ForwardOutcome::Truncated;
+        }
+        let Some(events) = events else {
+            if ended {
+                break;
+            }
+            continue;
+        };
+        slot.record_first_token();
+        if !progress.response_started() {
+            bytes = encode_head(&response.head, Framing::Chunked, context.close.always);
+            progress.start_response(response.head.status, context.gateway.now());
+        }
+        bytes.chunk(&events.bytes);
+        if out.write_all(&bytes.0).await.is_err() {
+            return ForwardOutcome::ClientClosed;
+        }
+        bytes.0.clear();
+        progress.last_event_id = events.last_id.or(progress.last_event_id);
+    }
+    if !progress.response_started() {
+        bytes = encode_head(&response.head, Framing::Chunked, context.close.always);
+        progress.start_response(response.head.status, context.gateway.now());
+    }
+    bytes.chunk(&splitter.take_rest());
+    bytes.last_chunk();
+    record_server_verdict(context.gateway, &response);
+    if out.write_all(&bytes.0).await.is_err() {
+        return ForwardOutcome::ClientClosed;
+    }
+    response.recycle_connection(context.gateway);
+    ForwardOutcome::Complete
+}
--- /dev/null
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -0,0 +1,317 @@
+//! Handling of one request, from its first byte to its log line.
+//!
+//! | step | input | output |
+//! |---|---|---|
+//! | [`read`] | bytes from a client | a [`read::ClientRequest`] |
+//! | [`admission`] | a request and the catalog | an [`admission::Admitted`], or an [`error_response::ErrorResponse`] |
+//! | queue | an admitted request | a server chosen by the desk |
+//! | [`mod@send`] | a request and its server | a [`send::SendOutcome`] |
+//! | [`forward`], [`events`] | a server's response | bytes to the client |
+//! | [`progress`] | the outcome | log line, counters |
+//!
+//! Only [`retry`] decides whether a request is sent again.
+
+pub mod admission;
+pub mod error_response;
+pub mod events;
+pub mod forward;
+pub mod progress;
+pub mod read;
+pub mod retry;
+pub mod send;
+
+use std::time::Instant;
+
+use admission::Admitted;
+use error_response::ErrorResponse;
+use forward::{ForwardOutcome, forward_response, write_buffered};
+use hawthornmill::codes::Code;
+use hawthornmill::ident::ServerId;
+use hawthornmill::routing::loads;
+use hawthornmill::routing::placement::Placement;
+use hawthornmill::routing::request::{Cause, Refusal};
+use progress::RequestProgress;
+use read::ClientRequest;
+use retry::RetryDecision;
+use send::{SendOutcome, ServerResponse, send};
+use serde_json::json;
+use tokio::net::tcp::OwnedWriteHalf;
+
+use crate::event_log;
+use crate::gateway::Gateway;
+
+/// How a request ended, which determines whether its connection can be reused.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RequestOutcome {
+    /// The client received a complete response; the connection can carry another request.
+    Complete,
+    /// The response was cut off, which the client can tell from its framing.
+    Truncated,
+    /// The client closed its connection before it received a complete response.
+    ClientClosed,
+}
+
+/// Whether to close the client connection after the response.
+#[derive(Debug, Clone, Copy)]
+pub struct ConnectionClose {
+    /// Close after any response.
+    pub always: bool,
+    /// Close after a rejection with a retry delay.
+    pub on_rejection: bool,
+}
+
+/// Context that every step of a request shares.
+#[derive(Debug, Clone, Copy)]
+pub struct RequestContext<'a> {
+    /// State of the process.
+    pub gateway: &'a Gateway,
+    /// The request as received.
+    pub request: &'a ClientRequest,
+    /// Whether to close the connection after the response.
+    pub close: ConnectionClose,
+}
+
+/// Handles a request within the time that its route and its client allow.
+pub async fn handle_request(
+    context: RequestContext<'_>,
+    progress: &mut RequestProgress,
+    out: &mut OwnedWriteHalf,
+) -> RequestOutcome {
+    let admitted = match admission::admit(context.gateway, context.request) {
+        Ok(admitted) => admitted,
+        Err(response) => return send_error(context, progress, &response, out).await,
+    };
+    progress.record_admitted(context.request, &admitted);
+    let deadline = tokio::time::Instant::from_std(admitted.request.deadline);
+    let attempts = try_servers(context, &admitted, progress, out);
+    if let Ok(outcome) = tokio::time::timeout_at(deadline, attempts).await {
+        return outcome;
+    }
+    if progress.response_started() {
+        progress.set_code(Code::DeadlineWhileRunning);
+        return RequestOutcome::Truncated;
+    }
+    let response = if progress.may_have_executed() {
+        ErrorResponse::new(Code::DeadlineWhileRunning)
+    } else {
+        ErrorResponse::with_retry_after(Code::QueueTooLong, admitted.request.objective)
+    };
+    send_error(context, progress, &response, out).await
+}
+
+/// A slot of a server that one request occupies; dropping it releases the slot.
+#[derive(Debug)]
+pub struct SlotGuard<'a> {
+    gateway: &'a Gateway,
+    admitted: &'a Admitted,
+    choice: Placement,
+    sent_at: Instant,
+    responded: bool,
+}
+
+/// Multiple of the latency objective after which a server without a response counts as failed.
+///
+/// A server that accepts requests and never responds would look idle and attract more of them. Under
+/// load, all servers are late by the same measure, so none of them is put at a disadvantage.
+const UNRESPONSIVE_FACTOR: f64 = 1.5;
+
+impl Drop for SlotGuard<'_> {
+    fn drop(&mut self) {
+        let limit = self.admitted.request.objective.mul_f64(UNRESPONSIVE_FACTOR);
+        let elapsed = self.gateway.now().duration_since(self.sent_at);
+        if !self.responded && elapsed > limit {
+            retry::record_verdict(
+                self.gateway,
+                self.choice.server,
+                loads::ServerOutcome::Failed,
+            );
+        }
+        self.gateway.release(&self.choice, self.responded);
+    }
+}
+
+impl SlotGuard<'_> {
+    /// Records the first token of the response; later calls have no effect.
+    pub fn record_first_token(&mut self) {
+        if std::mem::replace(&mut self.responded, true) {
+            return;
+        }
+        let now = self.gateway.now();
+        let request = &self.admitted.request;
+        let elapsed = (!self.gateway.is_overloaded()).then(|| now.duration_since(self.sent_at));
+        self.gateway.scheduler.borrow_mut().record_first_token(
+            request.service,
+            &self.choice,
+            elapsed,
+            now,
+        );
+        self.gateway.announce_work();
+        let latency = now.duration_since(request.arrival);
+        self.gateway
+            .metrics
+            .response_started(&self.admitted.service_name, latency);
+    }
+}
+
+/// Sends the request to one server after another until one responds or the retries are used up.
+async fn try_servers(
+    context: RequestContext<'_>,
+    admitted: &Admitted,
+    progress: &mut RequestProgress,
+    out: &mut OwnedWriteHalf,
+) -> RequestOutcome {
+    let mut request = admitted.request.clone();
+    let mut fallback: Option<ServerResponse> = None;
+    loop {
+        let choice = match context.gateway.select_server(&request).await {
+            Ok(choice) => choice,
+            Err(refusal) => {
+                progress::log_rejection(context, &request, &refusal);
+                return end_without_server(context, progress, fallback, refusal, out).await;
+            }
+        };
+        request.tried.push(choice.server);
+        let decision = match attempt(context, admitted, progress, choice, &mut fallback, out).await
+        {
+            Ok(outcome) => return outcome,
+            Err(decision) => decision,
+        };
+        match decision {
+            RetryDecision::Retry => {}
+            RetryDecision::Reject => {
+                let refusal = Refusal {
+                    code: Code::UpstreamUnreachable,
+                    cause: Cause::NoServer,
+                    retry_after: admitted.request.objective / 2,
+                };
+                return end_without_server(context, progress, fallback, refusal, out).await;
+            }
+            RetryDecision::Fail if progress.response_started() => {
+                progress.set_code(Code::UpstreamFailed);
+                return RequestOutcome::Truncated;
+            }
+            RetryDecision::Fail => {
+                return send_error(
+                    context,
+                    progress,
+                    &ErrorResponse::new(Code::UpstreamFailed),
+                    out,
+                )
+                .await;
+            }
+        }
+    }
+}
+
+/// Sends the request to one server; the error is the decision that follows a failure.
+async fn attempt(
+    context: RequestContext<'_>,
+    admitted: &Admitted,
+    progress: &mut RequestProgress,
+    choice: Placement,
+    fallback: &mut Option<ServerResponse>,
+    out: &mut OwnedWriteHalf,
+) -> Result<RequestOutcome, RetryDecision> {
+    let (gateway, server) = (context.gateway, choice.server);
+    progress.start_attempt(gateway, context.request, &choice);
+    let mut slot = SlotGuard {
+        gateway,
+        admitted,
+        choice,
+        sent_at: gateway.now(),
+        responded: false,
+    };
+    match send(gateway, context.request, admitted, progress, &choice).await {
+        SendOutcome::Response(response)
+            if retry::is_server_error(&response)
+                && retry::try_retry(gateway, admitted, progress) =>
+        {
+            retry::record_verdict(gateway, server, loads::ServerOutcome::Failed);
+            if let Some(response) = forward::read_to_end(response).await {
+                *fallback = Some(response);
+            }
+            Err(RetryDecision::Retry)
+        }
+        SendOutcome::Response(response) => {
+            match forward_response(context, admitted, progress, response, &mut slot, out).await {
+                ForwardOutcome::Complete => Ok(RequestOutcome::Complete),
+                ForwardOutcome::ClientClosed => Ok(RequestOutcome::ClientClosed),
+                ForwardOutcome::Truncated => {
+                    log_interruption(context, server, "the answer broke off");
+                    Err(retry::on_interrupted(gateway, admitted, progress, server))
+                }
+            }
+        }
+        SendOutcome::Unreachable(reason) => Err(retry::on_unreachable(
+            gateway,
+            context.request,
+            progress,
+            server,
+            &reason,
+        )),
+        SendOutcome::NotExecuted { misdirected } => Err(retry::on_not_executed(
+            gateway,
+            admitted,
+            progress,
+            server,
+            misdirected,
+        )),
+        SendOutcome::Interrupted(reason) => {
+            log_interruption(context, server, &reason);
+            Err(retry::on_interrupted(gateway, admitted, progress, server))
+        }
+    }
+}
+
+fn log_interruption(context: RequestContext<'_>, server: ServerId, reason: &str) {
+    let fields = json!({"server": context.gateway.server_name(server), "why": reason});
+    event_log::request_problem("server_broke_off", &context.request.attempt_id, fields);
+}
+
+/// Ends a request for which there is no further server.
+///
+/// The client receives the error response of a server if there is one, else an error that tells whether
+/// the request may have been executed.
+async fn end_without_server(
+    context: RequestContext<'_>,
+    progress: &mut RequestProgress,
+    fallback: Option<ServerResponse>,
+    refusal: Refusal,
+    out: &mut OwnedWriteHalf,
+) -> RequestOutcome {
+    if progress.response_started() {
+        progress.set_code(refusal.code);
+        return RequestOutcome::Truncated;
+    }
+    if let Some(response) = fallback {
+        return write_buffered(context, progress, &response, out).await;
+    }
+    let response = if progress.may_have_executed() {
+        ErrorResponse::new(Code::UpstreamFailed)
+    } else {
+        ErrorResponse::with_retry_after(refusal.code, refusal.retry_after)
+    };
+    send_error(context, progress, &response, out).await
+}
+
+async fn send_error(
+    context: RequestContext<'_>,
+    progress: &mut RequestProgress,
+    response: &ErrorResponse,
+    out: &mut OwnedWriteHalf,
+) -> RequestOutcome {
+    progress.record_error(response);
+    let close = context.close.always || (context.close.on_rejection && progress.has_retry_after());
+    match response
+        .write(
+            context.gateway,
+            Some(&context.request.attempt_id),
+            close,
+            out,
+        )
+        .await
+    {
+        Ok(()) => RequestOutcome::Complete,
+        Err(_closed) => RequestOutcome::ClientClosed,
+    }
+}
--- /dev/null
+++ b/crates/hawthornmill-gateway/src/proxy/retry.rs
@@ -0,0 +1,140 @@
+//! Decides whether a request that failed at one server is sent to another.
+//!
+//! A request of which no byte was sent is retried without a charge. One that a server rejected, or that
+//! may have been executed, takes from the fleet's retry budget; one that may have been executed must
+//! also belong to a route that allows repetition.
+
+use hawthornmill::ident::ServerId;
+use hawthornmill::routing::loads::ServerOutcome;
+use serde_json::json;
+
+use super::admission::Admitted;
+use super::progress::RequestProgress;
+use super::read::ClientRequest;
+use super::send::ServerResponse;
+use crate::event_log;
+use crate::gateway::Gateway;
+
+/// Maximum number of unreachable servers after which a request is retried; each can cost a connect timeout.
+const MAX_UNREACHABLE: u32 = 3;
+
+/// What to do after a failed attempt.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RetryDecision {
+    /// Send the request to another server.
+    Retry,
+    /// Reject the request, which has not been executed.
+    Reject,
+    /// Fail the request, which may have been executed.
+    Fail,
+}
+
+/// Returns whether the response has status 5xx, so that another server might succeed.
+pub fn is_server_error(response: &ServerResponse) -> bool {
+    response.head.status >= 500
+}
+
+/// Records how a request to `server` ended, for later choices of a server.
+pub fn record_verdict(gateway: &Gateway, server: ServerId, verdict: ServerOutcome) {
+    let now = gateway.now();
+    gateway
+        .scheduler
+        .borrow_mut()
+        .loads
+        .record_outcome(server, verdict, now);
+}
+
+/// Takes a retry from the budget for a request that may have been executed.
+pub fn try_retry(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
+    admitted.repeat.allows_retry() && take_budget(gateway, admitted, progress)
+}
+
+/// Returns whether the request could be sent to another server after one that may have executed it.
+pub fn can_retry(admitted: &Admitted, progress: &RequestProgress) -> bool {
+    admitted.repeat.allows_retry() && progress.sends < admitted.max_attempts
+}
+
+/// Takes one retry from the budget of the service, unless the request has used all its attempts.
+fn take_budget(gateway: &Gateway, admitted: &Admitted, progress: &mut RequestProgress) -> bool {
+    if progress.sends >= admitted.max_attempts {
+        return false;
+    }
+    let service = admitted.request.service;
+    let taken = gateway
+        .scheduler
+        .borrow_mut()
+        .retry_budget
+        .try_acquire(service, gateway.now());
+    if taken {
+        gateway.metrics.request_resent(&admitted.service_name);
+    }
+    taken
+}
+
+/// Returns the decision for a request without further attempts.
+///
+/// A rejection promises that no server executed the request.
+const fn final_decision(progress: &RequestProgress) -> RetryDecision {
+    if progress.may_have_executed() {
+        RetryDecision::Fail
+    } else {
+        RetryDecision::Reject
+    }
+}
+
+/// Handles a server that could not be reached.
+pub fn on_unreachable(
+    gateway: &Gateway,
+    request: &ClientRequest,
+    progress: &mut RequestProgress,
+    server: ServerId,
+    reason: &str,
+) -> RetryDecision {
+    let fields = json!({"server": gateway.server_name(server), "why": reason});
+    event_log::request_problem("server_unreached", &request.attempt_id, fields);
+    gateway.pool.discard_idle(server);
+    record_verdict(gateway, server, ServerOutcome::Unreachable);
+    progress.unreachable += 1;
+    if progress.unreachable <= MAX_UNREACHABLE {
+        RetryDecision::Retry
+    } else {
+        final_decision(progress)
+    }
+}
+
+/// Handles a server that reports that it did not execute the request.
+pub fn on_not_executed(
+    gateway: &Gateway,
+    admitted: &Admitted,
+    progress: &mut RequestProgress,
+    server: ServerId,
+    misdirected: bool,
+) -> RetryDecision {
+    if misdirected {
+        gateway.pool.discard_idle(server);
+        record_verdict(gateway, server, ServerOutcome::Unreachable);
+    } else {
+        record_verdict(gateway, server, ServerOutcome::Full);
+    }
+    progress.record_not_executed();
+    if take_budget(gateway, admitted, progress) {
+        RetryDecision::Retry
+    } else {
+        final_decision(progress)
+    }
+}
+
+/// Handles a connection that broke before the end of the response; the request may have been executed.
+pub fn on_interrupted(
+    gateway: &Gateway,
+    admitted: &Admitted,
+    progress: &mut RequestProgress,
+    server: ServerId,
+) -> RetryDecision {
+    record_verdict(gateway, server, ServerOutcome::Failed);
+    if try_retry(gateway, admitted, progress) {
+        RetryDecision::Retry
+    } else {
+        RetryDecision::Fail
+    }
+}
--- /dev/null
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -0,0 +1,366 @@
+//! Sends a request to a backend server and reads the head of the response.
+//!
+//! Whether a request can be retried depends on whether any byte of it was written to a connection. Before
+//! that, any request can go to another server. After that, only the server itself can tell that it did
+//! not execute the request.
+
+use std::io;
+use std::time::Duration;
+
+use bytes::BytesMut;
+use hawthornmill::ident::ServerId;
+use hawthornmill::routing::catalog::RetryPolicy;
+use hawthornmill::routing::placement::Placement;
+use tokio::net::TcpStream;
+
+use super::admission::Admitted;
+use super::progress::RequestProgress;
+use super::read::ClientRequest;
+use super::retry;
+use crate::gateway::Gateway;
+use crate::http::body::{BodyDecoder, Decoded};
+use crate::http::head::{self, Framing, ResponseHead};
+use crate::http::write::MessageBuffer;
+use crate::pool::Upstream;
+
+/// Status of a server that is not the expected one and did not execute the request.
+const MISDIRECTED_REQUEST: u16 = 421;
+/// Multiple of the latency objective after which a silent server is abandoned, in addition to twice the
+/// expected time.
+///
+/// The response is late by then in any case. With a shorter limit, a server that is only busy would lose
+/// the prompts that it has already processed.
+const ABANDON_FACTOR: f64 = 2.0;
+/// Maximum size of a response head.
+const MAX_HEAD_BYTES: usize = 64 << 10;
+/// Maximum size of a response to an earlier request that is read and discarded.
+const MAX_SKIPPED_BYTES: usize = 1 << 20;
+
+/// A server's response whose head has been read.
+#[derive(Debug)]
+pub struct ServerResponse {
+    /// Head of the response.
+    pub head: ResponseHead,
+    /// Framing of the body.
+    pub framing: Framing,
+    /// Connection from which the rest is read.
+    pub upstream: Upstream,
+    /// Server that sent the response.
+    pub server: ServerId,
+    /// Whether the connection can carry another request afterwards.
+    pub reusable: bool,
+    /// The body, as far as it has been buffered.
+    pub body: Option<BytesMut>,
+}
+
+/// Outcome of sending a request to a server.
+#[derive(Debug)]
+pub enum SendOutcome {
+    /// No byte was sent, for the reason given.
+    Unreachable(Box<str>),
+    /// The server reports that it did not execute the request.
+    NotExecuted {
+        /// Whether another server now has the address.
+        misdirected: bool,
+    },
+    /// The request may have been executed, and failed for the reason given.
+    Interrupted(Box<str>),
+    /// The server responds.
+    Response(ServerResponse),
+}
+
+/// Sends `request` to the chosen server.
+pub async fn send(
+    gateway: &Gateway,
+    request: &ClientRequest,
+    admitted: &Admitted,
+    progress: &mut RequestProgress,
+    choice: &Placement,
+) -> SendOutcome {
+    let server = choice.server;
+    let target = {
+        let scheduler = gateway.scheduler.borrow();
+        let known = scheduler.registry.get(server);
+        known.map(|k| (k.registration.address, k.registration.name.clone()))
+    };
+    let Some((address, name)) = target else {
+        return SendOutcome::Unreachable("server is gone".into());
+    };
+    let now = gateway.now();
+    let once = admitted.repeat == RetryPolicy::AtMostOnce;
+    let taken = gateway.pool.acquire(server, address, once, now).await;
+    if !taken.as_ref().is_ok_and(|u| u.reused) {
+        let after = gateway.now();
+        let elapsed = after.duration_since(now);
+        gateway
+            .link
+            .borrow_mut()
+            .record_connect(address, elapsed, after);
+    }
+    let mut upstream = match taken {
+        Ok(upstream) => upstream,
+        Err(error) => return SendOutcome::Unreachable(error.to_string().into()),
+    };
+    if !upstream.reused {
+        gateway.metrics.server_connected();
+    }
+    let bytes = encode_request(gateway, request, admitted, progress, &name);
+    let written = match write_request(&mut upstream, &bytes.0, progress).await {
+        Ok(complete) => complete,
+        Err(error) if !progress.bytes_sent() => {
+            return SendOutcome::Unreachable(error.to_string().into());
+        }
+        Err(error) => return SendOutcome::Interrupted(error.to_string().into()),
+    };
+    let response = receive_response(gateway, request, upstream, server, written);
+    if !retry::can_retry(admitted, progress) {
+        return response.await;
+    }
+    // A timeout drops the connection, which cancels the request before it is sent to another server.
+    let response = tokio::time::timeout(silence_limit(admitted, choice), response).await;
+    response.unwrap_or_else(|_elapsed| SendOutcome::Interrupted("no answer in time".into()))
+}
+
+/// Returns how long a server may be silent before the request is sent to another one.
+fn silence_limit(admitted: &Admitted, choice: &Placement) -> Duration {
+    admitted.request.objective.mul_f64(ABANDON_FACTOR) + choice.expected_ttft * 2
+}
+
+/// Encodes the request for the server.
+fn encode_request(
+    gateway: &Gateway,
+    request: &ClientRequest,
+    admitted: &Admitted,
+    progress: &RequestProgress,
+    server: &str,
+) -> MessageBuffer {
+    let names = &gateway.adapter.headers;
+    let mut excluded: Vec<&str> = vec![names.deadline, names.expected_server, names.account];
+    excluded.extend(names.reserved);
+    if admitted.strip_token {
+        excluded.push(names.token);
+    }
+    if progress.last_event_id.is_some() {
+        excluded.push(names.last_event_id);
+    }
+    let mut bytes = MessageBuffer::request(&request.head.method, &request.head.target);
+    bytes.forwarded_headers(&request.head.headers, &excluded);
+    let remaining = admitted
+        .request
+        .deadline
+        .saturating_duration_since(gateway.now());
+    bytes.header(names.deadline, remaining.as_millis().to_string());
+    bytes.header(names.expected_server, server);
+    if let Some(account) = &admitted.account_name {
+        bytes.header(names.account, account.as_bytes());
+    }
+    if let Some(event) = progress.last_event_id {
+        bytes.header(names.last_event_id, event.to_string());
+    }
+    // A chunked body has been read completely, so it is sent with its length, which is less ambiguous.
+    let has_body = request.head.headers.get("content-length").is_some()
+        || request.head.headers.get("transfer-encoding").is_some();
+    if has_body {
+        bytes.framing_header(Framing::Length(request.body.len() as u64));
+    }
+    bytes.end_head();
+    bytes.0.extend_from_slice(&request.body);
+    bytes
+}
+
+/// Writes the request; returns false if the server responded before all of it was written.
+async fn write_request(
+    upstream: &mut Upstream,
+    mut bytes: &[u8],
+    progress: &mut RequestProgress,
+) -> io::Result<bool> {
+    while !bytes.is_empty() {
+        if progress.bytes_sent() {
+            tokio::select! {
+                biased;
+                ready = upstream.stream.writable() => ready?,
+                read = read_some(&upstream.stream, &mut upstream.buffer) => {
+                    return match read? {
+                        0 => Err(io::ErrorKind::UnexpectedEof.into()),
+                        _ => Ok(false),
+                    };
+                }
+            }
+        } else {
+            upstream.stream.writable().await?;
+        }
+        match upstream.stream.try_write(bytes) {
+            Ok(written) => {
+                progress.record_sent();
+                bytes = &bytes[written..];
+            }
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            Err(error) => return Err(error),
+        }
+    }
+    Ok(true)
+}
+
+/// Reads available bytes, or waits for some, through a shared reference, so that a write can be pending.
+///
+/// # Errors
+/// Fails if the connection broke.
+async fn read_some(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
+    loop {
+        stream.readable().await?;
+        match stream.try_read_buf(buffer) {
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            result => return result,
+        }
+    }
+}
+
+/// Reads the head of the response, and skips interim responses and those to earlier requests.
+async fn receive_response(
+    gateway: &Gateway,
+    request: &ClientRequest,
+    mut upstream: Upstream,
+    server: ServerId,
+    written: bool,
+) -> SendOutcome {
+    let names = &gateway.adapter.headers;
+    let mut reusable = written;
+    loop {
+        let head = match read_head(&mut upstream).await {
+            Ok(head) => head,
+            Err(reason) => return SendOutcome::Interrupted(reason),
+        };
+        if (100..200).contains(&head.status) {
+            continue;
+        }
+        let Ok(framing) = head.framing(&request.head.method) else {
+            return SendOutcome::Interrupted("answer's length can be read in two ways".into());
+        };
+        let response_id = head.headers.get_str(names.attempt_id);
+        if response_id.is_some_and(|id| id != &*request.attempt_id) {
+            // A late or duplicate response to an earlier request on this connection.
+            reusable = false;
+            if skip_body(&mut upstream, framing).await.is_err() {
+                return SendOutcome::Interrupted("an answer to another request doesn't end".into());
+            }
+            continue;
+        }
+        if let Some(load) = (gateway.adapter.parse_load)(&head.headers) {
+            gateway
+                .scheduler
+                .borrow_mut()
+                .loads
+                .apply_server_report(server, load, gateway.now());
+        }
+        let misdirected = head.status == MISDIRECTED_REQUEST;
+        if misdirected || head.headers.get(names.not_executed).is_some() {
+            let response = server_response(head, framing, upstream, server, reusable);
+            if !misdirected {
+                reuse_after_rejection(gateway, response).await;
+            }
+            return SendOutcome::NotExecuted { misdirected };
+        }
+        if response_id.is_none() && head.status < 400 {
+            return SendOutcome::Interrupted("answer names no request".into());
+        }
+        return SendOutcome::Response(server_response(head, framing, upstream, server, reusable));
+    }
+}
+
+fn server_response(
+    head: ResponseHead,
+    framing: Framing,
+    upstream: Upstream,
+    server: ServerId,
+    reusable: bool,
+) -> ServerResponse {
+    let reusable = reusable && !head.closes_connection() && framing != Framing::UntilClose;
+    ServerResponse {
+        head,
+        framing,
+        upstream,
+        server,
+        reusable,
+        body: None,
+    }
+}
+
+async fn read_head(upstream: &mut Upstream) -> Result<ResponseHead, Box<str>> {
+    loop {
+        match head::parse_response(&upstream.buffer) {
+            Ok(Some((head, length))) => {
+                let _taken = upstream.buffer.split_to(length);
+                return Ok(head);
+            }
+            Ok(None) if upstream.buffer.len() <= MAX_HEAD_BYTES => {}
+            Ok(None) => return Err("answer's head is too long".into()),
+            Err(_malformed) => return Err("what came is no answer".into()),
+        }
+        match upstream.read_more().await {
+            Ok(0) => return Err("connection closed before an answer".into()),
+            Ok(_) => {}
+            Err(error) => return Err(error.to_string().into()),
+        }
+    }
+}
+
+/// Reads and discards a body; fails if it is too long or does not end.
+async fn skip_body(upstream: &mut Upstream, framing: Framing) -> Result<(), ()> {
+    if framing == Framing::UntilClose {
+        return Err(());
+    }
+    let mut decoder = BodyDecoder::new(framing);
+    let mut skipped = 0;
+    loop {
+        match decoder.next(&mut upstream.buffer) {
+            Ok(Decoded::End) => return Ok(()),
+            Ok(Decoded::Data(data)) => skipped += data.len(),
+            Ok(Decoded::Incomplete) => {
+                let read = upstream.read_more().await;
+                if !matches!(read, Ok(bytes) if bytes > 0) {
+                    return Err(());
+                }
+            }
+            Err(_malformed) => return Err(()),
+        }
+        if skipped > MAX_SKIPPED_BYTES {
+            return Err(());
+        }
+    }
+}
+
+/// Time allowed for reading the rest of a server's rejection, so that its connection can be reused.
+const REJECTION_DRAIN_TIME: Duration = Duration::from_millis(50);
+
+/// Returns the connection of a server that rejected a request to the pool, if its response ends in time.
+async fn reuse_after_rejection(gateway: &Gateway, mut response: ServerResponse) {
+    let rest = skip_body(&mut response.upstream, response.framing);
+    if matches!(
+        tokio::time::timeout(REJECTION_DRAIN_TIME, rest).await,
+        Ok(Ok(()))
+    ) {
+        response.recycle_connection(gateway);
+    }
+}
+
+impl ServerResponse {
+    /// Returns the connection to the pool after a complete body, if it can be reused.
+    pub fn recycle_connection(self, gateway: &Gateway) {
+        if self.reusable {
+            let keep_alive = keep_alive_timeout(&self.head);
+            let (max_idle, now) = (gateway.max_idle(self.server), gateway.now());
+            gateway
+                .pool
+                .put_back(self.server, self.upstream, keep_alive, max_idle, now);
+        }
+    }
+}
+
+/// Returns the idle timeout that the server announces in `Keep-Alive`.
+fn keep_alive_timeout(head: &ResponseHead) -> Option<Duration> {
+    let text = head.headers.get_str("keep-alive")?;
+    let timeout = text
+        .split(',')
+        .find_map(|p| p.trim().strip_prefix("timeout="))?;
+    timeout.trim().parse().ok().map(Duration::from_secs)
+}
--- a/crates/hawthornmill-lab/src/slopes/measure.rs
+++ b/crates/hawthornmill-lab/src/slopes/measure.rs
@@ -3,15 +3,14 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::Board;
+use hawthornmill::blackboard::Blackboard;
 use hawthornmill::config::accept::{accept, manifest};
 use hawthornmill::fairness::CostKey;
 use hawthornmill::ident::{
     AccountId, DomainId, Incarnation, InstanceId, PoolId, RegionId, ServiceId,
 };
-use hawthornmill::membership::place::{domain_relay, region_relay};
-use hawthornmill::pools::entry;
-use hawthornmill::pools::{self, tick};
+use hawthornmill::membership::placement::{domain_relay, region_relay};
+use hawthornmill::pools::{self, entry, tick};
 use hawthornmill::wire::frame::{HEADER_BYTES, SHORT_HEADER_BYTES, payload_len};
 use hawthornmill::wire::message::{ConfigValues, Heartbeat, Message, PoolState, Report};
 
@@ -138,7 +137,11 @@
 }
 
 /// Rounds of the instance that `choose` names, while every other one reports with `costs` counters.
-fn rounds(instances: usize, costs: usize, choose: impl Fn(&Board) -> Option<InstanceId>) -> Rounds {
+fn rounds(
+    instances: usize,
+    costs: usize,
+    choose: impl Fn(&Blackboard) -> Option<InstanceId>,
+) -> Rounds {
     let size = Size {
         servers: 24 * POOL,
         instances,
@@ -150,12 +153,12 @@
         .and_then(|id| (0..instances).find(|n| InstanceId::of(&format!("i{n}")) == id))
         .unwrap_or(0);
     let mut board = board(size, index, now);
-    pools::turn(&mut board, now);
+    pools::run_due(&mut board, now);
     let mut sum = Rounds::default();
     for round in 1..=ROUNDS {
         let start = Instant::now();
         take_all(&mut board, size, index, costs, round as u32, now);
-        let messages = tick::report(&mut board, now);
+        let messages = tick::build_reports(&mut board, now);
         sum.micros += start.elapsed().as_secs_f64() * 1e6;
         sum.messages += messages.len() as f64;
         let bytes = messages.iter().map(|(_, m)| payload_len(m) + HEADER_BYTES);
@@ -171,7 +174,14 @@
 
 /// Takes the reports of a round as they come along the tree: from members of the own domain
 /// directly, from the others through their relays.
-fn take_all(board: &mut Board, size: Size, own: usize, costs: usize, round: u32, now: Instant) {
+fn take_all(
+    board: &mut Blackboard,
+    size: Size,
+    own: usize,
+    costs: usize,
+    round: u32,
+    now: Instant,
+) {
     let relays: Vec<Option<InstanceId>> = (0..size.domains)
         .map(|d| domain_relay(&board.members, DomainId::of(&format!("d{d}"))))
         .collect();
@@ -188,7 +198,7 @@
         let (members, ledger) = (&mut board.members, &mut board.ledger);
         board
             .reports
-            .take(from, report, members, ledger, now, interval);
+            .receive(from, report, members, ledger, now, interval);
     }
 }
 
@@ -219,17 +229,17 @@
 pub fn reports() -> Vec<Line> {
     let sizes = [48, 96, 192, 350];
     // A relay of a domain that is not the region's relay as well.
-    let relay = |b: &Board| {
+    let relay = |b: &Blackboard| {
         let top = region_relay(&b.members, RegionId::of("r0"));
         let both = ["d0", "d1"].map(|d| domain_relay(&b.members, DomainId::of(d)));
         both.into_iter().flatten().find(|id| Some(*id) != top)
     };
-    let region = |b: &Board| region_relay(&b.members, RegionId::of("r0"));
+    let region = |b: &Blackboard| region_relay(&b.members, RegionId::of("r0"));
     let mut lines = Vec::new();
     for (name, choose) in [
         (
             "domain relay",
-            &relay as &dyn Fn(&Board) -> Option<InstanceId>,
+            &relay as &dyn Fn(&Blackboard) -> Option<InstanceId>,
         ),
         ("region relay", &region),
     ] {
@@ -261,11 +271,11 @@
 fn refresh_time(size: Size) -> f64 {
     let now = Instant::now();
     let mut board = board(size, 0, now);
-    pools::turn(&mut board, now);
+    pools::run_due(&mut board, now);
     least(3, || {
         board.members.changed = true;
         let start = Instant::now();
-        pools::turn(&mut board, now);
+        pools::run_due(&mut board, now);
         micros(start.elapsed(), 1)
     })
 }
@@ -349,7 +359,7 @@
     };
     let mut board = board(size, 0, now);
     hear_all(&mut board, size, now);
-    pools::turn(&mut board, now);
+    pools::run_due(&mut board, now);
     let held = resident();
     drop(board);
     held
--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -5,14 +5,14 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::{Board, Dispatch, RequestKey};
+use hawthornmill::blackboard::{Blackboard, Dispatch, RequestKey};
 use hawthornmill::clock::Clock;
 use hawthornmill::codes::Code;
+use hawthornmill::events::Event;
 use hawthornmill::ident::{Incarnation, InstanceId, PoolId, ServerId};
 use hawthornmill::limits::retry::Retries;
-use hawthornmill::membership::start;
-use hawthornmill::notes::Note;
-use hawthornmill::pools::{self, entry, regions, tick};
+use hawthornmill::membership::startup;
+use hawthornmill::pools::{self, cross_region, entry, tick};
 use hawthornmill::wire::message::{GrantId, Message};
 use smallvec::SmallVec;
 use tokio::sync::{Notify, oneshot};
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub struct Core {
     /// The blackboard.
-    pub board: Board,
+    pub board: Blackboard,
     waiters: BTreeMap<RequestKey, oneshot::Sender<Verdict>>,
 }
 
@@ -88,7 +88,7 @@
         telemetry: Telemetry,
     ) -> Arc<Self> {
         let now = clock.now();
-        let board = Board::new(
+        let board = Blackboard::new(
             settings.contact.clone(),
             incarnation,
             settings.tuning.clone(),
@@ -128,30 +128,30 @@
     }
 
     /// Reads the board.
-    pub fn view<T>(&self, read: impl FnOnce(&Board) -> T) -> T {
+    pub fn view<T>(&self, read: impl FnOnce(&Blackboard) -> T) -> T {
         read(&self.lock().board)
     }
 
     /// Feeds an event to the board, runs a turn and hands out what it left.
-    pub fn feed<T>(&self, event: impl FnOnce(&mut Board, Instant) -> T) -> T {
+    pub fn feed<T>(&self, event: impl FnOnce(&mut Blackboard, Instant) -> T) -> T {
         let now = self.clock.now();
         let mut core = self.lock();
         // After a pause, a message may be taken before the next tick.
-        tick::notice_pause(&mut core.board, now);
+        tick::detect_pause(&mut core.board, now);
         let result = event(&mut core.board, now);
         self.run(&mut core, now);
         result
     }
 
     fn run(&self, core: &mut Core, now: Instant) {
-        pools::turn(&mut core.board, now);
+        pools::run_due(&mut core.board, now);
         // A dispatch whose caller is gone gives its slot back, which may lead to another.
-        while !core.board.dispatches.is_empty() || !core.board.refusals.is_empty() {
+        while !core.board.dispatches.is_empty() || !core.board.rejections.is_empty() {
             hand_out(core, now);
-            pools::turn(&mut core.board, now);
+            pools::run_due(&mut core.board, now);
         }
-        for note in std::mem::take(&mut core.board.notes) {
-            log_note(&core.board, note);
+        for event in std::mem::take(&mut core.board.events) {
+            log_event(&core.board, event);
         }
         for (to, message) in core.board.outbox.drain(..) {
             self.outgoing.send(to, message);
@@ -187,11 +187,11 @@
 
     fn queue(
         self: &Arc<Self>,
-        put: impl FnOnce(&mut Board, Instant) -> Result<RequestKey, Code>,
+        put: impl FnOnce(&mut Blackboard, Instant) -> Result<RequestKey, Code>,
     ) -> Result<Ticket, Code> {
         let now = self.clock.now();
         let mut core = self.lock();
-        tick::notice_pause(&mut core.board, now);
+        tick::detect_pause(&mut core.board, now);
         let key = put(&mut core.board, now)?;
         let (sender, receiver) = oneshot::channel();
         core.waiters.insert(key, sender);
@@ -206,19 +206,19 @@
 
     /// Takes a message from a peer.
     pub fn receive(&self, from: InstanceId, incarnation: Incarnation, message: Message) {
-        self.feed(|board, now| pools::receive(board, from, incarnation, message, now));
+        self.feed(|board, now| pools::handle_message(board, from, incarnation, message, now));
     }
 
     /// Finds out whether enough is known to serve; once that is so, it stays so.
     ///
-    /// Until then it asks peers for their revision; [`start::is_ready`] has the rule.
+    /// Until then it asks peers for their revision; [`startup::is_ready`] has the rule.
     pub fn find_ready(&self) {
         if self.ready.load(Ordering::Relaxed) {
             return;
         }
         let now = self.clock.now();
         let (ready, revision) = self.view(|board| {
-            let ready = start::is_ready(board, self.started, now);
+            let ready = startup::is_ready(board, self.started, now);
             (ready, board.config.revision)
         });
         if ready {
@@ -229,7 +229,7 @@
         let round = now.duration_since(self.started).as_millis() / ASK_EVERY.as_millis();
         let round = round as u32 + 1;
         if self.asked.fetch_max(round, Ordering::Relaxed) < round {
-            for peer in self.view(|board| start::to_ask(board, round)) {
+            for peer in self.view(|board| startup::probe_targets(board, round)) {
                 self.outgoing.send(peer, Message::Probe(0));
             }
         }
@@ -251,26 +251,28 @@
     }
 }
 
-fn log_note(board: &Board, note: Note) {
+fn log_event(board: &Blackboard, event: Event) {
     let name = |id: InstanceId| {
         let member = board.members.map.get(&id);
         member.map_or_else(|| "?".into(), |m| m.contact.name.clone())
     };
-    match note {
-        Note::Died(id) => log::warn!(target: "membership", "{} is not heard any more", name(id)),
-        Note::Revived(id) => log::info!(target: "membership", "{} is heard", name(id)),
-        Note::Owner(pool, id) => {
+    match event {
+        Event::InstanceDown(id) => {
+            log::warn!(target: "membership", "{} is not heard any more", name(id));
+        }
+        Event::InstanceUp(id) => log::info!(target: "membership", "{} is heard", name(id)),
+        Event::OwnerChanged(pool, id) => {
             let (service, domain) = pool_names(board, pool);
             log::info!(target: "pools", "owner of {service} in {domain} is {}", name(id));
         }
-        Note::Paused(gap) => {
+        Event::ProcessPaused(gap) => {
             log::warn!(target: "membership", "stopped for {} ms; view is old", gap.as_millis());
         }
-        Note::Confirmed => log::info!(target: "membership", "view is confirmed"),
+        Event::ViewConfirmed => log::info!(target: "membership", "view is confirmed"),
     }
 }
 
-fn pool_names(board: &Board, pool: PoolId) -> (Box<str>, Box<str>) {
+fn pool_names(board: &Blackboard, pool: PoolId) -> (Box<str>, Box<str>) {
     let config = &board.config;
     let names = config.pools.get(&pool).and_then(|p| {
         let service = config.services.get(&p.service)?.name.clone();
@@ -290,7 +292,7 @@
             entry::finish(&mut core.board, pool, grant, 0.0, false, now);
         }
     }
-    for (request, code) in std::mem::take(&mut core.board.refusals) {
+    for (request, code) in std::mem::take(&mut core.board.rejections) {
         if let Some(waiter) = core.waiters.remove(&request) {
             // The caller may have gone away; then nobody needs the answer.
             let _gone = waiter.send(Err(code));
@@ -395,7 +397,7 @@
         let (pool, grant) = self.place();
         let (cost, failed, bytes) = (self.cost, self.failed, self.bytes);
         self.fleet.feed(|board, now| {
-            regions::spend(board, pool, bytes);
+            cross_region::spend(board, pool, bytes);
             entry::finish(board, pool, grant, cost, failed, now);
         });
     }
--- a/crates/hawthornmill-test-support/src/steps.rs
+++ b/crates/hawthornmill-test-support/src/steps.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::{Board, Dispatch, RequestKey, Tuning};
+use hawthornmill::blackboard::{Blackboard, Dispatch, RequestKey, Tuning};
 use hawthornmill::codes::Code;
 use hawthornmill::ident::{AccountId, Incarnation, InstanceId, ServerId, ServiceId};
 use hawthornmill::pools::{self, entry, owner, tick};
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub struct Steps {
     /// The instances' boards.
-    pub boards: Vec<Board>,
+    pub boards: Vec<Blackboard>,
     /// Milliseconds since the start.
     pub now: u64,
     /// Instances that are stopped: they neither tick nor receive, and their requests go on.
@@ -122,9 +122,9 @@
         for (number, own) in contacts.iter().enumerate() {
             // Grants carry half of an incarnation, so no two instances may start with the same.
             let run = Incarnation(1 + 1000 * number as u64);
-            let mut board = Board::new(own.clone(), run, tuning.clone(), start);
+            let mut board = Blackboard::new(own.clone(), run, tuning.clone(), start);
             for other in &contacts {
-                board.members.learn(other.clone(), start);
+                board.members.upsert_contact(other.clone(), start);
             }
             let (config, manifest, values) = fleet.accept(1);
             board.install(config, manifest, values);
@@ -179,7 +179,7 @@
             bytes: 100,
             deadline: now + Duration::from_millis(deadline),
         };
-        tick::notice_pause(&mut self.boards[entry], now);
+        tick::detect_pause(&mut self.boards[entry], now);
         let key = entry::enqueue(&mut self.boards[entry], arrival, now)?;
         let asked = Asked {
             account,
@@ -214,9 +214,9 @@
             .map(|m| m.contact.clone())
             .collect();
         let run = Incarnation(old.incarnation.0 + 1);
-        let mut board = Board::new(own, run, old.tuning.clone(), now);
+        let mut board = Blackboard::new(own, run, old.tuning.clone(), now);
         for other in contacts {
-            board.members.learn(other, now);
+            board.members.upsert_contact(other, now);
         }
         let (config, manifest, values) = fleet.accept(revision);
         board.install(config, manifest, values);
@@ -232,7 +232,7 @@
         let gone = self.boards[index].me();
         for (other, board) in self.boards.iter_mut().enumerate() {
             if other != index {
-                board.broken.insert(gone);
+                board.broken_peers.insert(gone);
             }
         }
     }
@@ -289,14 +289,14 @@
     fn take(&mut self, from: usize, target: usize, message: Message, now: Instant) {
         let (sender, run) = (self.boards[from].me(), self.boards[from].incarnation);
         let board = &mut self.boards[target];
-        tick::notice_pause(board, now);
+        tick::detect_pause(board, now);
         match message {
             Message::Reports(reports) => {
                 for report in reports {
                     let (table, members, ledger) =
                         (&mut board.reports, &mut board.members, &mut board.ledger);
                     let interval = board.tuning.report;
-                    table.take(sender, report, members, ledger, now, interval);
+                    table.receive(sender, report, members, ledger, now, interval);
                 }
             }
             Message::Probe(number) => {
@@ -310,10 +310,10 @@
             }
             Message::ProbeAck(ack) => tick::on_probe_ack(board, ack, now),
             message => {
-                if board.broken.contains(&sender) {
-                    entry::on_link(board, sender);
+                if board.broken_peers.contains(&sender) {
+                    entry::on_reconnected(board, sender);
                 }
-                pools::receive(board, sender, run, message, now);
+                pools::handle_message(board, sender, run, message, now);
             }
         }
     }
@@ -328,7 +328,7 @@
             *self.received.entry(run.account).or_default() += run.cost as f64;
             let (pool, grant) = (run.dispatch.pool, run.dispatch.grant);
             let board = &mut self.boards[run.entry];
-            tick::notice_pause(board, now);
+            tick::detect_pause(board, now);
             entry::finish(board, pool, grant, run.cost as f64, false, now);
         }
     }
@@ -339,16 +339,16 @@
             self.beat(index);
         }
         let board = &mut self.boards[index];
-        tick::notice_pause(board, now);
+        tick::detect_pause(board, now);
         if self.now.is_multiple_of(TICK) {
             tick::tick(board, now);
         }
         let every = board.tuning.report.as_millis() as u64;
         if self.now % every == index as u64 % every {
-            let messages = tick::report(board, now);
+            let messages = tick::build_reports(board, now);
             board.outbox.extend(messages);
         }
-        pools::turn(board, now);
+        pools::run_due(board, now);
         self.hand_out(index);
         let out = std::mem::take(&mut self.boards[index].outbox);
         for (to, message) in out {
@@ -376,7 +376,7 @@
                 dispatch,
             });
         }
-        for (request, code) in std::mem::take(&mut self.boards[index].refusals) {
+        for (request, code) in std::mem::take(&mut self.boards[index].rejections) {
             if let Some(asked) = self.asked.remove(&(index, request)) {
                 self.ended.push(Ended {
                     account: asked.account,
@@ -392,13 +392,13 @@
         let now = self.instant();
         let own = &self.boards[index];
         let interval = Duration::from_millis(HEARTBEAT);
-        let sign = own.members.own_sign(own.config.revision, interval, now);
+        let sign = own.members.own_liveness(own.config.revision, interval, now);
         for other in 0..self.boards.len() {
             if other != index && self.runs_now(other) && !self.cut.contains(&(index, other)) {
                 let board = &mut self.boards[other];
-                board.members.hear(sign, now);
-                if board.broken.contains(&sign.from) {
-                    entry::on_link(board, sign.from);
+                board.members.record_liveness(sign, now);
+                if board.broken_peers.contains(&sign.from) {
+                    entry::on_reconnected(board, sign.from);
                 }
             }
         }
@@ -433,7 +433,7 @@
             for (id, pool) in &pools {
                 for server in &pool.servers {
                     let count = late.get(server).copied().unwrap_or(0);
-                    owner::on_load(board, *id, *server, count);
+                    owner::on_load_reading(board, *id, *server, count);
                 }
             }
         }
--- a/crates/hawthornmill-tools/src/check/catalog.rs
+++ b/crates/hawthornmill-tools/src/check/catalog.rs
@@ -6,7 +6,7 @@
 
 use hawthornmill::codes::Code;
 use hawthornmill::ini::Diagnostic;
-use hawthornmill::routing::catalog::{Account, Catalog, Route, check};
+use hawthornmill::routing::catalog::{Account, Catalog, Route, validate};
 
 /// Reads and checks the catalog in `file`.
 ///
@@ -22,9 +22,9 @@
             ..Diagnostic::unreadable(file, "")
         }]
     };
-    let catalog =
-        hawthornmill_platform::catalog::read(&bytes).map_err(|what| fault(Code::BadValue, what))?;
-    check(&catalog).map_err(|(code, what)| fault(code, what))?;
+    let catalog = hawthornmill_platform::catalog::parse(&bytes)
+        .map_err(|what| fault(Code::BadValue, what))?;
+    validate(&catalog).map_err(|(code, what)| fault(code, what))?;
     Ok(catalog)
 }
 
--- a/crates/hawthornmill/src/membership/roster.rs
+++ b/crates/hawthornmill/src/membership/roster.rs
@@ -1,22 +1,22 @@
-//! The platform's instance list, read by few and passed on by them.
+//! The platform's instance list, read by a few instances and distributed to the others.
 //!
-//! The readers of a failure domain read the list; the others follow the first of them. Heartbeats
-//! name a digest of the list, and whoever holds another one asks for what changed.
+//! The readers of a failure domain read the list; the others follow the first reader. Heartbeats
+//! carry a digest of the list, and an instance with a different digest requests the changes.
 
 use std::collections::BTreeMap;
 
 use crate::ident::InstanceId;
 use crate::wire::message::{RosterDelta, RosterEntry};
 
-/// The list by instance.
+/// Entries of the list by instance.
 type Entries = BTreeMap<InstanceId, RosterEntry>;
 
-/// The instance list, and the one before it.
+/// The instance list and its previous version, from which deltas are computed.
 #[derive(Debug, Clone, Default)]
 pub struct Roster {
     entries: Entries,
     digest: u32,
-    former: (u32, Entries),
+    previous: (u32, Entries),
     known: bool,
 }
 
@@ -26,7 +26,7 @@
         self.digest
     }
 
-    /// Tells whether any list was taken, an empty one included.
+    /// Returns true if any list was received, even an empty one.
     pub fn is_known(&self) -> bool {
         self.known
     }
@@ -41,23 +41,25 @@
         self.entries.get(&id)
     }
 
-    /// Takes a whole list; true when it differs from the one held.
+    /// Replaces the list; returns true if it changed.
     pub fn replace(&mut self, list: Vec<RosterEntry>) -> bool {
         let entries = list
             .into_iter()
             .map(|l| (InstanceId::of(&l.contact.name), l))
             .collect();
-        self.put(entries)
+        self.install(entries)
     }
 
-    /// What leads from the list with digest `have` to this one; none when that is the same.
+    /// Changes from the list with digest `have` to this one, or `None` if they are equal.
+    ///
+    /// The delta starts from the empty list if `have` is not the previous version.
     pub fn delta(&self, have: u32) -> Option<RosterDelta> {
         if have == self.digest {
             return None;
         }
         let empty = Entries::new();
-        let (base, old) = if have == self.former.0 {
-            (have, &self.former.1)
+        let (base, old) = if have == self.previous.0 {
+            (have, &self.previous.1)
         } else {
             (0, &empty)
         };
@@ -80,7 +82,7 @@
         })
     }
 
-    /// Takes what changed; false when it does not start from the list held or changes nothing.
+    /// Applies a delta; returns false if its base is not this list or nothing changed.
     pub fn apply(&mut self, delta: RosterDelta) -> bool {
         let mut entries = match delta.base {
             0 => Entries::new(),
@@ -93,16 +95,16 @@
         for listed in delta.changed {
             entries.insert(InstanceId::of(&listed.contact.name), listed);
         }
-        self.put(entries)
+        self.install(entries)
     }
 
-    fn put(&mut self, entries: Entries) -> bool {
+    fn install(&mut self, entries: Entries) -> bool {
         self.known = true;
         if entries == self.entries {
             return false;
         }
         let digest = digest(&entries);
-        self.former = (self.digest, std::mem::replace(&mut self.entries, entries));
+        self.previous = (self.digest, std::mem::replace(&mut self.entries, entries));
         self.digest = digest;
         true
     }
--- a/crates/hawthornmill/src/pools/entry.rs
+++ b/crates/hawthornmill/src/pools/entry.rs
@@ -1,4 +1,4 @@
-//! The entry's side of a pool: requests that wait, slots that are held.
+//! The entry's side of a pool: waiting requests and held slots.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,98 +6,99 @@
 
 use smallvec::SmallVec;
 
-use super::kept::{charge_own, keep, note_late, reuse};
 use super::owner::maker;
-use super::queue;
-pub use super::queue::{Arrival, cancel, check_account, enqueue, expire, requeue, retry_after};
-use super::regions;
-use crate::board::{Board, Dispatch};
+pub use super::queue::{
+    Arrival, cancel, check_account_limits, enqueue, expire, requeue, retry_after,
+};
+use super::retained::{charge_locally, record_late_cost, retain_slot, reuse};
+use super::{cross_region, queue};
+use crate::blackboard::{Blackboard, Dispatch};
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId, ServiceId};
 use crate::wire::message::{
     AccountTotal, Demand, EntryState, Grant, GrantId, GrantedSlot, Grants, Message, SlotRelease,
 };
 
-/// Waiting requests of one account that one owner is told of at most.
+/// Largest number of waiting requests of one account that an owner is told of.
 ///
-/// More would only cost messages: a grant raises the want again, and an owner seldom frees more
-/// slots at once.
-pub const WANT_CAP: usize = 16;
-/// Time for which a server's word that it leaves holds at an entry; the owner reads its load anew.
-const SAID_LEAVING: Duration = Duration::from_secs(5);
+/// A larger number would only cost messages: each grant renews the want, and an owner rarely has
+/// more slots to grant at once.
+pub const MAX_WANT: usize = 16;
+/// Time for which an entry avoids a server that announced it is leaving; the owner polls its state.
+const LEAVING_VALIDITY: Duration = Duration::from_secs(5);
 
 /// A slot that this entry holds.
 #[derive(Debug, Clone, Copy)]
 pub struct Slot {
-    /// Account that it serves.
+    /// The account that uses it.
     pub account: AccountId,
-    /// Server on which it is.
+    /// Its server.
     pub server: ServerId,
-    /// A request uses it; otherwise it is kept while the owner is silent.
+    /// A request uses it; otherwise it is retained while the owner is unreachable.
     pub busy: bool,
-    /// It was reused without a grant, so nobody has charged it yet.
+    /// It was reused without a grant, so no owner has charged its current request.
     pub reused: bool,
-    /// Since when its present request has it.
-    pub since: Instant,
+    /// When its current request got it.
+    pub started: Instant,
 }
 
-/// Up to which number the grants of one owner run have arrived or never will.
+/// Last grant of one owner run that is settled: it and all before it were received or are lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ack {
-    /// Owner.
+    /// The owner.
     pub owner: InstanceId,
     /// Its process run.
     pub run: Incarnation,
-    /// Number of a grant.
+    /// Number of the grant.
     pub seq: u32,
 }
 
-/// Owners whose last grant number is remembered for one pool.
+/// Number of recent owners whose last grant is remembered per pool.
 const RECENT_OWNERS: usize = 4;
 
-/// Dealings with the owner of one pool.
+/// Session of an entry with the owner of one pool.
 #[derive(Debug, Clone, Default)]
-pub struct Link {
-    /// Owner and its process run.
+pub struct OwnerSession {
+    /// The owner and its process run.
     pub owner: Option<(InstanceId, Incarnation)>,
-    /// Number of the last grant of each recent owner run that arrived or is known to be lost.
+    /// Last settled grant of each recent owner run.
     ///
-    /// It outlives a turn to another owner and back: the first owner may not have noticed, and would
-    /// take every grant above a forgotten number for one in flight, whose slot stays taken for good.
+    /// Kept across a switch to another owner and back: the first owner may not have noticed, and
+    /// would treat every later grant as in flight, so that its slot would never be freed.
     pub acks: SmallVec<[Ack; RECENT_OWNERS]>,
-    /// Grants received per account from this owner.
-    pub received: BTreeMap<AccountId, u32>,
-    /// Wants as last told.
-    pub told: BTreeMap<AccountId, u32>,
-    /// Slots to give back.
-    pub done: SmallVec<[SlotRelease; 2]>,
-    /// Costs of calls that ended in kept slots while the owner was silent.
-    pub late: Vec<SlotRelease>,
-    /// Wants to tell.
-    pub wants: SmallVec<[AccountTotal; 2]>,
+    /// Grants received from this owner, by account.
+    pub grants_received: BTreeMap<AccountId, u32>,
+    /// Wants as last sent to the owner.
+    pub reported_wants: BTreeMap<AccountId, u32>,
+    /// Slots to return to the owner.
+    pub released: SmallVec<[SlotRelease; 2]>,
+    /// Costs of calls that ended while the owner was unreachable.
+    pub late_costs: Vec<SlotRelease>,
+    /// Wants to send to the owner.
+    pub pending_wants: SmallVec<[AccountTotal; 2]>,
     /// Slots held.
     pub held: BTreeMap<GrantId, Slot>,
-    /// The owner must be told everything.
+    /// The complete state must be sent to the owner.
     pub resync: bool,
-    /// The owner is known to grant; until then slots that come free are kept.
-    pub settled: bool,
+    /// The owner is known to grant; until then freed slots are retained.
+    pub owner_ready: bool,
 }
 
-impl Link {
-    /// Turns to a new owner, or a new run of the same one.
-    pub fn turn_to(&mut self, owner: InstanceId, run: Incarnation) {
+impl OwnerSession {
+    /// Switches to a new owner, or to a new run of the same one.
+    pub fn switch_owner(&mut self, owner: InstanceId, run: Incarnation) {
         self.owner = Some((owner, run));
-        self.received.clear();
-        self.told.clear();
-        self.wants.clear();
-        self.done.clear();
-        // The estimates that the earlier owner charged for these stand in its counters.
-        self.late.clear();
+        self.grants_received.clear();
+        self.reported_wants.clear();
+        self.pending_wants.clear();
+        self.released.clear();
+        // The estimates that the previous owner charged for these remain in its counters.
+        self.late_costs.clear();
         self.held.retain(|_, slot| slot.busy);
         self.resync = true;
-        self.settled = false;
+        self.owner_ready = false;
     }
 
-    /// Notes that grants of `owner` up to `seq` have arrived or never will.
+    /// Records that all grants of `owner` up to `seq` were received or are lost.
     pub fn acknowledge(&mut self, owner: InstanceId, run: Incarnation, seq: u32) {
         let known = self.acks.iter().position(|a| a.owner == owner);
         let mut ack = known.map_or(Ack { owner, run, seq }, |at| self.acks.remove(at));
@@ -115,7 +116,7 @@
         self.acks.push(ack);
     }
 
-    /// Number of the last grant of the present owner that arrived or never will.
+    /// Number of the last settled grant of the current owner.
     pub fn ack(&self) -> u32 {
         let acks = self.acks.iter();
         let known = acks.filter(|a| self.owner == Some((a.owner, a.run)));
@@ -123,9 +124,9 @@
     }
 }
 
-/// Takes grants: each goes to the oldest waiting request of its account, or back.
+/// Handles grants: each is assigned to the oldest waiting request of its account, or returned.
 pub fn on_grants(
-    board: &mut Board,
+    board: &mut Blackboard,
     from: InstanceId,
     incarnation: Incarnation,
     grants: &Grants,
@@ -136,37 +137,38 @@
             owner_run: maker(incarnation),
             seq: grant.seq,
         };
-        if !accept(board, from, incarnation, grants.pool, grant, now) {
-            give_back_to(board, from, grants.pool, id);
+        if !accept_grant(board, from, incarnation, grants.pool, grant, now) {
+            return_unused(board, from, grants.pool, id);
             continue;
         }
-        // An old view must not start anything: a process that was paused may hold grants that
-        // the owner has long given to others.
-        if board.stale.is_some() || !assign(board, grants.pool, id, now) {
-            // An owner that has not heard yet that the server leaves would grant it over and over.
-            let leaving = takes_no_work(board, grant.server, now);
-            give_back(board, grants.pool, id, 0.0, leaving);
+        // Nothing is started on a stale view: a process that was paused may hold grants whose slots
+        // the owner has since granted to others.
+        if board.stale_since.is_some() || !assign_slot(board, grants.pool, id, now) {
+            // Otherwise an owner that doesn't know yet that the server is leaving would grant the
+            // slot again and again.
+            let leaving = is_leaving(board, grant.server, now);
+            return_slot(board, grants.pool, id, 0.0, leaving);
         }
     }
 }
 
-fn accept(
-    board: &mut Board,
+fn accept_grant(
+    board: &mut Blackboard,
     from: InstanceId,
     incarnation: Incarnation,
     pool: PoolId,
     grant: &Grant,
     now: Instant,
 ) -> bool {
-    let Some(link) = board.links.get_mut(&pool) else {
+    let Some(session) = board.sessions.get_mut(&pool) else {
         return false;
     };
-    link.acknowledge(from, incarnation, grant.seq);
-    if link.owner != Some((from, incarnation)) {
+    session.acknowledge(from, incarnation, grant.seq);
+    if session.owner != Some((from, incarnation)) {
         return false;
     }
-    link.settled = true;
-    *link.received.entry(grant.account).or_default() += 1;
+    session.owner_ready = true;
+    *session.grants_received.entry(grant.account).or_default() += 1;
     let id = GrantId {
         owner_run: maker(incarnation),
         seq: grant.seq,
@@ -176,16 +178,21 @@
         server: grant.server,
         busy: false,
         reused: false,
-        since: now,
+        started: now,
     };
-    link.held.insert(id, slot);
+    session.held.insert(id, slot);
     true
 }
 
-/// Gives an idle held slot to the oldest fitting request of its account.
-pub(super) fn assign(board: &mut Board, pool: PoolId, grant: GrantId, now: Instant) -> bool {
+/// Assigns an idle held slot to the oldest suitable request of its account.
+pub(super) fn assign_slot(
+    board: &mut Blackboard,
+    pool: PoolId,
+    grant: GrantId,
+    now: Instant,
+) -> bool {
     let config = Arc::clone(&board.config);
-    let Some(slot) = board.links.get(&pool).and_then(|l| l.held.get(&grant)) else {
+    let Some(slot) = board.sessions.get(&pool).and_then(|s| s.held.get(&grant)) else {
         return false;
     };
     let (account, server) = (slot.account, slot.server);
@@ -195,25 +202,25 @@
     let Some(share) = config.share(account, server) else {
         return false;
     };
-    if takes_no_work(board, server, now) {
+    if is_leaving(board, server, now) {
         return false;
     }
-    let Some(request) = queue::next(board, known.service, account, server, now) else {
+    let Some(request) = queue::next_request(board, known.service, account, server, now) else {
         return false;
     };
     let Some(waiting) = cancel(board, request) else {
         return false;
     };
-    let Some(link) = board.links.get_mut(&pool) else {
+    let Some(session) = board.sessions.get_mut(&pool) else {
         return false;
     };
-    if let Some(slot) = link.held.get_mut(&grant) {
+    if let Some(slot) = session.held.get_mut(&grant) {
         slot.busy = true;
-        slot.since = now;
+        slot.started = now;
     }
-    let owner = link.owner.map_or(board.members.me, |(id, _)| id);
-    regions::spend(board, pool, waiting.bytes);
-    queue::note_served(board, known.service, account, now);
+    let owner = session.owner.map_or(board.members.me, |(id, _)| id);
+    cross_region::spend(board, pool, waiting.bytes);
+    queue::record_dispatch(board, known.service, account, now);
     board.dispatches.push(Dispatch {
         request,
         pool,
@@ -226,67 +233,67 @@
     true
 }
 
-/// Tells whether the configuration or the server itself says that it is leaving.
-fn takes_no_work(board: &Board, server: ServerId, now: Instant) -> bool {
+/// Returns true if the configuration or the server itself says that the server is leaving.
+fn is_leaving(board: &Blackboard, server: ServerId, now: Instant) -> bool {
     let listed = board.config.servers.get(&server).is_some_and(|s| s.leaving);
-    let said = board.said_leaving.get(&server);
-    listed || said.is_some_and(|at| now.duration_since(*at) < SAID_LEAVING)
+    let announced = board.leaving_servers.get(&server);
+    listed || announced.is_some_and(|at| now.duration_since(*at) < LEAVING_VALIDITY)
 }
 
-/// An answer of `server` said that it is leaving.
-pub fn on_server_leaving(board: &mut Board, server: ServerId, now: Instant) {
-    board.said_leaving.insert(server, now);
+/// Records that `server` announced in a response that it is leaving.
+pub fn on_server_leaving(board: &mut Blackboard, server: ServerId, now: Instant) {
+    board.leaving_servers.insert(server, now);
     board
-        .said_leaving
-        .retain(|_, at| now.duration_since(*at) < SAID_LEAVING);
+        .leaving_servers
+        .retain(|_, at| now.duration_since(*at) < LEAVING_VALIDITY);
 }
 
-/// A request has left its slot: the slot goes back, or is kept while the owner is silent.
+/// Frees the slot of a finished request: returns it, or retains it while the owner is unreachable.
 pub fn finish(
-    board: &mut Board,
+    board: &mut Blackboard,
     pool: PoolId,
     grant: GrantId,
     cost: f64,
     failed: bool,
     now: Instant,
 ) {
-    let Some(link) = board.links.get(&pool) else {
+    let Some(session) = board.sessions.get(&pool) else {
         return;
     };
-    let Some((owner, _)) = link.owner else {
+    let Some((owner, _)) = session.owner else {
         return;
     };
-    let Some(slot) = link.held.get(&grant).copied() else {
+    let Some(slot) = session.held.get(&grant).copied() else {
         return;
     };
-    let settled = link.settled;
+    let owner_ready = session.owner_ready;
     if let Some(server) = board.config.servers.get(&slot.server)
         && cost > 0.0
         && !failed
     {
-        let time = now.duration_since(slot.since);
-        queue::note_held(board, server.service, slot.account, time);
+        let time = now.duration_since(slot.started);
+        queue::record_holding_time(board, server.service, slot.account, time);
     }
-    // A new owner that still collects what entries hold grants nothing, so a slot that was handed
-    // back to it would idle as with a silent one.
-    let silent = board.silent(owner) || !settled;
+    // A new owner that is still collecting held slots doesn't grant, so a slot returned to it would
+    // idle as with an unreachable owner.
+    let retain = board.is_unreachable(owner) || !owner_ready;
     if slot.reused {
-        charge_own(board, slot, cost);
+        charge_locally(board, slot, cost);
     }
-    let told = if slot.reused { 0.0 } else { cost };
-    if silent && !failed {
-        note_late(board, pool, grant, told);
-        keep(board, pool, grant, now);
+    let reported_cost = if slot.reused { 0.0 } else { cost };
+    if retain && !failed {
+        record_late_cost(board, pool, grant, reported_cost);
+        retain_slot(board, pool, grant, now);
         return;
     }
-    give_back(board, pool, grant, told, failed);
+    return_slot(board, pool, grant, reported_cost, failed);
 }
 
-fn give_back(board: &mut Board, pool: PoolId, grant: GrantId, cost: f64, failed: bool) {
-    if let Some(link) = board.links.get_mut(&pool)
-        && link.held.remove(&grant).is_some()
+fn return_slot(board: &mut Blackboard, pool: PoolId, grant: GrantId, cost: f64, failed: bool) {
+    if let Some(session) = board.sessions.get_mut(&pool)
+        && session.held.remove(&grant).is_some()
     {
-        link.done.push(SlotRelease {
+        session.released.push(SlotRelease {
             grant,
             cost: cost as f32,
             failed,
@@ -294,7 +301,7 @@
     }
 }
 
-fn give_back_to(board: &mut Board, owner: InstanceId, pool: PoolId, grant: GrantId) {
+fn return_unused(board: &mut Blackboard, owner: InstanceId, pool: PoolId, grant: GrantId) {
     let done = SlotRelease {
         grant,
         cost: 0.0,
@@ -308,66 +315,66 @@
     board.outbox.push((owner, Message::Demand(demand)));
 }
 
-/// The owner asks what this entry holds, and tells up to which number its grants are settled.
+/// Handles an owner's request for the held slots, which also settles its grants up to `last`.
 pub fn on_sync(
-    board: &mut Board,
+    board: &mut Blackboard,
     from: InstanceId,
     incarnation: Incarnation,
     pool: PoolId,
     last: u32,
     ready: bool,
 ) {
-    if let Some(link) = board.links.get_mut(&pool)
-        && link.owner == Some((from, incarnation))
+    if let Some(session) = board.sessions.get_mut(&pool)
+        && session.owner == Some((from, incarnation))
     {
-        link.acknowledge(from, incarnation, last);
-        link.settled |= ready;
-        link.resync = true;
+        session.acknowledge(from, incarnation, last);
+        session.owner_ready |= ready;
+        session.resync = true;
     }
 }
 
-/// The connection to `peer` was renewed: say everything again.
-pub fn on_link(board: &mut Board, peer: InstanceId) {
-    board.broken.remove(&peer);
+/// Resends the complete state after the connection to `peer` was re-established.
+pub fn on_reconnected(board: &mut Blackboard, peer: InstanceId) {
+    board.broken_peers.remove(&peer);
     resync(board, peer);
 }
 
-/// Says everything again to `peer` as an owner, and asks it to do the same as an entry.
-pub fn resync(board: &mut Board, peer: InstanceId) {
-    for link in board.links.values_mut() {
-        if link.owner.is_some_and(|(o, _)| o == peer) {
-            link.resync = true;
+/// Schedules the complete state for `peer` as an owner, and requests the same from it as an entry.
+pub fn resync(board: &mut Blackboard, peer: InstanceId) {
+    for session in board.sessions.values_mut() {
+        if session.owner.is_some_and(|(o, _)| o == peer) {
+            session.resync = true;
         }
     }
-    let owned = board.owned.iter().filter(|(_, o)| o.active);
+    let owned = board.owned_pools.iter().filter(|(_, o)| o.active);
     let syncs: Vec<Message> = owned
         .map(|(pool, o)| Message::Sync {
             pool: *pool,
-            last_seq: o.last.get(&peer).copied().unwrap_or(0),
+            last_seq: o.last_grants.get(&peer).copied().unwrap_or(0),
             ready: o.announced,
         })
         .collect();
     board.outbox.extend(syncs.into_iter().map(|s| (peer, s)));
 }
 
-/// Tells owners what changed since they were last told.
-pub fn tell(board: &mut Board, now: Instant) {
-    let dirty = std::mem::take(&mut board.dirty);
+/// Sends owners what changed since the last message to them.
+pub fn notify_owners(board: &mut Blackboard, now: Instant) {
+    let dirty = std::mem::take(&mut board.dirty_queues);
     for (service, account) in dirty {
         update_wants(board, service, account);
     }
     let me = board.me();
     let pools: Vec<PoolId> = board
-        .links
+        .sessions
         .iter()
-        .filter(|(_, l)| l.resync || !l.done.is_empty() || !l.wants.is_empty())
+        .filter(|(_, s)| s.resync || !s.released.is_empty() || !s.pending_wants.is_empty())
         .map(|(id, _)| *id)
         .collect();
     for pool in pools {
-        let Some(owner) = board.links.get(&pool).and_then(|l| l.owner) else {
+        let Some(owner) = board.sessions.get(&pool).and_then(|s| s.owner) else {
             continue;
         };
-        if owner.0 != me && board.broken.contains(&owner.0) {
+        if owner.0 != me && board.broken_peers.contains(&owner.0) {
             continue;
         }
         let message = message_for(board, pool, owner.1, now);
@@ -375,36 +382,36 @@
     }
 }
 
-fn message_for(board: &mut Board, pool: PoolId, run: Incarnation, now: Instant) -> Message {
-    let link = board.links.entry(pool).or_default();
-    if !link.resync {
+fn message_for(board: &mut Blackboard, pool: PoolId, run: Incarnation, now: Instant) -> Message {
+    let session = board.sessions.entry(pool).or_default();
+    if !session.resync {
         return Message::Demand(Demand {
             pool,
-            requested: std::mem::take(&mut link.wants),
-            released: std::mem::take(&mut link.done),
+            requested: std::mem::take(&mut session.pending_wants),
+            released: std::mem::take(&mut session.released),
         });
     }
-    link.resync = false;
-    // What the list of held slots leaves out is free, so slots kept for want of an owner go back.
-    let kept: Vec<GrantId> = link
+    session.resync = false;
+    // Slots missing from the list of held ones count as free, which returns the unused ones.
+    let unused: Vec<GrantId> = session
         .held
         .iter()
         .filter(|(_, s)| !s.busy)
         .map(|(id, _)| *id)
         .collect();
-    for grant in kept {
+    for grant in unused {
         if !reuse(board, pool, grant, now)
-            && let Some(link) = board.links.get_mut(&pool)
+            && let Some(session) = board.sessions.get_mut(&pool)
         {
-            link.held.remove(&grant);
+            session.held.remove(&grant);
         }
     }
-    holding(board, pool, run)
+    holding_message(board, pool, run)
 }
 
-fn holding(board: &mut Board, pool: PoolId, run: Incarnation) -> Message {
-    let link = board.links.entry(pool).or_default();
-    let held = link
+fn holding_message(board: &mut Blackboard, pool: PoolId, run: Incarnation) -> Message {
+    let session = board.sessions.entry(pool).or_default();
+    let held = session
         .held
         .iter()
         .map(|(grant, slot)| GrantedSlot {
@@ -424,42 +431,50 @@
     let message = EntryState {
         pool,
         owner: run,
-        ack: link.ack(),
+        ack: session.ack(),
         held,
-        received: list(&link.received),
-        requested: list(&link.told),
-        released: link.late.drain(..).chain(link.done.drain(..)).collect(),
-        owner_ready: link.settled,
+        received: list(&session.grants_received),
+        requested: list(&session.reported_wants),
+        released: session
+            .late_costs
+            .drain(..)
+            .chain(session.released.drain(..))
+            .collect(),
+        owner_ready: session.owner_ready,
     };
-    link.wants.clear();
+    session.pending_wants.clear();
     Message::EntryState(message)
 }
 
-fn update_wants(board: &mut Board, service: ServiceId, account: AccountId) {
+fn update_wants(board: &mut Blackboard, service: ServiceId, account: AccountId) {
     let waiting = board
         .queues
         .get(&(service, account))
         .map_or(0, std::collections::VecDeque::len)
-        .min(WANT_CAP) as u32;
+        .min(MAX_WANT) as u32;
     let config = Arc::clone(&board.config);
     let Some(pools) = config.pools_by_service.get(&service) else {
         return;
     };
-    let chosen = regions::choose(board, service, account, pools);
+    let chosen = cross_region::select_pools(board, service, account, pools);
     for pool in pools {
-        let Some(link) = board.links.get_mut(pool) else {
+        let Some(session) = board.sessions.get_mut(pool) else {
             continue;
         };
-        let base = link.received.get(&account).copied().unwrap_or_default();
-        let open = if chosen.contains(pool) { waiting } else { 0 };
-        let wanted = base.wrapping_add(open);
-        let told = link.told.get(&account).copied();
-        if told == Some(wanted) || (told.is_none() && wanted == 0) {
+        let base = session
+            .grants_received
+            .get(&account)
+            .copied()
+            .unwrap_or_default();
+        let pending = if chosen.contains(pool) { waiting } else { 0 };
+        let wanted = base.wrapping_add(pending);
+        let reported = session.reported_wants.get(&account).copied();
+        if reported == Some(wanted) || (reported.is_none() && wanted == 0) {
             continue;
         }
-        link.told.insert(account, wanted);
-        link.wants.retain(|w| w.account != account);
-        link.wants.push(AccountTotal {
+        session.reported_wants.insert(account, wanted);
+        session.pending_wants.retain(|w| w.account != account);
+        session.pending_wants.push(AccountTotal {
             account,
             total: wanted,
         });
--- a/crates/hawthornmill/src/routing/allowance.rs
+++ b/crates/hawthornmill/src/routing/allowance.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: a few accounts ask for many times their share. Whatever they leave free, others find at once.
 
-use super::usage::{Share, Standing};
+use super::usage::{FairShare, ShareStatus};
 
 /// Part of a server's room and of the objective that a request of each standing may take.
 ///
@@ -22,18 +22,18 @@
 
 /// Part of a server's room and of the objective that a request of an account with `share` may take; `calm` says that
 /// nobody who goes before accounts beyond their share found no room lately.
-pub fn part(share: Share, calm: bool) -> f64 {
+pub fn capacity_fraction(share: FairShare, calm: bool) -> f64 {
     // Of two accounts beyond their share, the one that is ahead finds less room: alike, whoever has more entries to
     // come in by would have several times as much.
     let (parts, lead) = if calm {
-        (CALM_PARTS, share.lead / CALM_LEAD)
+        (CALM_PARTS, share.usage_ratio / CALM_LEAD)
     } else {
-        (PARTS, share.lead)
+        (PARTS, share.usage_ratio)
     };
-    parts[share.standing as usize] / lead.clamp(1.0, MOST_LEAD)
+    parts[share.status as usize] / lead.clamp(1.0, MOST_LEAD)
 }
 
 /// Servers of its family that may read a long shared part for a request of an account of `standing`.
-pub const fn copies(standing: Standing) -> usize {
+pub const fn max_prefix_copies(standing: ShareStatus) -> usize {
     COPIES[standing as usize]
 }
--- a/crates/hawthornmill/src/routing/mod.rs
+++ b/crates/hawthornmill/src/routing/mod.rs
@@ -6,40 +6,40 @@
 //!
 //! | module | owns |
 //! |---|---|
-//! | [`catalog`], [`table`] | what operators publish, and looking it up |
+//! | [`catalog`], [`route_table`] | what operators publish, and looking it up |
 //! | [`registry`] | servers as they registered themselves |
-//! | [`leaving`] | servers that leave, told at once |
+//! | [`departures`] | servers that leave, told at once |
 //! | [`shape`] | what a request will cost an engine |
-//! | [`loads`], [`memory`] | what is under way at each server, and what it has read |
-//! | [`reading`] | how long engines take to a first token |
+//! | [`loads`], [`prefix_index`] | what is under way at each server, and what it has read |
+//! | [`ttft`] | how long engines take to a first token |
 //! | [`request`] | a request that wants a server, and what can become of it |
-//! | [`place`] | the server for a request |
+//! | [`placement`] | the server for a request |
 //! | [`usage`] | what accounts asked for and got, and their max-min shares |
 //! | [`allowance`] | how much of a server an account's requests may take |
-//! | [`budget`] | second sends over the fleet |
-//! | [`shortage`] | what found no room lately |
-//! | [`desk`] | letting in, waiting, turning away |
-//! | [`news`] | what instances tell each other |
+//! | [`retry_budget`] | second sends over the fleet |
+//! | [`unmet_demand`] | what found no room lately |
+//! | [`scheduler`] | letting in, waiting, turning away |
+//! | [`gossip`] | what instances tell each other |
 //! | [`lag`] | how long it is known that others decide by something newer |
-//! | [`parts`] | what an instance knows, in parts that fit datagrams |
-//! | [`digest`] | what failure domains tell each other in a large fleet |
+//! | [`fragments`] | what an instance knows, in parts that fit datagrams |
+//! | [`domain_summary`] | what failure domains tell each other in a large fleet |
 
 pub mod allowance;
-pub mod budget;
 pub mod catalog;
-pub mod desk;
-pub mod digest;
+pub mod departures;
+pub mod domain_summary;
+pub mod fragments;
+pub mod gossip;
 pub mod lag;
-pub mod leaving;
 pub mod loads;
-pub mod memory;
-pub mod news;
-pub mod parts;
-pub mod place;
-pub mod reading;
+pub mod placement;
+pub mod prefix_index;
 pub mod registry;
 pub mod request;
+pub mod retry_budget;
+pub mod route_table;
+pub mod scheduler;
 pub mod shape;
-pub mod shortage;
-pub mod table;
+pub mod ttft;
+pub mod unmet_demand;
 pub mod usage;
--- a/crates/hawthornmill/src/routing/desk.rs
+++ b/crates/hawthornmill/src/routing/scheduler.rs
@@ -13,21 +13,24 @@
 use smallvec::SmallVec;
 
 use super::allowance;
-use super::budget::Budget;
-use super::digest::{self, DomainWork, Member, Members};
-use super::loads::{Loads, Work};
-use super::memory::PrefixMemory;
-use super::news::{Lack, News};
-use super::place::{Ask, Choice, Homes, Place, Unplaced, View, choose, is_long};
-use super::reading::ReadTimes;
-use super::registry::{Change, List, Registry};
-use super::request::{Cause, Decided, Outlook, Refusal, Request, Ticket, Verdict};
+use super::domain_summary::{self, DomainMembers, DomainWork, Member};
+use super::gossip::{InstanceReport, UnmetDemand};
+use super::loads::{LoadTracker, Work};
+use super::placement::{
+    HomeServers, Location, Placement, PlacementError, PlacementRequest, PlacementView,
+    choose_server, is_prefill_bound,
+};
+use super::prefix_index::PrefixIndex;
+use super::registry::{Change, RegistrationList, Registry};
+use super::request::{Admission, Cause, Decision, DecisionContext, Refusal, Request, Ticket};
+use super::retry_budget::RetryBudget;
 use super::shape::PrefixKey;
-use super::shortage::{Shortages, TOLD, shuts_out};
-use super::usage::{FADE, Share, Standing, Sums, Usage, standings};
+use super::ttft::TtftModel;
+use super::unmet_demand::{REPORT_TTL, UnmetDemandTracker, preempts_others};
+use super::usage::{AccountUsage, DECAY_TIME, FairShare, ShareStatus, UsageTracker, fair_shares};
 use crate::codes::Code;
 use crate::ident::{AccountId, DomainId, InstanceId, RegionId, ServerId, ServiceId};
-use crate::limits::pace::Pace;
+use crate::limits::queue_rate::QueueRate;
 
 /// Part of its objective for which a request waits for room at most; the rest is for its answer.
 const PATIENCE: f64 = 0.3;
@@ -39,7 +42,7 @@
 const NO_SERVER: Refusal = Refusal {
     code: Code::UpstreamUnreachable,
     cause: Cause::NoServer,
-    again: Duration::from_millis(700),
+    retry_after: Duration::from_millis(700),
 };
 
 /// A request that waits.
@@ -47,7 +50,7 @@
 struct InLine {
     request: Request,
     /// The only servers that it waits for; empty when any server will do.
-    homes: Homes,
+    homes: HomeServers,
 }
 
 /// What those further back in the line may not take, since others that go before wait for it.
@@ -55,47 +58,47 @@
 struct Taken {
     /// Services of which any server would do.
     services: SmallVec<[ServiceId; 4]>,
-    servers: Homes,
+    servers: HomeServers,
 }
 
 /// Everything that decides where requests go.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Scheduler {
     /// Servers.
     pub registry: Registry,
     /// Their work.
-    pub loads: Loads,
+    pub loads: LoadTracker,
     /// What they have read.
-    pub memory: PrefixMemory,
+    pub prefix_index: PrefixIndex,
     /// What accounts asked for and got.
-    pub usage: Usage,
+    pub account_usage: UsageTracker,
     /// Second sends.
-    pub budget: Budget,
+    pub retry_budget: RetryBudget,
     /// Region of each failure domain.
     pub regions: Vec<(DomainId, RegionId)>,
     /// Tokens a second of all engines; 0 when unknown.
     pub token_rate: f64,
-    place: Place,
-    times: BTreeMap<ServiceId, ReadTimes>,
-    paces: BTreeMap<ServiceId, Pace>,
+    place: Location,
+    times: BTreeMap<ServiceId, TtftModel>,
+    paces: BTreeMap<ServiceId, QueueRate>,
     line: SlotMap<Ticket, InLine>,
-    fleet: BTreeMap<AccountId, Sums>,
-    shares: BTreeMap<AccountId, Share>,
-    shortages: Shortages,
+    fleet: BTreeMap<AccountId, AccountUsage>,
+    shares: BTreeMap<AccountId, FairShare>,
+    shortages: UnmetDemandTracker,
     strays: VecDeque<(PrefixKey, ServerId, Instant)>,
     heard_strays: VecDeque<(PrefixKey, ServerId, Instant)>,
     shared: Option<Instant>,
 }
 
-impl Desk {
-    /// A desk that knows no server.
-    pub fn new(place: Place, budget: Budget) -> Self {
+impl Scheduler {
+    /// A scheduler that knows no server.
+    pub fn new(place: Location, budget: RetryBudget) -> Self {
         Self {
             registry: Registry::default(),
-            loads: Loads::default(),
-            memory: PrefixMemory::default(),
-            usage: Usage::default(),
-            budget,
+            loads: LoadTracker::default(),
+            prefix_index: PrefixIndex::default(),
+            account_usage: UsageTracker::default(),
+            retry_budget: budget,
             regions: Vec::new(),
             token_rate: 0.0,
             place,
@@ -104,7 +107,7 @@
             line: SlotMap::with_key(),
             fleet: BTreeMap::new(),
             shares: BTreeMap::new(),
-            shortages: Shortages::default(),
+            shortages: UnmetDemandTracker::default(),
             strays: VecDeque::new(),
             heard_strays: VecDeque::new(),
             shared: None,
@@ -112,39 +115,39 @@
     }
 
     /// Requests that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn queue_len(&self) -> usize {
         self.line.len()
     }
 
     /// Decides on a request that came, or that its server did not run.
-    pub fn ask(&mut self, request: &Request, now: Instant) -> Verdict {
+    pub fn submit(&mut self, request: &Request, now: Instant) -> Admission {
         self.count(request, now);
         self.work_out(now);
         let blocked = self.is_blocked(request, now);
-        let mut homes = Homes::new();
+        let mut homes = HomeServers::new();
         if let Some(kept) = self.kept_for_better(request)
             && !blocked
         {
             match self.place(request, &kept, now) {
-                Ok(choice) => return Verdict::Decided(Ok(choice)),
-                Err(Unplaced::NoServer) => return Verdict::Decided(Err(NO_SERVER)),
-                Err(Unplaced::TooLong) => {
-                    return Verdict::Decided(Err(self.refuse(request, Cause::TooLong, now)));
+                Ok(choice) => return Admission::Decided(Ok(choice)),
+                Err(PlacementError::NoServer) => return Admission::Decided(Err(NO_SERVER)),
+                Err(PlacementError::TooLong) => {
+                    return Admission::Decided(Err(self.refuse(request, Cause::TooLong, now)));
                 }
-                Err(Unplaced::AllFull) => {}
-                Err(Unplaced::HomesFull(full)) => homes = full,
+                Err(PlacementError::AllFull) => {}
+                Err(PlacementError::HomesFull(full)) => homes = full,
             }
         }
         let (standing, cost) = (self.standing(request), request.shape.cost());
-        self.shortages.add(request.service, standing, cost, now);
+        self.shortages.record(request.service, standing, cost, now);
         if blocked {
-            return Verdict::Decided(Err(self.refuse(request, Cause::OthersOwed, now)));
+            return Admission::Decided(Err(self.refuse(request, Cause::OverFairShare, now)));
         }
         if self.line.len() >= MOST_WAITING || self.is_hopeless(request, now) {
-            return Verdict::Decided(Err(self.refuse(request, Cause::Crowd, now)));
+            return Admission::Decided(Err(self.refuse(request, Cause::QueueFull, now)));
         }
         let request = request.clone();
-        Verdict::Wait(self.line.insert(InLine { request, homes }))
+        Admission::Queued(self.line.insert(InLine { request, homes }))
     }
 
     /// Counts a request that came for the first time.
@@ -152,9 +155,10 @@
         if !request.tried.is_empty() {
             return;
         }
-        self.budget.came(request.service, now);
+        self.retry_budget.record_request(request.service, now);
         if let Some(account) = request.account {
-            self.usage.asked(account, request.shape.cost(), now);
+            self.account_usage
+                .record_requested(account, request.shape.cost(), now);
         }
     }
 
@@ -163,7 +167,7 @@
     /// Nobody passes one of the same service that goes before and finds no room: a long prompt would
     /// never be placed while short ones keep taking what comes free. One that waits for few servers keeps
     /// the others from just these.
-    pub fn turn(&mut self, now: Instant) -> Vec<(Ticket, Decided)> {
+    pub fn dispatch_queued(&mut self, now: Instant) -> Vec<(Ticket, Decision)> {
         self.work_out(now);
         let mut order: Vec<Ticket> = self.line.keys().collect();
         order.sort_by_key(|t| self.rank(&self.line[*t].request));
@@ -182,23 +186,23 @@
     }
 
     /// Decides on one that waits; none when it stays in the line.
-    fn try_waiting(&mut self, ticket: Ticket, taken: &mut Taken, now: Instant) -> Option<Decided> {
+    fn try_waiting(&mut self, ticket: Ticket, taken: &mut Taken, now: Instant) -> Option<Decision> {
         let request = self.line[ticket].request.clone();
         let over = now >= patience_end(&request);
         if taken.services.contains(&request.service) || self.is_blocked(&request, now) {
-            return over.then(|| Err(self.refuse(&request, Cause::Waited, now)));
+            return over.then(|| Err(self.refuse(&request, Cause::QueueTimeout, now)));
         }
         match self.place(&request, &taken.servers, now) {
             Ok(choice) => Some(Ok(choice)),
-            Err(Unplaced::NoServer) => Some(Err(NO_SERVER)),
-            Err(Unplaced::TooLong) => Some(Err(self.refuse(&request, Cause::TooLong, now))),
-            Err(_full) if over => Some(Err(self.refuse(&request, Cause::Waited, now))),
-            Err(Unplaced::AllFull) => {
+            Err(PlacementError::NoServer) => Some(Err(NO_SERVER)),
+            Err(PlacementError::TooLong) => Some(Err(self.refuse(&request, Cause::TooLong, now))),
+            Err(_full) if over => Some(Err(self.refuse(&request, Cause::QueueTimeout, now))),
+            Err(PlacementError::AllFull) => {
                 taken.services.push(request.service);
                 self.line[ticket].homes.clear();
                 None
             }
-            Err(Unplaced::HomesFull(homes)) => {
+            Err(PlacementError::HomesFull(homes)) => {
                 taken.servers.extend_from_slice(&homes);
                 self.line[ticket].homes = homes;
                 None
@@ -207,20 +211,20 @@
     }
 
     /// A request that waited is no longer wanted by its caller.
-    pub fn leave(&mut self, ticket: Ticket) {
+    pub fn cancel(&mut self, ticket: Ticket) {
         self.line.remove(ticket);
     }
 
     /// Takes one change of a registration; false when it is older than what is known.
-    pub fn register(&mut self, change: Change, now: Instant) -> bool {
-        let taken = self.registry.take(change, now);
+    pub fn apply_change(&mut self, change: Change, now: Instant) -> bool {
+        let taken = self.registry.apply(change, now);
         self.forget_lost();
         taken
     }
 
-    /// Takes a whole list of registrations, as [`Registry::replace`] does.
-    pub fn list(&mut self, list: List, now: Instant) {
-        self.registry.replace(list, now);
+    /// Takes a whole list of registrations, as [`Registry::replace_all`] does.
+    pub fn replace_registrations(&mut self, list: RegistrationList, now: Instant) {
+        self.registry.replace_all(list, now);
         self.forget_lost();
     }
 
@@ -228,67 +232,72 @@
     ///
     /// Taken for the run before, such a server would draw prompts whose beginnings it no longer keeps.
     fn forget_lost(&mut self) {
-        for server in self.registry.take_lost() {
-            self.memory.forget(server);
+        for server in self.registry.take_lost_caches() {
+            self.prefix_index.remove_server(server);
         }
     }
 
     /// The first token, or the whole answer, came `time` after a request was sent.
     ///
     /// None when this process was behind with its work: the time would tell of that, and not of the server.
-    pub fn began(
+    pub fn record_first_token(
         &mut self,
         service: ServiceId,
-        choice: &Choice,
+        choice: &Placement,
         time: Option<Duration>,
         now: Instant,
     ) {
-        if let Some(time) = time.filter(|_| choice.ahead > 0) {
+        if let Some(time) = time.filter(|_| choice.queued_prefill > 0) {
             let times = self.times.entry(service).or_default();
-            times.observe(choice.ahead, time.saturating_sub(choice.way), now);
-            self.loads.observe(choice.server, choice.usual, time, now);
+            times.observe(
+                choice.queued_prefill,
+                time.saturating_sub(choice.round_trip),
+                now,
+            );
+            self.loads
+                .observe_latency(choice.server, choice.baseline_ttft, time, now);
         }
         let read = Work {
-            unread: choice.work.unread,
+            pending_prefill: choice.work.pending_prefill,
             ..Work::default()
         };
         self.loads.end(choice.server, read);
     }
 
-    /// The request is no longer under way; `began` says whether [`Self::began`] was called for it.
-    pub fn ended(&mut self, choice: &Choice, began: bool) {
+    /// The request is no longer under way; `began` says whether [`Self::record_first_token`] was called for it.
+    pub fn finish(&mut self, choice: &Placement, began: bool) {
         let mut work = choice.work;
         if began {
-            work.unread = 0;
+            work.pending_prefill = 0;
         }
         self.loads.end(choice.server, work);
     }
 
     /// What a decision on `request` rests on now.
-    pub fn outlook(&self, request: &Request, now: Instant) -> Outlook {
+    pub fn decision_context(&self, request: &Request, now: Instant) -> DecisionContext {
         let entries = self.registry.entries();
         let lack = self.better(request, now);
-        let mut outlook = Outlook {
+        let mut outlook = DecisionContext {
             share: self.share_of(request),
-            sums: self.sums_of(request),
-            waiting: self.line.len(),
-            short: lack.places.into(),
-            lack: lack.cost,
-            ..Outlook::default()
+            usage: self.sums_of(request),
+            queue_len: self.line.len(),
+            unmet_instances: lack.instances.into(),
+            unmet_cost: lack.cost,
+            ..DecisionContext::default()
         };
-        for (id, known) in entries.filter(|(_, k)| k.entry.service == request.service) {
+        for (id, known) in entries.filter(|(_, k)| k.registration.service == request.service) {
             outlook.servers += 1;
-            outlook.draining += usize::from(known.entry.draining);
+            outlook.draining += usize::from(known.registration.draining);
             outlook.down += usize::from(self.loads.is_down(id, now));
             let running = self.loads.total(id, now).running;
-            outlook.full += usize::from(running >= known.entry.slots);
+            outlook.full += usize::from(running >= known.registration.slots);
         }
         outlook
     }
 
     /// Drops what no longer counts and returns the servers that are gone.
     pub fn sweep(&mut self, now: Instant) -> Vec<ServerId> {
-        let gone = self.registry.sweep(now);
+        let gone = self.registry.expire(now);
         self.forget_lost();
         let registry = &self.registry;
         self.loads.sweep(|id| registry.get(id).is_some(), now);
@@ -300,63 +309,67 @@
         request: &Request,
         kept: &[ServerId],
         now: Instant,
-    ) -> Result<Choice, Unplaced> {
-        let calm = self.better(request, now).places == 0;
+    ) -> Result<Placement, PlacementError> {
+        let calm = self.better(request, now).instances == 0;
         let share = self.share_of(request);
-        let view = View {
+        let view = PlacementView {
             registry: &self.registry,
             loads: &self.loads,
-            memory: &self.memory,
-            place: self.place,
+            prefix_index: &self.prefix_index,
+            location: self.place,
             regions: &self.regions,
         };
-        let ask = Ask {
+        let ask = PlacementRequest {
             service: request.service,
             engine: request.engine,
             shape: &request.shape,
-            avoid: &request.tried,
-            kept,
-            times: self
+            excluded: &request.tried,
+            reserved: kept,
+            ttft: self
                 .times
                 .get(&request.service)
                 .copied()
                 .unwrap_or_default()
-                .at(now),
-            objective: (request.came + request.objective).saturating_duration_since(now),
-            promised: request.objective,
-            part: allowance::part(share, calm),
-            copies: allowance::copies(share.standing),
+                .decayed(now),
+            time_left: (request.arrival + request.objective).saturating_duration_since(now),
+            full_objective: request.objective,
+            capacity_fraction: allowance::capacity_fraction(share, calm),
+            max_copies: allowance::max_prefix_copies(share.status),
         };
-        let choice = choose(&view, &ask, now)?;
+        let choice = choose_server(&view, &ask, now)?;
         // Elsewhere it would begin sooner at the price of reading its shared part again, which is
         // what servers have no time for when this one is late.
-        let timely = choice.expected <= ask.objective;
-        if request.tried.is_empty() && !timely && !(calm && is_long(&choice, ask.objective)) {
+        let timely = choice.expected_ttft <= ask.time_left;
+        if request.tried.is_empty()
+            && !timely
+            && !(calm && is_prefill_bound(&choice, ask.time_left))
+        {
             // What would be late on idle servers too tells of no shortage.
-            return Err(if choice.alone > ask.objective {
-                Unplaced::TooLong
+            return Err(if choice.unloaded_ttft > ask.time_left {
+                PlacementError::TooLong
             } else {
-                Unplaced::AllFull
+                PlacementError::AllFull
             });
         }
         self.loads
-            .begin(choice.server, choice.work, ask.times.per_second(), now);
-        self.memory.note(choice.server, &request.shape, now);
-        if let (true, Some(family)) = (choice.stray, request.shape.family()) {
+            .begin(choice.server, choice.work, ask.ttft.prefill_rate(), now);
+        self.prefix_index.record(choice.server, &request.shape, now);
+        if let (true, Some(family)) = (choice.spilled, request.shape.shared_prefix()) {
             push_stray(&mut self.strays, family, choice.server, now);
         }
         if let Some(account) = request.account
             && request.tried.is_empty()
         {
-            self.usage.got(account, request.shape.cost(), now);
+            self.account_usage
+                .record_served(account, request.shape.cost(), now);
         }
         Ok(choice)
     }
 
     /// The servers for which others wait that go before `request`; none when some of those wait for any server.
-    fn kept_for_better(&self, request: &Request) -> Option<Homes> {
+    fn kept_for_better(&self, request: &Request) -> Option<HomeServers> {
         let rank = self.rank(request);
-        let mut kept = Homes::new();
+        let mut kept = HomeServers::new();
         for waiting in self.same(request.service) {
             if self.rank(&waiting.request) >= rank {
                 continue;
@@ -376,27 +389,28 @@
             .filter(move |w| w.request.service == service)
     }
 
-    fn rank(&self, request: &Request) -> (Standing, u32, Instant) {
-        (self.standing(request), request.priority, request.came)
+    fn rank(&self, request: &Request) -> (ShareStatus, u32, Instant) {
+        (self.standing(request), request.priority, request.arrival)
     }
 
-    fn standing(&self, request: &Request) -> Standing {
-        self.share_of(request).standing
+    fn standing(&self, request: &Request) -> ShareStatus {
+        self.share_of(request).status
     }
 
-    fn share_of(&self, request: &Request) -> Share {
+    fn share_of(&self, request: &Request) -> FairShare {
         let known = request.account.and_then(|a| self.shares.get(&a));
         known.copied().unwrap_or_default()
     }
 
-    fn sums_of(&self, request: &Request) -> Sums {
+    fn sums_of(&self, request: &Request) -> AccountUsage {
         let known = request.account.and_then(|a| self.fleet.get(&a));
         known.copied().unwrap_or_default()
     }
 
     /// What found no room lately, here or elsewhere, of accounts that are not beyond their share.
-    fn better(&self, request: &Request, now: Instant) -> Lack {
-        self.shortages.before(request.service, Standing::Above, now)
+    fn better(&self, request: &Request, now: Instant) -> UnmetDemand {
+        self.shortages
+            .ahead_of(request.service, ShareStatus::AboveFairShare, now)
     }
 
     /// Tells whether accounts that go before this request's find no room, here or elsewhere.
@@ -404,71 +418,79 @@
     /// Only accounts that are owed shut others out. Accounts around an even part change sides several
     /// times a second; if one side shut out the other each time, servers would idle.
     fn is_blocked(&self, request: &Request, now: Instant) -> bool {
-        let standing = self.standing(request).min(Standing::Below);
-        let lack = self.shortages.before(request.service, standing, now);
-        shuts_out(lack, self.token_rate)
+        let standing = self.standing(request).min(ShareStatus::BelowFairShare);
+        let lack = self.shortages.ahead_of(request.service, standing, now);
+        preempts_others(lack, self.token_rate)
     }
 
     /// Work that found no room lately, for the others.
-    pub fn told_short(&self, now: Instant) -> Vec<(ServiceId, Standing, Lack)> {
-        self.shortages.told(now)
+    pub fn unmet_demand(&self, now: Instant) -> Vec<(ServiceId, ShareStatus, UnmetDemand)> {
+        self.shortages.report(now)
     }
 
     /// Prefixes that were sent to other servers than their homes lately, for the others.
-    pub fn told_strays(&mut self, now: Instant) -> Vec<(PrefixKey, ServerId)> {
+    pub fn spilled_prefixes(&mut self, now: Instant) -> Vec<(PrefixKey, ServerId)> {
         self.strays
-            .retain(|(_, _, at)| now.duration_since(*at) < TOLD);
+            .retain(|(_, _, at)| now.duration_since(*at) < REPORT_TTL);
         self.strays.iter().map(|(f, s, _)| (*f, *s)).collect()
     }
 
     /// Takes what another instance tells.
-    pub fn hear(&mut self, from: InstanceId, news: &News, now: Instant) {
-        self.loads.hear(from, news.work.clone(), now);
-        self.usage.hear(from, news.usage.clone(), now);
-        for (family, server) in &news.strays {
-            self.memory.hear(*server, *family, now);
+    pub fn apply_report(&mut self, from: InstanceId, news: &InstanceReport, now: Instant) {
+        self.loads.apply_peer_report(from, news.work.clone(), now);
+        self.account_usage
+            .apply_peer_report(from, news.usage.clone(), now);
+        for (family, server) in &news.spilled {
+            self.prefix_index.record_remote(*server, *family, now);
         }
-        self.shortages.hear(from, &news.short, now);
-        for (family, server) in &news.strays {
+        self.shortages.apply_peer_report(from, &news.unmet, now);
+        for (family, server) in &news.spilled {
             push_stray(&mut self.heard_strays, *family, *server, now);
         }
     }
 
     /// What the own failure domain tells the others: `members` are its live instances, this one among them.
-    pub fn members(&mut self, domain: DomainId, members: Vec<Member>, now: Instant) -> Members {
+    pub fn domain_members(
+        &mut self,
+        domain: DomainId,
+        members: Vec<Member>,
+        now: Instant,
+    ) -> DomainMembers {
         let ids: Vec<InstanceId> = members.iter().map(|m| m.id).collect();
-        let short = self.shortages.sum(&ids, now);
-        let fresh = |at: &Instant| now.duration_since(*at) < TOLD;
+        let short = self.shortages.domain_sum(&ids, now);
+        let fresh = |at: &Instant| now.duration_since(*at) < REPORT_TTL;
         self.heard_strays.retain(|(_, _, at)| fresh(at));
         let all = self.strays.iter().chain(&self.heard_strays).rev();
         let strays = all.filter(|(_, _, at)| fresh(at));
-        Members {
+        DomainMembers {
             domain,
             members,
-            short,
-            strays: strays
-                .take(digest::MOST_STRAYS)
+            unmet: short,
+            spilled: strays
+                .take(domain_summary::MAX_SPILLED)
                 .map(|(f, s, _)| (*f, *s))
                 .collect(),
         }
     }
 
     /// Takes what another failure domain tells of itself.
-    pub fn hear_members(&mut self, members: &Members, now: Instant) {
-        let teller = digest::teller(members.domain, 0);
-        self.shortages.hear(teller, &members.short, now);
-        for (family, server) in &members.strays {
-            self.memory.hear(*server, *family, now);
+    pub fn apply_domain_members(&mut self, members: &DomainMembers, now: Instant) {
+        let teller = domain_summary::source_id(members.domain, 0);
+        self.shortages
+            .apply_peer_report(teller, &members.unmet, now);
+        for (family, server) in &members.spilled {
+            self.prefix_index.record_remote(*server, *family, now);
         }
     }
 
     /// Takes what another failure domain has under way.
-    pub fn hear_work(&mut self, told: DomainWork, now: Instant) {
-        let teller = told.teller();
-        if told.part == 0 {
-            self.usage.hear(teller, told.usage, now);
+    pub fn apply_domain_work(&mut self, told: DomainWork, now: Instant) {
+        let teller = told.source_id();
+        if told.number == 0 {
+            self.account_usage
+                .apply_peer_report(teller, told.usage, now);
         }
-        self.loads.hear(teller, told.work, now);
+        self.loads.apply_peer_report(teller, told.work, now);
     }
 
     /// Tells whether a request can't get to the head of the line while it may wait.
@@ -478,7 +500,7 @@
         let ahead = same.filter(|w| self.rank(&w.request) <= rank).count();
         let left = patience_end(request).saturating_duration_since(now);
         let pace = self.paces.get(&request.service);
-        left.is_zero() || pace.is_some_and(|p| p.hopeless(ahead, left, now))
+        left.is_zero() || pace.is_some_and(|p| p.misses_deadline(ahead, left, now))
     }
 
     fn refuse(&self, request: &Request, cause: Cause, now: Instant) -> Refusal {
@@ -490,11 +512,11 @@
             .unwrap_or_default();
         // The ticket's place in the line is as good a spread as any, and needs no randomness here.
         let draw = (ahead % 8) as f64 / 8.0;
-        let again = pace.come_back(ahead, draw, now);
+        let again = pace.retry_after(ahead, draw, now);
         Refusal {
             code: Code::QueueTooLong,
             cause,
-            again: again.max(request.objective.mul_f64(PATIENCE)),
+            retry_after: again.max(request.objective.mul_f64(PATIENCE)),
         }
     }
 
@@ -502,9 +524,9 @@
         let left = self.same(service).count();
         let pace = self.paces.entry(service).or_default();
         if placed {
-            pace.served(left, now);
+            pace.record_dispatch(left, now);
         } else if left == 0 {
-            pace.emptied();
+            pace.on_empty();
         }
     }
 
@@ -521,8 +543,8 @@
         if self.token_rate <= 0.0 {
             return;
         }
-        self.fleet = self.usage.fleet(now);
-        self.shares = standings(&self.fleet, self.token_rate * FADE.as_secs_f64());
+        self.fleet = self.account_usage.fleet_totals(now);
+        self.shares = fair_shares(&self.fleet, self.token_rate * DECAY_TIME.as_secs_f64());
     }
 }
 
@@ -532,12 +554,12 @@
     server: ServerId,
     now: Instant,
 ) {
-    if strays.len() >= digest::MOST_STRAYS {
+    if strays.len() >= domain_summary::MAX_SPILLED {
         strays.pop_front();
     }
     strays.push_back((family, server, now));
 }
 
 fn patience_end(request: &Request) -> Instant {
-    (request.came + request.objective.mul_f64(PATIENCE)).min(request.ends)
+    (request.arrival + request.objective.mul_f64(PATIENCE)).min(request.deadline)
 }
--- a/crates/hawthornmill/src/usage/wait_reason.rs
+++ b/crates/hawthornmill/src/usage/wait_reason.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-use crate::board::Board;
+use crate::blackboard::Blackboard;
 use crate::codes::Code;
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, RegionId, ServiceId};
 
@@ -82,16 +82,16 @@
 
 impl WaitTracker {
     /// Records the present state of the board.
-    pub fn observe(&mut self, board: &Board, now: Instant) {
-        if board.stale.is_some() {
+    pub fn observe(&mut self, board: &Blackboard, now: Instant) {
+        if board.stale_since.is_some() {
             self.stale = Some(now);
         }
         for region in unreachable_regions(board) {
             self.unreachable.insert(region, now);
         }
-        for (pool, link) in &board.links {
+        for (pool, link) in &board.sessions {
             let known = self.owners.get(pool).copied();
-            let silent = link.owner.is_none_or(|(id, _)| board.silent(id));
+            let silent = link.owner.is_none_or(|(id, _)| board.is_unreachable(id));
             // The first owner that a process learns of is not a change.
             let changed = known.is_some() && known != link.owner;
             if silent || changed {
@@ -107,7 +107,7 @@
     /// Why a call of `account` waited from `arrived` until `now`.
     pub fn reason(
         &self,
-        board: &Board,
+        board: &Blackboard,
         service: ServiceId,
         account: AccountId,
         arrived: Instant,
@@ -147,7 +147,7 @@
 }
 
 /// Other regions with known instances, none of which is live.
-fn unreachable_regions(board: &Board) -> impl Iterator<Item = RegionId> {
+fn unreachable_regions(board: &Blackboard) -> impl Iterator<Item = RegionId> {
     let own = board.members.own().region;
     let mut any_live = BTreeMap::new();
     for member in board.members.map.values().filter(|m| m.region != own) {
@@ -160,7 +160,7 @@
 }
 
 /// Returns whether a pool with servers that `account` may not use has free slots.
-fn has_free_slots_elsewhere(board: &Board, service: ServiceId, account: AccountId) -> bool {
+fn has_free_slots_elsewhere(board: &Blackboard, service: ServiceId, account: AccountId) -> bool {
     let config = &board.config;
     let closed = |pool: &PoolId| {
         let servers = config.pools.get(pool).map(|p| &p.servers);
@@ -170,9 +170,9 @@
             .any(|s| config.share(account, *s).is_none())
     };
     let idle = |pool: &PoolId| {
-        let owner = board.links.get(pool).and_then(|l| l.owner);
+        let owner = board.sessions.get(pool).and_then(|l| l.owner);
         owner
-            .and_then(|(id, _)| board.reports.pool(*pool, id))
+            .and_then(|(id, _)| board.reports.pool_state(*pool, id))
             .is_some_and(|s| s.idle > 0)
     };
     let pools = config.pools_by_service.get(&service);
--- a/crates/hawthornmill/src/wire/message.rs
+++ b/crates/hawthornmill/src/wire/message.rs
@@ -6,11 +6,11 @@
 use crate::config::Manifest;
 use crate::fairness::CostKey;
 use crate::ident::{AccountId, Incarnation, InstanceId, PoolId, ServerId};
-use crate::routing::digest::{DomainWork, Members};
-use crate::routing::leaving::Leaving;
+use crate::routing::departures::Departure;
+use crate::routing::domain_summary::{DomainMembers, DomainWork};
+use crate::routing::fragments::{Fragment, FragmentRequest};
+use crate::routing::gossip::{InstanceReport, SyncRequest, SyncResponse};
 use crate::routing::loads::Work;
-use crate::routing::news::{Knowledge, News, Pull};
-use crate::routing::parts::{Part, Wanted};
 
 /// Identifies a grant: the owner that issued it and its number there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -316,21 +316,21 @@
     /// Old owner to new owner.
     Handover(Handover),
     /// State of a gateway instance for the others, over UDP.
-    News(Box<News>),
+    News(Box<InstanceReport>),
     /// Requests that a gateway instance has in flight, between two full updates, over UDP.
     Work(Vec<(ServerId, Work)>),
     /// Members of a failure domain of a large fleet, over UDP.
-    Members(Box<Members>),
+    Members(Box<DomainMembers>),
     /// Requests that such a failure domain has in flight, over UDP.
     DomainWork(Box<DomainWork>),
     /// Requests newer state from a gateway instance.
-    Pull(Pull),
+    Pull(SyncRequest),
     /// Response with that state.
-    Knowledge(Box<Knowledge>),
+    Knowledge(Box<SyncResponse>),
     /// Servers that a gateway instance knows to be leaving, over UDP.
-    Leaving(Vec<Leaving>),
+    Leaving(Vec<Departure>),
     /// Requests newer state from a gateway instance in parts, over UDP.
-    Wanted(Wanted),
+    Wanted(FragmentRequest),
     /// Response with one part of it.
-    Part(Part),
+    Part(Fragment),
 }
--- a/tests/soak/promises.rs
+++ b/tests/soak/promises.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use crate::callers::{Kind, Outcome, Seen};
-use crate::server::{Act, Arrival};
+use crate::scripted_server::{Behavior, ReceivedRequest};
 
 /// Time without trouble after which a process must keep its bounds.
 const STABLE: Duration = Duration::from_secs(4);
@@ -38,7 +38,7 @@
     /// Attempts.
     pub seen: Vec<Seen>,
     /// Requests that reached servers, with the number of the server.
-    pub arrivals: Vec<(usize, Arrival)>,
+    pub arrivals: Vec<(usize, ReceivedRequest)>,
     /// Kills and pauses of each gateway.
     pub routers: Vec<Vec<Span>>,
     /// When a gateway was told to stop, and when it had ended.
@@ -92,9 +92,13 @@
 
 /// Every promise that was not kept.
 pub fn check(records: &Records) -> Vec<Breach> {
-    let mut arrivals: BTreeMap<&str, Vec<(usize, &Arrival)>> = BTreeMap::new();
+    let mut arrivals: BTreeMap<&str, Vec<(usize, &ReceivedRequest)>> = BTreeMap::new();
     for (server, arrival) in &records.arrivals {
-        let id = arrival.head.fields.text("attempt-id").unwrap_or_default();
+        let id = arrival
+            .head
+            .headers
+            .get_str("attempt-id")
+            .unwrap_or_default();
         arrivals.entry(id).or_default().push((*server, arrival));
     }
     let none = Vec::new();
@@ -125,14 +129,14 @@
     all
 }
 
-fn once(seen: &Seen, reached: &[(usize, &Arrival)]) -> Option<Breach> {
-    let runs = reached.iter().filter(|(_, a)| a.ran).count();
+fn once(seen: &Seen, reached: &[(usize, &ReceivedRequest)]) -> Option<Breach> {
+    let runs = reached.iter().filter(|(_, a)| a.executed).count();
     let single = matches!(seen.kind, Kind::Once | Kind::Whole);
     (single && runs > 1).then(|| breach("at most once", &seen.id, format!("{runs} runs")))
 }
 
-fn refused(seen: &Seen, reached: &[(usize, &Arrival)]) -> Option<Breach> {
-    let ran = reached.iter().any(|(_, a)| a.ran);
+fn refused(seen: &Seen, reached: &[(usize, &ReceivedRequest)]) -> Option<Breach> {
+    let ran = reached.iter().any(|(_, a)| a.executed);
     let said = matches!(seen.status(), 408 | 421 | 429 | 503);
     let single = matches!(seen.kind, Kind::Once | Kind::Whole);
     (said && ran && single).then(|| {
@@ -301,7 +305,7 @@
 fn answer_lost(
     records: &Records,
     seen: &Seen,
-    reached: &[(usize, &Arrival)],
+    reached: &[(usize, &ReceivedRequest)],
     lost: &mut Vec<Breach>,
 ) -> Option<Breach> {
     let cut = match &seen.outcome {
@@ -310,8 +314,10 @@
         _ => false,
     };
     let (server, arrival) = reached.last()?;
-    let sound =
-        matches!(arrival.act, Act::Serve | Act::Slow(_) | Act::Stream(_)) && reached.len() == 1;
+    let sound = matches!(
+        arrival.behavior,
+        Behavior::Respond | Behavior::RespondAfterMs(_) | Behavior::Stream(_)
+    ) && reached.len() == 1;
     let links: Vec<Span> = records
         .links
         .iter()
@@ -342,15 +348,19 @@
     let by_id: BTreeMap<&str, &Seen> = records.seen.iter().map(|s| (&*s.id, s)).collect();
     let mut all = Vec::new();
     for (server, arrival) in &records.arrivals {
-        let id = arrival.head.fields.text("attempt-id").unwrap_or_default();
+        let id = arrival
+            .head
+            .headers
+            .get_str("attempt-id")
+            .unwrap_or_default();
         let Some(seen) = by_id.get(id) else { continue };
         let late = records.drains.iter().find(|(s, (from, to))| {
-            s == server && arrival.at > *from + DRAINED && arrival.at < *to
+            s == server && arrival.received_at > *from + DRAINED && arrival.received_at < *to
         });
         if let Some((_, (from, _))) = late
             && left_alone(records, seen, *from)
         {
-            let after = arrival.at.duration_since(*from).as_millis();
+            let after = arrival.received_at.duration_since(*from).as_millis();
             all.push(breach(
                 "draining servers get nothing new",
                 id,
@@ -361,7 +371,10 @@
     all
 }
 
-fn budget(records: &Records, arrivals: &BTreeMap<&str, Vec<(usize, &Arrival)>>) -> Option<Breach> {
+fn budget(
+    records: &Records,
+    arrivals: &BTreeMap<&str, Vec<(usize, &ReceivedRequest)>>,
+) -> Option<Breach> {
     let again: usize = arrivals.values().map(|a| a.len() - 1).sum();
     let most = SENDS_PART * records.seen.len() as f64 + EXTRA_SENDS;
     (again as f64 > most).then(|| {
@@ -394,10 +407,10 @@
 fn unasked(records: &Records) -> Vec<Breach> {
     let mut all = Vec::new();
     for (_, arrival) in &records.arrivals {
-        let fields = &arrival.head.fields;
-        let id = fields.text("attempt-id").unwrap_or_default();
+        let fields = &arrival.head.headers;
+        let id = fields.get_str("attempt-id").unwrap_or_default();
         let fits = arrival.body == b"body"
-            && fields.text("tenant") == Some("lab")
+            && fields.get_str("tenant") == Some("lab")
             && fields.get("authorization").is_none()
             && &*arrival.head.method == "POST";
         if !fits {
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -14,7 +14,7 @@
 use crate::plan::{Size, Step, Timed};
 use crate::plant::{self, Plant};
 use crate::promises::{EVENTS, Records, Span};
-use crate::server::Act;
+use crate::scripted_server::Behavior;
 use crate::store::Mode;
 
 /// Callers for each gateway.
@@ -78,11 +78,11 @@
     world.finish()
 }
 
-fn usual(head: &RequestHead) -> Act {
+fn usual(head: &RequestHead) -> Behavior {
     if head.target.starts_with("/stream/") || head.target.starts_with("/whole/") {
-        Act::Stream(EVENTS)
+        Behavior::Stream(EVENTS)
     } else {
-        Act::Slow(10)
+        Behavior::RespondAfterMs(10)
     }
 }
 
@@ -95,7 +95,7 @@
         let mut fleet = Fleet::prepare(size.routers, size.servers).await;
         let mut relays = Vec::new();
         for server in fleet.servers.clone() {
-            server.usually(usual);
+            server.set_default(usual);
             let relay = Relay::start(server.address).await.expect("a port is free");
             fleet.register_at(&server, relay.address, "ready");
             relays.push(relay);
@@ -108,7 +108,7 @@
         }
         let mut fronts: Vec<SocketAddr> = Vec::new();
         for gateway in &fleet.gateways {
-            crate::fleet::until("the gateway is ready", || gateway.is_ready()).await;
+            crate::fleet::wait_until("the gateway is ready", || gateway.is_ready()).await;
             fronts.push(match plant {
                 Some(plant) => plant::before(gateway.front(), plant).await,
                 None => gateway.front(),
@@ -162,7 +162,7 @@
                 self.fleet.gateways[router].signal(Signal::SIGHUP);
             }
             Step::Store(mode) => self.store(mode, now),
-            Step::Forget => self.fleet.store.lose_history(None),
+            Step::Forget => self.fleet.store.drop_history(None),
             Step::AddRoute => self.add_route(now),
             Step::DropRoute => self.drop_route(now),
             Step::Revoke if !self.revoked => self.revoke(now),
@@ -201,7 +201,7 @@
             match self.lives[router] {
                 Life::Down(at) if now > at + RESTART => self.begin(router),
                 Life::Stopping(at) => {
-                    let code = self.fleet.gateways[router].ended();
+                    let code = self.fleet.gateways[router].exit_code();
                     if code.is_some() || now > at + GRACE {
                         self.records.exits.push((router, code));
                         self.fleet.gateways[router].kill();
@@ -223,7 +223,7 @@
     fn store(&mut self, mode: Mode, now: Instant) {
         self.fleet.store.set_mode(mode);
         close(&mut self.records.store, now);
-        if mode != Mode::Sound {
+        if mode != Mode::Healthy {
             self.records.store.push(open(now));
         }
     }
@@ -307,7 +307,7 @@
         }
         self.records.seen = std::mem::take(&mut *self.field.seen.lock().expect("no holder panics"));
         for (number, server) in self.fleet.servers.iter().enumerate() {
-            let arrivals = server.arrivals().into_iter().map(|a| (number, a));
+            let arrivals = server.received().into_iter().map(|a| (number, a));
             self.records.arrivals.extend(arrivals);
         }
         (self.records, self.fleet)
--- a/tests/testsuite/gateway/connections.rs
+++ b/tests/testsuite/gateway/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to servers.
+//! The pool of connections to backend servers.
 
 use std::time::{Duration, Instant};
 
@@ -9,10 +9,10 @@
 
 use crate::block_on;
 
-/// Requests that must not run twice take only connections used a moment ago, so each burst makes new
-/// ones and leaves them idle. A server resets what is over its bound, and might reset one in use.
+/// Failure: requests that must not be executed twice only reuse recently used connections, so each burst
+/// opens new ones. A server resets connections above its limit, and could reset one in use.
 #[test]
-fn idle_connections_stay_within_the_bound_and_the_newest_stay() {
+fn idle_limit_keeps_newest_connections() {
     block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
@@ -24,10 +24,10 @@
         for _ in 0..5 {
             let stream = TcpStream::connect(address)
                 .await
-                .expect("the listener listens");
+                .expect("the listener accepts connections");
             kept.push(stream.local_addr().expect("the connection has an address"));
             let (buffer, reused) = (BytesMut::new(), false);
-            pool.give(
+            pool.put_back(
                 server,
                 Upstream {
                     stream,
@@ -42,9 +42,9 @@
         let idle = pool.idle_count(server);
         let later = now + Duration::from_millis(10);
         let taken = pool
-            .take(server, address, true, later)
+            .acquire(server, address, true, later)
             .await
-            .expect("one is idle");
+            .expect("a connection is idle");
 
         assert_eq!(idle, 2);
         assert!(taken.reused);
@@ -53,28 +53,30 @@
 }
 
 #[test]
-fn nothing_is_kept_for_a_server_that_is_gone_or_sent_more_than_its_answer() {
+fn connection_of_gone_server_or_with_extra_bytes_is_not_pooled() {
     block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a port is free");
         let address = listener.local_addr().expect("the listener has an address");
         let (pool, server, now) = (Pool::default(), ServerId::of("s"), Instant::now());
-        let link = || async {
+        let connect = || async {
             let stream = TcpStream::connect(address)
                 .await
-                .expect("the listener listens");
+                .expect("the listener accepts connections");
             Upstream {
                 stream,
                 buffer: BytesMut::new(),
                 reused: false,
             }
         };
-        let mut more = link().await;
-        more.buffer.extend_from_slice(b"HTTP/1.1 200 OK\r\n");
+        let mut with_extra_bytes = connect().await;
+        with_extra_bytes
+            .buffer
+            .extend_from_slice(b"HTTP/1.1 200 OK\r\n");
 
-        pool.give(server, link().await, None, 0, now);
-        pool.give(server, more, None, 2, now);
+        pool.put_back(server, connect().await, None, 0, now);
+        pool.put_back(server, with_extra_bytes, None, 2, now);
 
         assert_eq!(pool.idle_count(server), 0);
     });
--- /dev/null
+++ b/tests/testsuite/gateway/missed_updates.rs
@@ -0,0 +1,383 @@
+//! Outages and faults of the store, and the exchange of state between instances.
+
+use std::cell::RefCell;
+use std::time::Duration;
+
+use hawthornmill::ident::{DomainId, Incarnation, InstanceId, ServerId};
+use hawthornmill::routing::departures::Departure;
+use hawthornmill::routing::fragments::split_fragments;
+use hawthornmill::routing::gossip::{InstanceReport, PeerInfo, SyncResponse};
+use hawthornmill::wire::{Message, Opener, Sealer};
+use hawthornmill_test_support::news::news_of;
+use serde_json::json;
+
+use super::fleet::{Fleet, PEER_PORT, config, frame_key, request, route, send_request, wait_until};
+use super::store::Mode;
+use crate::block_on;
+
+fn with_route(version: u64, name: &str) -> String {
+    let mut config = config(version);
+    if let Some(routes) = config["routes"].as_array_mut() {
+        routes.push(route(name, "idempotent", &json!({})));
+    }
+    config.to_string()
+}
+
+/// A configuration too large for one datagram.
+fn with_many_routes(version: u64) -> String {
+    let mut config = config(version);
+    if let Some(routes) = config["routes"].as_array_mut() {
+        let more = (0..100).map(|n| route(&format!("added-{n}"), "idempotent", &json!({})));
+        routes.extend(more);
+    }
+    config.to_string()
+}
+
+/// A fake instance that only exchanges datagrams; connections to it fail.
+struct Peer {
+    socket: tokio::net::UdpSocket,
+    to: std::net::SocketAddr,
+    sealer: RefCell<Sealer>,
+}
+
+impl Peer {
+    /// Creates a peer of the first gateway, with run number `run`.
+    async fn bind(fleet: &Fleet, run: u64) -> Self {
+        let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await;
+        let sealer = Sealer::new(frame_key(), InstanceId::of("other"), Incarnation(run), 0);
+        Self {
+            socket: socket.expect("a port is free"),
+            to: std::net::SocketAddr::new(fleet.gateways[0].ip, PEER_PORT),
+            sealer: RefCell::new(sealer),
+        }
+    }
+
+    async fn send(&self, message: &Message) {
+        let frame = self.sealer.borrow_mut().seal(message);
+        let frame = frame.expect("the message can be encoded");
+        let sent = self.socket.send_to(&frame, self.to).await;
+        sent.expect("the datagram can be sent");
+    }
+
+    /// Announces `port` as the port for clients, and a catalog of `version`.
+    async fn announce(&self, port: u16, version: u64) {
+        let own = self.socket.local_addr().expect("the socket has an address");
+        let mate = PeerInfo {
+            client_addr: std::net::SocketAddr::new(own.ip(), port),
+            peer_addr: own,
+            domain: DomainId::of("a"),
+        };
+        let news = InstanceReport {
+            catalog_version: version,
+            revision: 0,
+            ..news_of(mate)
+        };
+        for _ in 0..20 {
+            self.send(&Message::News(Box::new(news.clone()))).await;
+        }
+    }
+
+    /// Answers each pull with `knowledge`, but drops the first part each time.
+    async fn serve_parts(&self, knowledge: &SyncResponse) {
+        let whole = postcard::to_allocvec(knowledge).expect("the state can be encoded");
+        let mut opener = Opener::new(frame_key(), 0);
+        let mut buffer = vec![0; 2_048];
+        loop {
+            let (length, _) = self
+                .socket
+                .recv_from(&mut buffer)
+                .await
+                .expect("a datagram arrives");
+            let frame = opener.open(&buffer[..length]);
+            if let Ok(Message::Wanted(wanted)) = frame.map(|f| f.message) {
+                let parts = split_fragments(&whole, &wanted);
+                let lost = usize::from(parts.len() > 1);
+                for part in parts.into_iter().skip(lost) {
+                    self.send(&Message::Part(part)).await;
+                }
+            }
+        }
+    }
+}
+
+async fn status(front: std::net::SocketAddr, path: &str) -> u16 {
+    send_request(front, request("GET", path, "a", "").as_bytes())
+        .await
+        .map_or(0, |a| a.status())
+}
+
+/// Failure: the directory of an instance omits a ready instance.
+#[test]
+fn directory_lists_every_ready_instance() {
+    block_on(async {
+        let fleet = Fleet::start(3, 1).await;
+        let all: Vec<_> = fleet
+            .gateways
+            .iter()
+            .map(super::fleet::Gateway::front)
+            .collect();
+
+        for gateway in &fleet.gateways {
+            wait_until("every instance is listed", || async {
+                let listed = gateway.listed_addresses().await;
+                all.iter().all(|a| listed.contains(a))
+            })
+            .await;
+        }
+    });
+}
+
+/// Failure: an instance that the store rejects keeps its old routes and sends requests to a draining server.
+///
+/// The store serves the other instance, which passes the changes on.
+#[test]
+fn instance_without_store_access_misses_no_update() {
+    block_on(async {
+        let fleet = Fleet::start(2, 1).await;
+        let cut = &fleet.gateways[1];
+        fleet.store.reject_address(cut.ip);
+
+        fleet
+            .store
+            .put("op/config", with_route(2, "added").as_bytes());
+        wait_until("the instance serves the route", || async {
+            status(cut.front(), "/added/").await == 200
+        })
+        .await;
+        fleet.register(&fleet.servers[0], "draining");
+        wait_until("the instance sends nothing to the server", || async {
+            status(cut.front(), "/added/").await == 503
+        })
+        .await;
+    });
+}
+
+/// Failure: an instance that restarts during an outage of the store never gets a catalog or registrations.
+///
+/// Another instance has both.
+#[test]
+fn restart_during_store_outage_loses_no_state() {
+    block_on(async {
+        let mut fleet = Fleet::start(2, 1).await;
+        fleet
+            .store
+            .put("op/config", with_route(2, "added").as_bytes());
+        let front = fleet.gateways[0].front();
+        wait_until("the route is served", || async {
+            status(front, "/added/").await == 200
+        })
+        .await;
+        fleet.store.set_mode(Mode::Unresponsive);
+
+        fleet.gateways[1].kill();
+        fleet.gateways[1].start();
+
+        wait_until("the instance is ready", || fleet.gateways[1].is_ready()).await;
+        assert_eq!(status(fleet.gateways[1].front(), "/added/").await, 200);
+    });
+}
+
+/// Failure: an instance no longer follows changes after the store was unresponsive or answered with errors.
+#[test]
+fn store_outage_stops_no_later_update() {
+    block_on(async {
+        let fleet = Fleet::start(1, 1).await;
+        let front = fleet.gateways[0].front();
+        for mode in [Mode::Unresponsive, Mode::Refusing] {
+            fleet.store.set_mode(mode);
+            tokio::time::sleep(Duration::from_millis(200)).await;
+            assert_eq!(
+                status(front, "/get/").await,
+                200,
+                "known routes are still served"
+            );
+            fleet.store.set_mode(Mode::Healthy);
+        }
+
+        fleet
+            .store
+            .put("op/config", with_route(2, "added").as_bytes());
+
+        wait_until("the route is served", || async {
+            status(front, "/added/").await == 200
+        })
+        .await;
+    });
+}
+
+/// Failure: a removal is missed because the store drops its history, and only a new list shows the removal.
+#[test]
+fn lost_history_hides_no_removed_server() {
+    block_on(async {
+        let fleet = Fleet::start(1, 2).await;
+        let front = fleet.gateways[0].front();
+        fleet.store.drop_history(Some("servers/i-0"));
+        wait_until("the instance notices the loss", || async {
+            !fleet.gateways[0].logged("store_history_lost").is_empty()
+        })
+        .await;
+        tokio::time::sleep(Duration::from_millis(2_600)).await;
+        let before = fleet.servers[0].received().len();
+
+        for _ in 0..10 {
+            assert_eq!(status(front, "/get/").await, 200);
+        }
+
+        assert_eq!(fleet.servers[0].received().len(), before);
+    });
+}
+
+/// Failure: an instance calls the store often although nothing changes; each call costs the platform something.
+#[test]
+fn idle_instance_makes_few_store_calls() {
+    block_on(async {
+        let fleet = Fleet::start(1, 1).await;
+        tokio::time::sleep(Duration::from_millis(500)).await;
+        let before = fleet.store.calls();
+
+        tokio::time::sleep(Duration::from_secs(5)).await;
+
+        let calls = fleet.store.calls() - before;
+        assert!(calls <= 8, "{calls} calls in five seconds");
+    });
+}
+
+/// Failure: an instance that knows of a newer catalog, but can't get it, answers 404 for a route that the newer one has.
+#[test]
+fn outdated_catalog_causes_no_final_error() {
+    block_on(async {
+        let fleet = Fleet::start(1, 1).await;
+        let front = fleet.gateways[0].front();
+        assert_eq!(
+            status(front, "/added/").await,
+            404,
+            "its catalog is the newest"
+        );
+        let peer = Peer::bind(&fleet, 1).await;
+
+        wait_until("the instance learns of a newer catalog", || async {
+            peer.announce(1_001, 2).await;
+            status(front, "/added/").await == 503
+        })
+        .await;
+
+        assert_eq!(
+            status(front, "/get/").await,
+            200,
+            "known routes are still served"
+        );
+        fleet
+            .store
+            .put("op/config", with_route(2, "added").as_bytes());
+        wait_until("the route is served", || async {
+            status(front, "/added/").await == 200
+        })
+        .await;
+        assert_eq!(
+            status(front, "/unknown/").await,
+            404,
+            "its catalog is the newest"
+        );
+    });
+}
+
+/// Failure: an instance can't get a catalog that others have long applied, and serves requests by its old one.
+#[test]
+fn outdated_instance_accepts_no_requests() {
+    block_on(async {
+        let fleet = Fleet::start(1, 1).await;
+        let gateway = &fleet.gateways[0];
+        let peer = Peer::bind(&fleet, 1).await;
+
+        wait_until("the instance accepts no requests", || async {
+            peer.announce(1_001, 2).await;
+            status(gateway.front(), "/get/").await == 503 && !gateway.is_ready().await
+        })
+        .await;
+
+        wait_until(
+            "the instance accepts requests once nobody has a newer catalog",
+            || async { status(gateway.front(), "/get/").await == 200 && gateway.is_ready().await },
+        )
+        .await;
+    });
+}
+
+/// Failure: an instance whose registrations are late sends requests to a server that others know is leaving.
+#[test]
+fn late_registrations_send_nothing_to_a_leaving_server() {
+    block_on(async {
+        let fleet = Fleet::start(1, 2).await;
+        let front = fleet.gateways[0].front();
+        let peer = Peer::bind(&fleet, 1).await;
+        let leaving = Departure {
+            server: ServerId::of("i-0"),
+            revision: 1_000,
+        };
+
+        wait_until("the instance receives the announcement", || async {
+            peer.send(&Message::Leaving(vec![leaving])).await;
+            !fleet.gateways[0].logged("registration_leaving").is_empty()
+        })
+        .await;
+        let before = fleet.servers[0].received().len();
+
+        for _ in 0..10 {
+            assert_eq!(status(front, "/get/").await, 200);
+        }
+        assert_eq!(fleet.servers[0].received().len(), before);
+    });
+}
+
+/// Failure: clients congest an instance's link, its connections to peers time out, and it never gets a new catalog.
+#[test]
+fn congested_link_blocks_no_catalog() {
+    block_on(async {
+        let fleet = Fleet::start(1, 1).await;
+        let front = fleet.gateways[0].front();
+        let peer = Peer::bind(&fleet, 1).await;
+        let catalog = hawthornmill_platform::catalog::parse(with_many_routes(2).as_bytes());
+        let knowledge = SyncResponse {
+            catalog: Some(catalog.expect("the catalog is valid")),
+            registrations: None,
+            unconfirmed: Vec::new(),
+            revision: 0,
+        };
+        peer.announce(1_001, 2).await;
+
+        let served = wait_until("the route is served", || async {
+            peer.announce(1_001, 2).await;
+            status(front, "/added-99/").await == 200
+        });
+        tokio::select! {
+            () = served => {}
+            () = peer.serve_parts(&knowledge) => {}
+        }
+    });
+}
+
+/// Failure: a process that restarts after its clock was set back is never listed in the directory again.
+///
+/// Its run has a lower number than the one before, so its datagrams look like replays.
+#[test]
+fn clock_set_back_silences_no_instance() {
+    block_on(async {
+        let fleet = Fleet::start(1, 1).await;
+        Peer::bind(&fleet, 9).await.announce(1_001, 0).await;
+        let is_listed = |port: u16| {
+            let gateway = &fleet.gateways[0];
+            move || async move {
+                gateway
+                    .listed_addresses()
+                    .await
+                    .iter()
+                    .any(|a| a.port() == port)
+            }
+        };
+        wait_until("the first run is listed", is_listed(1_001)).await;
+
+        Peer::bind(&fleet, 5).await.announce(1_002, 0).await;
+
+        wait_until("the second run is listed", is_listed(1_002)).await;
+    });
+}
--- a/tests/testsuite/gateway/mod.rs
+++ b/tests/testsuite/gateway/mod.rs
@@ -1,20 +1,20 @@
-//! The gateway's processes before stand-ins of the platform, and its parts that need none.
+//! Tests of gateway processes against fakes of the platform, and of parts that need none.
 
-mod answers;
-mod boundary;
-mod catching_up;
-mod checking;
-mod connections;
-mod door;
-mod explaining;
+mod at_most_once;
+mod connection_pool;
+mod event_streams;
+mod failed_requests;
 #[expect(dead_code, reason = "the soak uses the other part of the fixtures")]
 mod fleet;
-mod http;
-mod ingress;
-mod leaving;
-mod once;
+mod http_parsing;
+mod invalid_config;
+mod missed_updates;
+mod overload;
+mod platform_adapter;
+mod platform_names;
+mod request_handling;
+mod responses;
 #[expect(dead_code, reason = "the soak uses the other part of the fixtures")]
-mod server;
+mod scripted_server;
+mod shutdown;
 mod store;
-mod streams;
-mod translation;
