--- /dev/null
+++ b/tests/testsuite/gateway/platform_adapter.rs
@@ -0,0 +1,180 @@
+//! Parsing and encoding in the platform's adapter.
+
+use std::time::Duration;
+
+use hawthornmill::ident::ServiceId;
+use hawthornmill::routing::catalog::RetryPolicy;
+use hawthornmill_gateway::http::head;
+use hawthornmill_platform::{catalog, directory, registration, request, store};
+use proptest::prelude::*;
+
+const CONFIG: &str = r#"{"version":7,"future":1,
+ "routes":[
+  {"name":"r1","host":"H.example","pathPrefix":"/a/","kind":"streaming","timeoutMs":15000,"targetLatencyMs":1000,
+   "priority":1,"trafficSplit":[{"service":"s1","weight":90},{"service":"s2","weight":0.5}],"maxAttempts":2,
+   "public":false,"sticky":true,"resumable":true,"gapTargetMs":400},
+  {"name":"r2","host":"h.example","pathPrefix":"/b/","kind":"non_idempotent","timeoutMs":800,"service":"s2"}],
+ "services":[{"name":"s1","engine":{"slots":64,"kvCapacity":432367}},{"name":"s2","maxConnections":110}],
+ "limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimeoutMs":3000,"idleTimeoutMs":15000,"tokensPerS":510000},
+ "tenants":[{"name":"t","apiKeys":["k1","k2"],"priority":2}]}"#;
+
+#[test]
+fn configuration_parses_to_catalog() {
+    let catalog = catalog::parse(CONFIG.as_bytes()).expect("the configuration is valid");
+
+    let [first, second] = &*catalog.routes else {
+        panic!("expected two routes")
+    };
+    assert_eq!(
+        (
+            catalog.version,
+            &*first.host,
+            first.retry_policy,
+            first.streaming
+        ),
+        (7, "h.example", RetryPolicy::Resumable, true)
+    );
+    assert_eq!(first.targets[1].service, ServiceId::of("s2"));
+    assert_eq!(
+        (first.targets[0].weight, first.targets[1].weight),
+        (90_000, 500)
+    );
+    assert_eq!(
+        (second.retry_policy, second.max_attempts, second.timeout),
+        (RetryPolicy::AtMostOnce, 1, Duration::from_millis(800))
+    );
+    assert_eq!(
+        catalog.services[0].engine.map(|e| (e.slots, e.kv_capacity)),
+        Some((64, 432_367))
+    );
+    assert_eq!(catalog.accounts[0].tokens.len(), 2);
+    assert_eq!(catalog.limits.idle_timeout, Duration::from_secs(15));
+}
+
+#[test]
+fn non_resumable_stream_is_not_repeated() {
+    let text = CONFIG.replace("\"resumable\":true", "\"resumable\":false");
+
+    let catalog = catalog::parse(text.as_bytes()).expect("the configuration is valid");
+
+    assert_eq!(catalog.routes[0].retry_policy, RetryPolicy::AtMostOnce);
+}
+
+/// Failure: an invalid entry in the store is taken for a server, or makes the adapter panic.
+#[test]
+fn invalid_registration_is_rejected() {
+    let valid = r#"{"service":"s","address":"10.0.0.1:80","zone":"z","slots":6,"state":"ready","born":5,"new":[]}"#;
+    let invalid = [
+        "",
+        "null",
+        "[]",
+        "{}",
+        "\u{fffd}",
+        r#"{"service":"s","address":"10.0.0.1:80","zone":"z","slots":6}"#,
+        r#"{"service":"s","address":"nowhere","zone":"z","slots":6,"state":"ready"}"#,
+        r#"{"service":"s","address":"10.0.0.1:80","zone":"z","slots":"6","state":"ready"}"#,
+        r#"{"service":7,"address":"10.0.0.1:80","zone":"z","slots":6,"state":"ready"}"#,
+        r#"{"service":"s","address":"10.0.0.1:80","zone":"z","slots":6,"state":"sleeping"}"#,
+        r#"{"service":"s","address":"10.0.0.1:80","zone":"z","slots":6,"state":"ready","born":"x"}"#,
+    ];
+
+    let entry = registration::parse("i-1", valid.as_bytes()).expect("the entry is valid");
+
+    assert_eq!(
+        (&*entry.name, entry.slots, entry.draining, entry.start_ms),
+        ("i-1", 6, false, 5)
+    );
+    for text in invalid {
+        assert!(
+            registration::parse("i-1", text.as_bytes()).is_err(),
+            "{text}"
+        );
+    }
+}
+
+#[test]
+fn store_response_parses_to_page() {
+    let list = br#"{"entries":[{"key":"servers/a","value":"e30=","revision":4,"created":2,"lease":0}],"hasMore":true,"asOf":9}"#;
+    let watch = br#"{"events":[{"key":"servers/a","revision":5,"deleted":true}],"asOf":5}"#;
+
+    let list = store::parse_page(list).expect("the list is valid");
+    let watch = store::parse_page(watch).expect("the response is valid");
+
+    assert!(list.has_more);
+    assert_eq!(
+        (list.revision, list.entries[0].value.as_deref()),
+        (9, Some(&b"{}"[..]))
+    );
+    assert_eq!(watch.entries[0].value, None);
+    assert_eq!(
+        store::parse_page(br#"{"entries":[{"key":"a","rev"#).ok(),
+        None
+    );
+    assert_eq!(store::parse_page(b"<html>").ok(), None);
+}
+
+fn shape_of(fields: &str) -> Option<hawthornmill::routing::shape::Shape> {
+    let text = format!("POST /a HTTP/1.1\r\n{fields}\r\n");
+    let (head, _) = head::parse_request(text.as_bytes()).ok()??;
+    request::parse_shape(&head.headers).ok()
+}
+
+#[test]
+fn request_size_and_parts_are_parsed() {
+    let shape = shape_of(
+        "Model: m\r\nToken-Usage: 1460,80\r\nPrompt-Prefix: 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\nLength-Hint: 33\r\n",
+    );
+    let other_model = shape_of(
+        "Model: n\r\nToken-Usage: 1460,80\r\nPrompt-Prefix: 5c1e07a2:800,91bd3f06:410,e4402b7d:250\r\n",
+    );
+
+    let (shape, other_model) = (
+        shape.expect("the size is valid"),
+        other_model.expect("the size is valid"),
+    );
+    assert_eq!(
+        (
+            shape.prompt_tokens,
+            shape.shared_tokens(),
+            shape.expected_output()
+        ),
+        (1_460, 1_210, 33)
+    );
+    assert_eq!(other_model.expected_output(), 80);
+    assert_ne!(
+        shape.shared_prefix(),
+        other_model.shared_prefix(),
+        "prompts of different models share no prefix"
+    );
+    assert!(shape_of("Token-Usage: x\r\n").is_none());
+    assert!(shape_of("Token-Usage: 1,2\r\nPrompt-Prefix: zz\r\n").is_none());
+    assert_eq!(shape_of("A: b\r\n").map(|s| s.prompt_tokens), Some(0));
+}
+
+#[test]
+fn directory_query_parses_and_addresses_encode() {
+    let question = directory::parse_query("/v1/resolve?name=h&region=r&zone=z%2D1")
+        .expect("it is a directory request");
+    let response = directory::encode_addresses(
+        &["10.1.0.33:8783".parse().expect("the address is valid")],
+        1.5,
+    );
+
+    assert_eq!((&*question.domain, &*question.region), ("z-1", "r"));
+    assert!(directory::parse_query("/v1/other").is_none());
+    assert_eq!(response, br#"{"addresses":["10.1.0.33:8783"],"ttlS":1.5}"#);
+}
+
+proptest! {
+    #[test]
+    fn random_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+        prop_assert!(catalog::parse(&bytes).is_err());
+        prop_assert!(registration::parse("i", &bytes).is_err());
+        prop_assert!(store::parse_page(&bytes).is_err());
+    }
+
+    #[test]
+    fn truncated_configuration_is_rejected(end in 0_usize..CONFIG.len()) {
+        prop_assert!(catalog::parse(&CONFIG.as_bytes()[..end]).is_err());
+    }
+}
--- /dev/null
+++ b/tests/testsuite/gateway/responses.rs
@@ -0,0 +1,124 @@
+//! Responses that are duplicate, late, early or without a length, and client connections.
+
+use std::time::Duration;
+
+use super::fleet::{Client, Fleet, request, send_request, wait_until};
+use super::scripted_server::Behavior;
+use crate::block_on;
+
+/// Failure: a server responds twice to one request, and the second response is forwarded to another client.
+#[test]
+fn duplicate_response_is_not_forwarded() {
+    block_on(async {
+        let fleet = Fleet::start(1, 1).await;
+        let front = fleet.gateways[0].front();
+        for pause in [0, 100] {
+            fleet.servers[0].script(&[Behavior::DuplicateResponse]);
+            for number in 0..3 {
+                let id = format!("id-{pause}-{number}");
+                let response = send_request(front, request("GET", "/get/", &id, "").as_bytes())
+                    .await
+                    .expect("the gateway responds");
+                assert_eq!(response.text(), format!("answer to {id} by i-0"));
+                tokio::time::sleep(Duration::from_millis(pause)).await;
+            }
+        }
+    });
+}
+
+#[test]
+fn response_without_length_is_complete() {
+    block_on(async {
+        let fleet = Fleet::start(1, 1).await;
+        fleet.servers[0].script(&[Behavior::NoLength]);
+
+        let response = send_request(
+            fleet.gateways[0].front(),
+            request("GET", "/get/", "a", "").as_bytes(),
+        )
+        .await;
+
+        let response = response.expect("the gateway responds");
+        assert!(response.whole);
+        assert_eq!(response.text(), "whole without a length");
+    });
+}
+
+/// Failure: a server responds before it has read the whole body and keeps reading. If its connection is
+/// reused at once, the bytes of the next request are read as the rest of that body.
+#[test]
+fn rest_of_body_after_early_response_is_not_a_request() {
+    block_on(async {
+        let fleet = Fleet::start(1, 1).await;
+        fleet.servers[0].script(&[Behavior::EarlyResponse]);
+        let body = "b".repeat(90_000);
+        let head = request(
+            "POST",
+            "/get/",
+            "long",
+            &format!("Content-Length: {}\r\n", body.len()),
+        );
+
+        let early = send_request(
+            fleet.gateways[0].front(),
+            format!("{head}{body}").as_bytes(),
+        )
+        .await;
+        let next = send_request(
+            fleet.gateways[0].front(),
+            request("GET", "/get/", "next", "").as_bytes(),
+        )
+        .await;
+
+        assert_eq!(early.expect("the gateway responds").status(), 400);
+        assert_eq!(
+            next.expect("the gateway responds").text(),
+            "answer to next by i-0"
+        );
+        let bodies = fleet.servers[0].received();
+        assert!(bodies.iter().all(|a| a.body.iter().all(|b| *b == b'b')));
+    });
+}
+
+#[test]
+fn client_disconnect_cancels_server_request() {
+    block_on(async {
+        let fleet = Fleet::start(1, 1).await;
+        fleet.servers[0].script(&[Behavior::Hang]);
+        let mut client = Client::connect(fleet.gateways[0].front()).await;
+        client
+            .send(request("GET", "/get/", "a", "").as_bytes())
+            .await;
+        wait_until("the server has the request", || async { fleet.runs() == 1 }).await;
+
+        let disconnected = std::time::Instant::now();
+        drop(client);
+        wait_until("the server sees the client disconnect", || async {
+            fleet.servers[0].client_disconnects() == 1
+        })
+        .await;
+
+        assert!(
+            disconnected.elapsed() < Duration::from_millis(500),
+            "{:?}",
+            disconnected.elapsed()
+        );
+    });
+}
+
+#[test]
+fn connection_carries_many_requests() {
+    block_on(async {
+        let fleet = Fleet::start(1, 1).await;
+        let mut client = Client::connect(fleet.gateways[0].front()).await;
+
+        for number in 0..20 {
+            let id = format!("id-{number}");
+            client
+                .send(request("GET", "/get/", &id, "").as_bytes())
+                .await;
+            let response = client.read().await.expect("the gateway responds");
+            assert_eq!(response.text(), format!("answer to {id} by i-0"));
+        }
+    });
+}
--- /dev/null
+++ b/tests/testsuite/gateway/scripted_server.rs
@@ -0,0 +1,388 @@
+//! A backend server for tests with scripted behavior.
+
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::{Duration, Instant};
+
+use bytes::BytesMut;
+use hawthornmill_gateway::http::body::{BodyDecoder, Decoded};
+use hawthornmill_gateway::http::head::{self, RequestHead};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+
+/// Pause after which a server that responded early reads the rest of the request.
+const EARLY_RESPONSE_PAUSE: Duration = Duration::from_millis(200);
+
+/// How the server handles one request.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Behavior {
+    /// Executes it and responds.
+    Respond,
+    /// Executes it and responds after a delay.
+    RespondAfterMs(u64),
+    /// Rejects it without executing it.
+    NotExecuted,
+    /// Responds that another server has the address.
+    Misdirected,
+    /// Executes it and resets the connection instead of responding.
+    Reset,
+    /// Executes it and responds with 500.
+    ServerError,
+    /// Executes it and responds twice.
+    DuplicateResponse,
+    /// Executes it and closes the connection in the middle of the body.
+    TruncatedBody,
+    /// Executes it and sends bytes that are not HTTP.
+    InvalidResponse,
+    /// Executes it and responds without a length, so that the connection's end delimits the body.
+    NoLength,
+    /// Responds before it has read the body, and keeps the connection open.
+    EarlyResponse,
+    /// Executes it and responds with a stream of this many events.
+    Stream(u64),
+    /// Executes it and responds with a stream that is cut off in the event after this many.
+    BrokenStream(u64),
+    /// Executes it and never responds.
+    Hang,
+}
+
+/// One request that the server received.
+#[derive(Debug, Clone)]
+pub struct ReceivedRequest {
+    /// Head of the request.
+    pub head: RequestHead,
+    /// Body of the request.
+    pub body: Vec<u8>,
+    /// Whether the server executed it.
+    pub executed: bool,
+    /// How the server handled it.
+    pub behavior: Behavior,
+    /// When the server had read it.
+    pub received_at: Instant,
+}
+
+/// Behavior for requests after the end of the script.
+pub type DefaultBehavior = fn(&RequestHead) -> Behavior;
+
+#[derive(Debug, Default)]
+struct State {
+    script: VecDeque<Behavior>,
+    default: Option<DefaultBehavior>,
+    received: Vec<ReceivedRequest>,
+    client_disconnects: usize,
+}
+
+/// The server, which listens until its process ends.
+#[derive(Debug, Clone)]
+pub struct Server {
+    /// Name under which it registers.
+    pub name: String,
+    /// Address on which it listens.
+    pub address: SocketAddr,
+    state: Arc<Mutex<State>>,
+}
+
+impl Server {
+    /// Starts a server called `name` at `address` that responds to every request until it has a script.
+    pub async fn start(name: &str, address: SocketAddr) -> Self {
+        let listener = TcpListener::bind(address)
+            .await
+            .expect("the server's address is free");
+        let server = Self {
+            name: name.into(),
+            address,
+            state: Arc::default(),
+        };
+        let handle = server.clone();
+        tokio::spawn(async move {
+            while let Ok((stream, _)) = listener.accept().await {
+                tokio::spawn(handle.clone().serve(stream));
+            }
+        });
+        server
+    }
+
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().expect("no holder of the lock panics")
+    }
+
+    /// Appends to the script, which gives the behavior for the next requests.
+    pub fn script(&self, behaviors: &[Behavior]) {
+        self.lock().script.extend(behaviors.iter().cloned());
+    }
+
+    /// Sets the behavior for requests after the end of the script.
+    pub fn set_default(&self, default: DefaultBehavior) {
+        self.lock().default = Some(default);
+    }
+
+    /// Returns the requests received so far.
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.lock().received.clone()
+    }
+
+    /// Returns the number of requests executed so far.
+    pub fn executed_count(&self) -> usize {
+        self.lock().received.iter().filter(|a| a.executed).count()
+    }
+
+    /// Returns the number of clients that disconnected during a request.
+    pub fn client_disconnects(&self) -> usize {
+        self.lock().client_disconnects
+    }
+
+    async fn serve(self, mut stream: TcpStream) {
+        let mut request_count = 0;
+        let mut buffer = BytesMut::new();
+        loop {
+            let behavior = self.lock().script.front().cloned();
+            if behavior == Some(Behavior::EarlyResponse)
+                && self.respond_early(&mut stream, &mut buffer).await
+            {
+                continue;
+            }
+            let Some((head, body)) = read_request(&mut stream, &mut buffer).await else {
+                return;
+            };
+            let behavior = self.next_behavior(&head);
+            let executed = !matches!(behavior, Behavior::NotExecuted | Behavior::Misdirected);
+            self.lock().received.push(ReceivedRequest {
+                head: head.clone(),
+                body,
+                executed,
+                behavior: behavior.clone(),
+                received_at: Instant::now(),
+            });
+            request_count += 1;
+            if !self
+                .perform(&mut stream, &head, behavior, request_count)
+                .await
+            {
+                return;
+            }
+        }
+    }
+
+    fn next_behavior(&self, head: &RequestHead) -> Behavior {
+        let mut state = self.lock();
+        let scripted = state.script.pop_front();
+        scripted.unwrap_or_else(|| {
+            state
+                .default
+                .map_or(Behavior::Respond, |default| default(head))
+        })
+    }
+
+    /// Responds after the head of a request, and reads its body later.
+    ///
+    /// The next request may follow the body by then; it stays in `buffer`.
+    async fn respond_early(&self, stream: &mut TcpStream, buffer: &mut BytesMut) -> bool {
+        let Some(head) = read_head(stream, buffer).await else {
+            return false;
+        };
+        self.lock().script.pop_front();
+        let id = head
+            .headers
+            .get_str("attempt-id")
+            .unwrap_or_default()
+            .to_owned();
+        let headers = [("Attempt-Id", id.as_str()), ("Server-Stamp", "early")];
+        let written = write_response(stream, 400, &headers, b"too long").await;
+        tokio::time::sleep(EARLY_RESPONSE_PAUSE).await;
+        let body = read_body(stream, buffer, &head).await.unwrap_or_default();
+        self.lock().received.push(ReceivedRequest {
+            head,
+            body,
+            executed: false,
+            behavior: Behavior::EarlyResponse,
+            received_at: Instant::now(),
+        });
+        written.is_ok()
+    }
+
+    /// Performs one behavior; returns false if the connection has ended.
+    async fn perform(
+        &self,
+        stream: &mut TcpStream,
+        head: &RequestHead,
+        behavior: Behavior,
+        request_count: usize,
+    ) -> bool {
+        let id = head
+            .headers
+            .get_str("attempt-id")
+            .unwrap_or_default()
+            .to_owned();
+        let stamp = format!("{}.{request_count}", self.name);
+        let headers = [
+            ("Attempt-Id", id.as_str()),
+            ("Server-Stamp", stamp.as_str()),
+            ("X-Own", "kept"),
+        ];
+        let body = format!("answer to {id} by {}", self.name);
+        let written = match behavior {
+            Behavior::Respond => write_response(stream, 200, &headers, body.as_bytes()).await,
+            Behavior::RespondAfterMs(delay_ms) => {
+                if !self.work(stream, Duration::from_millis(delay_ms)).await {
+                    return false;
+                }
+                write_response(stream, 200, &headers, body.as_bytes()).await
+            }
+            Behavior::NotExecuted => {
+                write_response(stream, 503, &[("Not-Executed", "1"), headers[0]], b"").await
+            }
+            Behavior::Misdirected => {
+                write_response(stream, 421, &[("Instance-Id", "other")], b"").await
+            }
+            Behavior::ServerError => write_response(stream, 500, &headers, b"failed").await,
+            Behavior::DuplicateResponse => {
+                let first = write_response(stream, 200, &headers, body.as_bytes()).await;
+                let second = async {
+                    tokio::time::sleep(Duration::from_millis(30)).await;
+                    write_response(stream, 200, &headers, b"a second answer").await
+                };
+                first.and(second.await)
+            }
+            Behavior::Reset => {
+                let _set = stream.set_zero_linger();
+                return false;
+            }
+            Behavior::TruncatedBody => {
+                let text = format!(
+                    "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nContent-Length: 100\r\n\r\nhalf"
+                );
+                let _written = stream.write_all(text.as_bytes()).await;
+                return false;
+            }
+            Behavior::InvalidResponse => stream.write_all(b"\0\0nonsense\r\n\r\n").await,
+            Behavior::NoLength => {
+                let text =
+                    format!("HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\n\r\nwhole without a length");
+                let _written = stream.write_all(text.as_bytes()).await;
+                return false;
+            }
+            Behavior::Stream(count) => return self.stream(stream, head, count, false).await,
+            Behavior::BrokenStream(count) => return self.stream(stream, head, count, true).await,
+            Behavior::EarlyResponse => Ok(()),
+            Behavior::Hang => {
+                self.work(stream, Duration::from_mins(1)).await;
+                return false;
+            }
+        };
+        written.is_ok()
+    }
+
+    /// Waits for `time`; returns false if the client disconnects meanwhile.
+    async fn work(&self, stream: &mut TcpStream, time: Duration) -> bool {
+        let mut byte = [0; 1];
+        tokio::select! {
+            () = tokio::time::sleep(time) => true,
+            _ = stream.read(&mut byte) => {
+                self.lock().client_disconnects += 1;
+                false
+            }
+        }
+    }
+
+    /// Sends the events after `Last-Event-Id`, ten milliseconds apart.
+    async fn stream(
+        &self,
+        stream: &mut TcpStream,
+        head: &RequestHead,
+        count: u64,
+        truncated: bool,
+    ) -> bool {
+        let id = head.headers.get_str("attempt-id").unwrap_or_default();
+        let after: u64 = head
+            .headers
+            .get_str("last-event-id")
+            .and_then(|t| t.parse().ok())
+            .unwrap_or(0);
+        let text = format!(
+            "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nServer-Stamp: {}\r\nContent-Type: text/event-stream\r\n\
+             Transfer-Encoding: chunked\r\n\r\n",
+            self.name
+        );
+        if stream.write_all(text.as_bytes()).await.is_err() {
+            return false;
+        }
+        for number in after + 1..=count {
+            let event = format!("id: {number}\ndata: piece {number}\n\n");
+            let chunk = format!("{:x}\r\n{event}\r\n", event.len());
+            if stream.write_all(chunk.as_bytes()).await.is_err()
+                || !self.work(stream, Duration::from_millis(10)).await
+            {
+                return false;
+            }
+        }
+        let end: &[u8] = if truncated {
+            b"8\r\nid: 9999\r\n"
+        } else {
+            b"0\r\n\r\n"
+        };
+        stream.write_all(end).await.is_ok() && !truncated
+    }
+}
+
+async fn read_head(stream: &mut TcpStream, buffer: &mut BytesMut) -> Option<RequestHead> {
+    loop {
+        if let Some((head, length)) = head::parse_request(buffer).ok()? {
+            let _head = buffer.split_to(length);
+            return Some(head);
+        }
+        if stream.read_buf(buffer).await.ok()? == 0 {
+            return None;
+        }
+    }
+}
+
+async fn read_body(
+    stream: &mut TcpStream,
+    buffer: &mut BytesMut,
+    head: &RequestHead,
+) -> Option<Vec<u8>> {
+    let mut decoder = BodyDecoder::new(head.framing().ok()?);
+    let mut body = Vec::new();
+    loop {
+        match decoder.next(buffer).ok()? {
+            Decoded::Data(data) => body.extend_from_slice(&data),
+            Decoded::End => return Some(body),
+            Decoded::Incomplete => {
+                if stream.read_buf(buffer).await.ok()? == 0 {
+                    return None;
+                }
+            }
+        }
+    }
+}
+
+/// Reads one request and leaves the bytes after it in `buffer`; `None` if the connection ends first.
+pub async fn read_request(
+    stream: &mut TcpStream,
+    buffer: &mut BytesMut,
+) -> Option<(RequestHead, Vec<u8>)> {
+    let head = read_head(stream, buffer).await?;
+    let body = read_body(stream, buffer, &head).await?;
+    Some((head, body))
+}
+
+/// Writes one response with a length.
+///
+/// # Errors
+/// Fails if the connection broke.
+pub async fn write_response(
+    stream: &mut TcpStream,
+    status: u16,
+    headers: &[(&str, &str)],
+    body: &[u8],
+) -> std::io::Result<()> {
+    let mut text =
+        format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n", body.len()).into_bytes();
+    for (name, value) in headers {
+        text.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
+    }
+    text.extend_from_slice(b"\r\n");
+    text.extend_from_slice(body);
+    stream.write_all(&text).await
+}
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -1,10 +1,10 @@
-//! Backend servers and instances that leave get no new work.
+//! Leaving backend servers and instances get no new work.
 
 use std::time::{Duration, Instant};
 
-use hawthornmill::board::{Board, Tuning};
+use hawthornmill::blackboard::{Blackboard, Tuning};
 use hawthornmill::ident::{Incarnation, InstanceId, ServerId};
-use hawthornmill::membership::Sign;
+use hawthornmill::membership::LivenessUpdate;
 use hawthornmill::pools::{entry, owner};
 use hawthornmill::wire::message::RosterEntry;
 use hawthornmill_lab::demo::site::Site;
@@ -26,11 +26,11 @@
     }
 }
 
-/// Calls that `server` runs, as the entries see it.
+/// Calls that `server` runs, according to the entries.
 fn running(steps: &Steps, server: &str) -> usize {
     let id = ServerId::of(server);
-    let links = steps.boards.iter().flat_map(|b| b.links.values());
-    links
+    let sessions = steps.boards.iter().flat_map(|b| b.sessions.values());
+    sessions
         .flat_map(|l| l.held.values())
         .filter(|slot| slot.busy && slot.server == id)
         .count()
@@ -43,14 +43,14 @@
     FleetText::new().line(&text)
 }
 
-/// A server is taken out of use, and the entries hear of it before the owner does. The owner goes on
-/// granting its slots. Were the grants used, the server would get new work; were they only handed
-/// back, the owner would grant them again at once, and messages would fly without end.
+/// Entries learn that a server is leaving before the owner, which keeps granting its slots. If the
+/// entries used the grants, the server would get new work; if they returned them without marking the
+/// server, the owner would grant them again at once, in an endless loop of messages.
 #[test]
-fn entries_give_grants_for_a_leaving_server_back() {
+fn entries_return_grants_for_a_leaving_server() {
     let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
     steps.run(6000, keep_waiting);
-    let pool = steps.boards[0].links.iter().find(|(id, _)| {
+    let pool = steps.boards[0].sessions.iter().find(|(id, _)| {
         let server = ServerId::of("draft-a");
         steps.boards[0].config.pools[id].servers.contains(&server)
     });
@@ -71,7 +71,7 @@
     let others = (0..PLACES.len()).filter(|n| *n != own);
     let id = ServerId::of("draft-a");
     let held = others
-        .flat_map(|n| steps.boards[n].links.values())
+        .flat_map(|n| steps.boards[n].sessions.values())
         .flat_map(|l| l.held.values())
         .filter(|s| s.server == id)
         .count();
@@ -80,10 +80,10 @@
     assert!(grants < 150, "{grants} grants in a second");
 }
 
-/// The configuration says nothing yet, but the server's load report, or one of its answers, says
-/// that it leaves. Callers whose calls still went there would be cut when it goes.
+/// A server announces in its load report, or in a response, that it is leaving before the
+/// configuration does. Calls sent there after that would be aborted when it stops.
 #[test]
-fn a_servers_own_word_is_enough() {
+fn leaving_state_announced_by_the_server_is_sufficient() {
     for by_answer in [false, true] {
         let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
         steps.run(6000, keep_waiting);
@@ -92,13 +92,13 @@
 
         let now = steps.instant();
         for board in &mut steps.boards {
-            let pools: Vec<_> = board.owned.keys().copied().collect();
+            let pools: Vec<_> = board.owned_pools.keys().copied().collect();
             if by_answer {
                 entry::on_server_leaving(board, server, now);
                 continue;
             }
             for pool in pools {
-                owner::on_leaving(board, pool, server, true);
+                owner::on_leaving_reading(board, pool, server, true);
             }
         }
         steps.run(60, keep_waiting);
@@ -112,48 +112,48 @@
     }
 }
 
-/// The platform lists an instance as leaving, later the same name is started anew, and the lagging
-/// list still shows the old word. Neither a late heartbeat nor a silence may bring a leaving instance
-/// back into use, and the new run must be usable once the list says so.
+/// The platform lists an instance as leaving; later it restarts under the same name while the lagging
+/// list still shows the old state. A late heartbeat or a timeout must not make a leaving instance
+/// available again, but the new run must be available once the list is updated.
 #[test]
-fn the_word_that_an_instance_leaves_holds_until_it_is_replaced() {
+fn leaving_state_of_an_instance_holds_until_replaced() {
     let now = Instant::now();
     let own = contact("i0", "a", "north");
-    let mut board = Board::new(own, Incarnation(1), Tuning::default(), now);
+    let mut board = Blackboard::new(own, Incarnation(1), Tuning::default(), now);
     let other = contact("i1", "a", "north");
     let id = InstanceId::of("i1");
-    let list = |leaving, board: &mut Board| {
+    let list = |leaving, board: &mut Blackboard| {
         let contact = other.clone();
         board.roster.replace(vec![RosterEntry { contact, leaving }]);
-        board.members.follow_roster(&board.roster, now);
+        board.members.apply_roster(&board.roster, now);
     };
-    let sign = |run, millis: u64| Sign {
+    let update = |run, millis: u64| LivenessUpdate {
         from: id,
         incarnation: Incarnation(run),
         leaving: false,
         revision: 1,
         interval: Duration::from_millis(100),
-        steady: (millis / 100) as u8,
+        stable_tenths: (millis / 100) as u8,
         direct: true,
     };
     let at = |millis| now + Duration::from_millis(millis);
 
     list(false, &mut board);
-    board.members.hear(sign(1, 0), now);
-    let before = board.members.usable(id);
+    board.members.record_liveness(update(1, 0), now);
+    let before = board.members.is_available(id);
     list(true, &mut board);
-    board.members.sweep(at(2000));
-    board.members.hear(sign(1, 2000), at(2000));
-    let returned = board.members.usable(id);
-    board.members.hear(sign(2, 0), at(3000));
-    let lagging = board.members.usable(id);
+    board.members.expire_silent(at(2000));
+    board.members.record_liveness(update(1, 2000), at(2000));
+    let returned = board.members.is_available(id);
+    board.members.record_liveness(update(2, 0), at(3000));
+    let lagging = board.members.is_available(id);
     list(false, &mut board);
 
     assert_eq!((before, returned, lagging), (true, false, false));
-    assert!(board.members.usable(id));
+    assert!(board.members.is_available(id));
 }
 
-/// Runs that a server was given so far.
+/// Number of calls that a server has run so far.
 fn runs(site: &Site, server: &str) -> usize {
     let id = ServerId::of(server);
     let found = site.servers.iter().find(|s| s.id == id);
@@ -176,8 +176,9 @@
     }
 }
 
-/// The platform is down, so no configuration can say it, and a server says in its load report that
-/// it leaves. A router is stopped at that time and woken later. None may send work there after 3 s.
+/// A server announces in its load report that it is leaving while the platform is down and one router
+/// is paused. If the state were only taken from the configuration, or the paused router resumed with
+/// its stale view, the server would get new work.
 #[test]
 fn a_leaving_server_gets_no_new_work_while_the_platform_is_down() {
     block_on(async {
@@ -207,10 +208,10 @@
     });
 }
 
-/// The platform lists a router as leaving while it serves on. Callers that ask any other router
-/// within a few seconds must not be sent there, although only the readers read the list.
+/// The platform lists a router as leaving while it keeps serving. Only the readers of a failure domain
+/// read the list; routers that didn't get it from them would still give out its address.
 #[test]
-fn an_instance_listed_as_leaving_is_named_to_no_caller() {
+fn leaving_instance_is_not_returned_to_callers() {
     block_on(async {
         let site = small_site(ROUTER, 8).await;
         let mut list: Vec<_> = site.routers.iter().map(|r| r.listed.clone()).collect();
