--- a/tests/testsuite/check.rs
+++ b/tests/testsuite/check.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a candidate before they publish it.
+//! The check of a candidate configuration before it is published.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -13,7 +13,7 @@
 
 const CHECK: &str = env!("CARGO_BIN_EXE_hawthornmill-check");
 
-/// Two drafting servers of 4 slots, one of them apart; `big` may use both, `small` one.
+/// Two drafting servers of 4 slots in different pools; `big` may use both, `small` only one.
 fn overlapping() -> FleetText {
     FleetText::new()
         .domain("a", "north")
@@ -26,43 +26,52 @@
         .grant("small", "size=small", "pool=std", 1.0)
 }
 
-fn part(config: &FleetConfig, account: &str) -> f64 {
+fn entitlement(config: &FleetConfig, account: &str) -> f64 {
     let key = (ServiceId::of("drafting"), AccountId::of(account));
     entitlements(config).get(&key).copied().unwrap_or(0.0)
 }
 
-fn file(name: &str, fleet: &FleetText) -> PathBuf {
+fn write_config(name: &str, fleet: &FleetText) -> PathBuf {
     let name = format!("hawthornmill-{}-{name}.ini", std::process::id());
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, &*fleet.text()).expect("the file can be written");
     path
 }
 
-fn check(words: &[&str]) -> Output {
-    let result = Command::new(CHECK).arg("fleet").args(words).output();
+fn run_check(args: &[&str]) -> Output {
+    let result = Command::new(CHECK).arg("fleet").args(args).output();
     result.expect("the program can be started")
 }
 
 #[test]
-fn owed_shares_follow_the_scheduler_over_overlapping_selectors() {
+fn entitlements_match_the_scheduler_for_overlapping_selectors() {
     let (even, _, _) = overlapping().accept(1);
     let (weighted, _, _) = small_fleet().accept(1);
 
-    let parts = [part(&even, "big"), part(&even, "small")];
-    let shares = [part(&weighted, "big"), part(&weighted, "small-1")];
+    let even_parts = [entitlement(&even, "big"), entitlement(&even, "small")];
+    let weighted_parts = [
+        entitlement(&weighted, "big"),
+        entitlement(&weighted, "small-1"),
+    ];
 
-    // `small` could use half of the slots at most, and is owed that half; `big` takes the rest.
-    assert!((parts[0] - 0.5).abs() < 0.002, "{parts:?}");
-    assert!((parts[1] - 0.5).abs() < 0.002, "{parts:?}");
-    assert!((shares[0] - 4.0 / 6.0).abs() < 0.002, "{shares:?}");
-    assert!((shares[1] - 1.0 / 6.0).abs() < 0.002, "{shares:?}");
+    // `small` may use at most half of the slots and is entitled to that half; `big` gets the rest.
+    assert!((even_parts[0] - 0.5).abs() < 0.002, "{even_parts:?}");
+    assert!((even_parts[1] - 0.5).abs() < 0.002, "{even_parts:?}");
+    assert!(
+        (weighted_parts[0] - 4.0 / 6.0).abs() < 0.002,
+        "{weighted_parts:?}"
+    );
+    assert!(
+        (weighted_parts[1] - 1.0 / 6.0).abs() < 0.002,
+        "{weighted_parts:?}"
+    );
 }
 
-/// An operator drains a server, adds another and raises a share, and wants to see who gains, who loses, and what
-/// becomes of the shares, before it is published.
+/// An operator removes a server, adds one and raises a share. The check must show which accounts gain
+/// and lose servers and how their entitlements change.
 #[test]
-fn a_candidate_is_compared_with_what_is_in_force() {
-    let present = file("present", &overlapping());
+fn check_shows_access_and_entitlement_changes() {
+    let present = write_config("present", &overlapping());
     let next = overlapping()
         .text()
         .replace("[server two]\n", "[server two]\nleaving = yes\n")
@@ -70,9 +79,9 @@
     let next = FleetText::new()
         .line(&next)
         .server("three", "drafting", "a", 12, "std");
-    let candidate = file("candidate", &next);
+    let candidate = write_config("candidate", &next);
 
-    let result = check(&[
+    let result = run_check(&[
         &candidate.display().to_string(),
         "--present",
         &present.display().to_string(),
@@ -95,7 +104,7 @@
 }
 
 #[test]
-fn what_looks_like_a_mistake_is_named() {
+fn likely_mistakes_are_reported() {
     let fleet = overlapping()
         .service("empty")
         .account("nobody", "none")
@@ -115,34 +124,34 @@
 }
 
 #[test]
-fn exit_codes_tell_good_warned_and_faulty_apart() {
-    let good = file("good", &overlapping());
-    let warned = file("warned", &overlapping().account("nobody", "none"));
-    let faulty = file("faulty", &overlapping().line("[grant broken]"));
+fn exit_code_tells_valid_warned_and_invalid_apart() {
+    let valid = write_config("good", &overlapping());
+    let warned = write_config("warned", &overlapping().account("nobody", "none"));
+    let invalid = write_config("faulty", &overlapping().line("[grant broken]"));
     let code = |path: &PathBuf, strict: bool| {
         let path = path.display().to_string();
-        let words: &[&str] = if strict {
+        let args: &[&str] = if strict {
             &[&path, "--strict"]
         } else {
             &[&path]
         };
-        check(words).status.code()
+        run_check(args).status.code()
     };
 
     let codes = [
-        code(&good, true),
+        code(&valid, true),
         code(&warned, false),
         code(&warned, true),
-        code(&faulty, false),
+        code(&invalid, false),
     ];
 
     assert_eq!(codes, [Some(0), Some(0), Some(1), Some(2)]);
 }
 
-/// Two accounts whose names have one hash would share one queue and one bill, and the second would
-/// silently replace the first.
+/// Two accounts with the same identifier would share one queue and one bill, since the second section
+/// would silently replace the first.
 #[test]
-fn two_names_with_one_key_are_refused() {
+fn names_with_the_same_identifier_are_detected() {
     let mut names = NameRegistry::default();
 
     let found = [
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration through outages, stale answers and restarts of real processes.
+//! Distribution of configuration through platform outages, stale responses and router restarts.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
 
 use crate::{ROUTER, block_on};
 
-/// Revision of every router that serves; none for one that does not.
+/// Revision of every router; `None` for one that is not ready.
 async fn revisions(site: &Site) -> Vec<Option<u64>> {
     let statuses = site.statuses().await;
     statuses
@@ -26,11 +26,11 @@
         .collect()
 }
 
-/// Waits until every router serves `revision` and returns how long that took.
-async fn in_force(site: &Site, revision: u64, most: Duration) -> Option<Duration> {
+/// Waits until every router serves `revision`; returns the time, or `None` after `timeout`.
+async fn wait_for_revision(site: &Site, revision: u64, timeout: Duration) -> Option<Duration> {
     let began = Instant::now();
     let running = site.routers.iter().filter(|r| r.pid().is_some()).count();
-    while began.elapsed() < most {
+    while began.elapsed() < timeout {
         let all = revisions(site).await;
         if all.len() == running && all.iter().all(|r| *r == Some(revision)) {
             return Some(began.elapsed());
@@ -40,8 +40,8 @@
     None
 }
 
-/// The configuration of `site` in two values; `number` makes one revision differ from the next.
-fn shards(site: &Site, number: u64) -> Values {
+/// The configuration of `site` in two values; each `number` gives a different configuration.
+fn split_values(site: &Site, number: u64) -> Values {
     let estimate = format!("estimate = {}", 100 + number);
     let text = site.text.replacen("estimate = 100", &estimate, 1);
     let at = text.find("[account").expect("the fleet has accounts");
@@ -52,7 +52,7 @@
     ])
 }
 
-/// Platform calls by kind while `time` passes.
+/// Platform calls by kind during `time`.
 async fn calls_during(site: &Site, time: Duration) -> BTreeMap<Box<str>, u64> {
     let before = site.platform.calls();
     tokio::time::sleep(time).await;
@@ -63,16 +63,15 @@
     calls
 }
 
-/// A change is in force everywhere. Then the platform comes back from a backup with the first
-/// revision, and a router restarts without state. The operators see the change undone for callers
-/// that meet this router, unless it asks its peers before it serves.
+/// The platform is restored from a backup with an older revision, and a router restarts without
+/// state. Without asking its peers, it would serve the older revision.
 #[test]
-fn a_stale_platform_takes_no_router_back() {
+fn restored_platform_does_not_roll_back_a_restarted_router() {
     block_on(async {
         let mut site = small_site(ROUTER, 4).await;
-        let newest = site.platform.publish(shards(&site, 1));
-        let taken = in_force(&site, newest, Duration::from_secs(5)).await;
-        assert!(taken.is_some(), "{:?}", revisions(&site).await);
+        let newest = site.platform.publish(split_values(&site, 1));
+        let applied = wait_for_revision(&site, newest, Duration::from_secs(5)).await;
+        assert!(applied.is_some(), "{:?}", revisions(&site).await);
         site.platform.set_mode(Mode::Older);
 
         // r2 has no other router in its failure domain, r1 has one.
@@ -99,10 +98,10 @@
     });
 }
 
-/// A bad revision stays published for a while. Each reader fetches and refuses it without a break,
-/// and the platform's budget of calls goes to that.
+/// An invalid revision stays published. Fetching it again and again would use up the budget of
+/// platform calls.
 #[test]
-fn a_refused_revision_is_not_fetched_again_and_again() {
+fn rejected_revision_is_not_fetched_again() {
     block_on(async {
         let site = small_site(ROUTER, 3).await;
         let bad = Values::from([("fleet".into(), "[account x]\n".into())]);
@@ -113,26 +112,25 @@
 
         assert_eq!(calls["value"], 0, "{calls:?}");
         assert!(calls["manifest"] <= 6, "{calls:?}");
-        let newest = site.platform.publish(shards(&site, 1));
-        let taken = in_force(&site, newest, Duration::from_secs(5)).await;
-        assert!(taken.is_some(), "{:?}", revisions(&site).await);
+        let newest = site.platform.publish(split_values(&site, 1));
+        let applied = wait_for_revision(&site, newest, Duration::from_secs(5)).await;
+        assert!(applied.is_some(), "{:?}", revisions(&site).await);
         site.stop().await;
     });
 }
 
-/// A manifest is published a moment before one of its values, as a copy to the platform in parts
-/// would do: first the value is missing, then it is that of another revision. The revision must
-/// neither be taken in part nor be given up.
+/// A manifest is published before one of its values: the value is missing, or still that of another
+/// revision. The revision must not be applied in part, and the fetch must be retried.
 #[test]
-fn a_fetch_that_fails_midway_is_tried_again() {
+fn incomplete_revision_is_fetched_again() {
     block_on(async {
         let site = small_site(ROUTER, 3).await;
         for revision in [2, 3] {
-            let whole = shards(&site, revision);
+            let whole = split_values(&site, revision);
             let mut part = whole.clone();
             part.remove("servers");
             if revision == 3 {
-                let other = shards(&site, 99).remove("servers");
+                let other = split_values(&site, 99).remove("servers");
                 part.extend(other.map(|text| ("servers".into(), text)));
             }
             let manifest = manifest(revision, &whole);
@@ -141,19 +139,19 @@
             let during = revisions(&site).await;
 
             site.platform.publish_raw(manifest, whole);
-            let taken = in_force(&site, revision, Duration::from_secs(7)).await;
+            let applied = wait_for_revision(&site, revision, Duration::from_secs(7)).await;
 
             assert_eq!(during, [Some(revision - 1); 3]);
-            assert!(taken.is_some(), "{:?}", revisions(&site).await);
+            assert!(applied.is_some(), "{:?}", revisions(&site).await);
         }
         site.stop().await;
     });
 }
 
-/// Two operators publish at the same time, over and over, each a whole configuration in two values.
-/// Every router must end with the last of them and nobody with a mixture of two.
+/// Two operators repeatedly publish at the same time, each a configuration in two values. Every
+/// router must end with the last one, and none with a mixture.
 #[test]
-fn races_of_two_operators_end_with_one_revision() {
+fn concurrent_publishes_end_with_one_revision() {
     block_on(async {
         let site = small_site(ROUTER, 3).await;
         let platform = &site.platform;
@@ -162,16 +160,16 @@
                 let site = &site;
                 scope.spawn(move || {
                     for round in 0..50 {
-                        platform.publish(shards(site, operator * 1000 + round));
+                        platform.publish(split_values(site, operator * 1000 + round));
                         std::thread::sleep(Duration::from_millis(10));
                     }
                 });
             }
         });
 
-        let taken = in_force(&site, 101, Duration::from_secs(5)).await;
+        let applied = wait_for_revision(&site, 101, Duration::from_secs(5)).await;
 
-        assert!(taken.is_some(), "{:?}", revisions(&site).await);
+        assert!(applied.is_some(), "{:?}", revisions(&site).await);
         let mut digests: Vec<_> = site
             .statuses()
             .await
@@ -184,72 +182,71 @@
     });
 }
 
-/// A change is published, and in that moment a reader of each failure domain is killed. The change
-/// must still be in force on all that live within the promised 7 s.
+/// A change is published and at once the platform reader of each failure domain is killed. The
+/// change must reach all live routers within the guaranteed 7 s.
 #[test]
-fn a_change_is_in_force_everywhere_when_readers_die() {
+fn change_reaches_all_routers_when_platform_readers_are_killed() {
     block_on(async {
         let mut site = small_site(ROUTER, 8).await;
-        let first = site.platform.publish(shards(&site, 1));
-        let calm = in_force(&site, first, Duration::from_secs(7)).await;
-        assert!(calm.is_some(), "{:?}", revisions(&site).await);
+        let first = site.platform.publish(split_values(&site, 1));
+        let undisturbed = wait_for_revision(&site, first, Duration::from_secs(7)).await;
+        assert!(undisturbed.is_some(), "{:?}", revisions(&site).await);
 
-        let second = site.platform.publish(shards(&site, 2));
+        let second = site.platform.publish(split_values(&site, 2));
         for index in [0, 1, 2] {
             site.routers[index].kill();
         }
-        let hard = in_force(&site, second, Duration::from_secs(7)).await;
+        let after_kills = wait_for_revision(&site, second, Duration::from_secs(7)).await;
 
-        assert!(hard.is_some(), "{:?}", revisions(&site).await);
+        assert!(after_kills.is_some(), "{:?}", revisions(&site).await);
         site.stop().await;
     });
 }
 
-/// A platform is down for longer than readers' patience and comes back with a change. Nothing in
-/// force may be lost meanwhile, a router that restarts then takes the configuration from its peers,
-/// and the change arrives.
+/// The platform is down for longer than the readers' timeouts and comes back with a change. A router
+/// that restarts meanwhile must get the configuration from its peers, and the change must arrive.
 #[test]
-fn a_long_outage_of_the_platform_loses_nothing() {
+fn long_platform_outage_does_not_lose_the_configuration() {
     block_on(async {
         let mut site = small_site(ROUTER, 4).await;
-        let first = site.platform.publish(shards(&site, 1));
-        let taken = in_force(&site, first, Duration::from_secs(7)).await;
-        assert!(taken.is_some());
+        let first = site.platform.publish(split_values(&site, 1));
+        let applied = wait_for_revision(&site, first, Duration::from_secs(7)).await;
+        assert!(applied.is_some());
         site.platform.set_mode(Mode::Down);
         tokio::time::sleep(Duration::from_secs(5)).await;
         site.routers[1].kill();
         site.launch(1).expect("the router starts");
-        let restarted = in_force(&site, first, Duration::from_secs(7)).await;
+        let restarted = wait_for_revision(&site, first, Duration::from_secs(7)).await;
 
-        let second = site.platform.publish(shards(&site, 2));
+        let second = site.platform.publish(split_values(&site, 2));
         site.platform.set_mode(Mode::Up);
-        let after = in_force(&site, second, Duration::from_secs(7)).await;
+        let after = wait_for_revision(&site, second, Duration::from_secs(7)).await;
 
         assert!(restarted.is_some() && after.is_some());
         site.stop().await;
     });
 }
 
-/// A thousand changes arrive one after another, each at the instances in another order, with old
-/// ones repeated in between, while calls run. No instance may go back, all must end alike, and the
-/// changes must cost no slot time: what a change does not touch goes on.
+/// A thousand changes reach the instances in different orders, mixed with old revisions, while calls
+/// run. No instance may go back to an older revision, all must end with the same one, and slots must
+/// stay busy: a change must not disturb what it doesn't affect.
 #[test]
-fn a_thousand_changes_in_a_row_cost_no_slot_time() {
-    let places = [
+fn a_thousand_changes_do_not_idle_slots() {
+    let locations = [
         ("a", "north"),
         ("a", "north"),
         ("b", "north"),
         ("c", "south"),
     ];
     let load = |steps: &mut Steps| {
-        for entry in 0..places.len() {
+        for entry in 0..locations.len() {
             while steps.waiting(entry, "big", "drafting") < 8 {
                 let accepted = steps.arrive(entry, "big", "drafting", 50, 60_000);
                 assert_eq!(accepted, Ok(()));
             }
         }
     };
-    let mut steps = Steps::new(&small_fleet(), &places, &Tuning::default());
+    let mut steps = Steps::new(&small_fleet(), &locations, &Tuning::default());
     steps.run(6000, load);
     let before = steps.busy;
     steps.run(5000, load);
@@ -258,8 +255,8 @@
 
     for change in 0..1000_u64 {
         let fleet = changed(change);
-        for turn in 0..places.len() {
-            let index = (turn + change as usize) % places.len();
+        for position in 0..locations.len() {
+            let index = (position + change as usize) % locations.len();
             let board = &mut steps.boards[index];
             let had = board.config.revision;
             let (config, manifest, values) = fleet.accept(change + 2);
@@ -271,21 +268,21 @@
         steps.run(5, load);
     }
 
-    let used = (steps.busy - before) as f64 / usual as f64;
+    let utilization = (steps.busy - before) as f64 / usual as f64;
     let digests: Vec<_> = steps.boards.iter().map(|b| b.manifest.clone()).collect();
     assert!(digests.windows(2).all(|d| d[0] == d[1]));
-    assert!(used > 0.98, "used {used}");
+    assert!(utilization > 0.98, "utilization {utilization}");
 }
 
-/// The small fleet with one account that differs from change to change.
+/// The small fleet with one more account, which differs from change to change.
 fn changed(number: u64) -> FleetText {
     small_fleet().account(&format!("guest-{}", number % 7), "none")
 }
 
-/// What a starting instance has heard, and whether it may serve. It holds revision 3.
+/// A starting instance with revision 3 must not serve while a peer may have a newer revision.
 #[test]
-fn a_starting_instance_serves_once_it_knows_enough() {
-    let heard = |peers: &[(u64, bool)], answer: Option<ProbeAck>, age: u64| {
+fn starting_instance_waits_until_its_revision_is_confirmed() {
+    let is_ready = |peers: &[(u64, bool)], answer: Option<ProbeAck>, age: u64| {
         let now = Instant::now();
         let own = contact("i0", "a", "north");
         let mut board = Blackboard::new(own, Incarnation(1), Tuning::default(), now);
@@ -314,31 +311,45 @@
         }
         startup::is_ready(&board, now, now + Duration::from_millis(age))
     };
-    let serves = |revision| ProbeAck {
+    let from_serving = |revision| ProbeAck {
         number: 0,
         revision,
         serving: true,
     };
-    let starts = |revision| ProbeAck {
+    let from_starting = |revision| ProbeAck {
         serving: false,
-        ..serves(revision)
+        ..from_serving(revision)
     };
 
-    assert!(heard(&[], None, 0), "it is alone");
-    assert!(heard(&[(3, true), (3, true)], None, 0), "all were heard");
+    assert!(is_ready(&[], None, 0), "no peers");
     assert!(
-        !heard(&[(3, true), (3, false)], None, 0),
-        "one may know more"
+        is_ready(&[(3, true), (3, true)], None, 0),
+        "all peers confirmed"
     );
-    assert!(heard(&[(3, true), (3, false)], Some(serves(3)), 0));
-    assert!(!heard(&[(3, true), (3, false)], Some(starts(3)), 0));
-    assert!(heard(&[(3, true), (3, false)], Some(starts(3)), 2100));
-    assert!(!heard(&[(4, true)], None, 2100), "a peer has a newer one");
-    assert!(!heard(&[(3, false)], Some(serves(4)), 2100));
+    assert!(
+        !is_ready(&[(3, true), (3, false)], None, 0),
+        "an unreachable peer may have a newer one"
+    );
+    assert!(is_ready(&[(3, true), (3, false)], Some(from_serving(3)), 0));
+    assert!(!is_ready(
+        &[(3, true), (3, false)],
+        Some(from_starting(3)),
+        0
+    ));
+    assert!(is_ready(
+        &[(3, true), (3, false)],
+        Some(from_starting(3)),
+        2100
+    ));
+    assert!(
+        !is_ready(&[(4, true)], None, 2100),
+        "a peer has a newer one"
+    );
+    assert!(!is_ready(&[(3, false)], Some(from_serving(4)), 2100));
 }
 
-/// The number of instances doubles while the number of failure domains stays. Calls to the platform
-/// must not double with it, since its budget does not.
+/// The number of instances doubles while the number of failure domains stays the same. Calls to the
+/// platform must not double, since their budget is fixed.
 #[test]
 fn platform_calls_do_not_grow_with_instances() {
     block_on(async {
--- a/tests/testsuite/errors.rs
+++ b/tests/testsuite/errors.rs
@@ -1,4 +1,4 @@
-//! The table of numbered results.
+//! The table of result codes in docs/ERRORS.md.
 
 use std::fmt::Write;
 
@@ -6,7 +6,7 @@
 
 const PAGE: &str = include_str!("../../docs/ERRORS.md");
 
-/// The rows that the page must hold; `cargo test errors` prints them when they differ.
+/// The table rows that the page must contain.
 fn rows() -> String {
     let mut rows = String::new();
     for code in Code::ALL {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_page_has_every_code() {
+fn errors_page_lists_every_code() {
     let missing: Vec<String> = rows()
         .lines()
         .filter(|row| !PAGE.contains(&format!("{row}\n")))
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -1,4 +1,4 @@
-//! Usage records read back: what is missing, who was owed what, and why.
+//! Evaluation of usage records: missing records, entitlements, and reasons.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 
 use crate::{ROUTER, block_on};
 
-/// A Thursday in 2026.
+/// 2026-12-03T00:00:00Z.
 const START: u64 = 1_796_256_000_000;
 
 fn record(entry: &str, seq: u64, account: &str, share: f64, cost: f64) -> UsageRecord {
@@ -66,19 +66,19 @@
     })
 }
 
-/// Two routers: r1 ends well, r2 is killed with number 2 lost and a call in flight.
+/// Two routers: r1 shuts down, r2 is killed with record 2 missing and a call in flight.
 fn small_log() -> String {
-    let mut flood = record("r1", 3, "small", 1.0, 0.0);
-    flood.reason = Reason::QueueFull;
-    flood.code = 3008;
-    flood.outcome = "not_run".into();
-    flood.waited_ms = 0.0;
+    let mut rejected = record("r1", 3, "small", 1.0, 0.0);
+    rejected.reason = Reason::QueueFull;
+    rejected.code = 3008;
+    rejected.outcome = "not_run".into();
+    rejected.waited_ms = 0.0;
     [
         "{\"time\":\"x\",\"message\":\"instance r1 starts\"}".into(),
         line(record("r1", 1, "big", 4.0, 360.0)),
         line(record("r1", 2, "small", 1.0, 140.0)),
         line(record("r1", 2, "small", 1.0, 140.0)),
-        line(flood),
+        line(rejected),
         line(record("r2", 1, "small", 1.0, 50.0)),
         line(record("r2", 3, "small", 1.0, 50.0)),
         mark("r2", 3, START + 1500, 1, false),
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn the_text_of_a_small_log() {
+fn report_names_shares_reasons_and_missing_records() {
     let explained = Explained::new(&read_text(&small_log()), 10);
 
     insta::assert_snapshot!(text::table(&explained), @r"
@@ -129,10 +129,10 @@
 ");
 }
 
-/// A router was killed while it wrote, and its successor appends to the same file: the parent's
-/// accountant must see the whole second line, and be told that the first is lost.
+/// A router is killed while it writes a line, and its successor appends to the same file. The next
+/// line must be read, and the truncated one counted.
 #[test]
-fn a_line_cut_by_a_kill_hides_no_other() {
+fn truncated_line_does_not_hide_the_next() {
     let first = line(record("r1", 1, "big", 4.0, 380.0));
     let second = line(record("r2", 1, "small", 1.0, 50.0));
     let text = format!("{}{second}\n", &first[..first.len() / 2]);
@@ -144,10 +144,10 @@
     assert_eq!(entries, ["r2"]);
 }
 
-/// Every line is given twice and in another order, as when logs are gathered by two collectors.
-/// Nothing may be counted twice.
+/// Every line occurs twice and in another order, as when two collectors gather logs. Nothing may be
+/// counted twice.
 #[test]
-fn order_and_repeats_change_nothing_but_the_count_of_duplicates() {
+fn order_and_duplicates_do_not_change_the_result() {
     let text = small_log();
     let mut lines: Vec<&str> = text.lines().chain(text.lines()).collect();
     lines.reverse();
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn nobody_is_owed_more_than_it_wants() {
+fn no_account_is_entitled_to_more_than_its_demand() {
     let claim = |share, want| Claim {
         share,
         demand: want,
@@ -177,10 +177,10 @@
     assert_eq!(parts, [80.0, 5.0, 20.0]);
 }
 
-/// An account asks for a quarter of a minute, gets a fifth of its half and is refused the rest; then
-/// it idles. It is owed its share of that quarter only, not of what ran while it asked for nothing.
+/// An account has demand for 15 of 60 seconds, gets a fifth of its half and the rest is rejected. It
+/// must be entitled to its share of these 15 seconds only.
 #[test]
-fn an_account_is_owed_only_for_the_time_in_which_it_asked() {
+fn account_has_no_entitlement_without_demand() {
     let at = |seq, account: &str, second: u64, cost| {
         let mut one = record("r1", seq, account, 1.0, cost);
         one.at_ms = START + second * 1000 + 999;
@@ -210,10 +210,10 @@
     assert_eq!(sums, [(6000.0, 7200.0), (1500.0, 300.0)]);
 }
 
-/// An operator lowers a share from 4 to 1 in the middle of a run in which two accounts ask for more
-/// than there is. What is owed must follow the change, not the larger share of the day.
+/// A share is lowered from 4 to 1 while two accounts are backlogged. Entitlements must follow the
+/// share in force at each time, not the largest one.
 #[test]
-fn a_changed_share_counts_from_its_change_on() {
+fn changed_share_applies_from_its_change() {
     let second = |s: u64| {
         let share = if s < 10 { 4.0 } else { 1.0 };
         let mut lines = Vec::new();
@@ -240,10 +240,10 @@
     );
 }
 
-/// An account with a small share has one call that waits two seconds behind a large one. It got all
-/// that it asked for, only later; the accountant must not read that something was kept from it.
+/// A call of an account with a small share waits two seconds and is then served. The account received
+/// its whole demand, so its entitlement must not be higher.
 #[test]
-fn a_call_served_late_is_not_counted_as_lost() {
+fn call_served_late_does_not_count_as_lost() {
     let large = (0..6).map(|s| {
         let mut one = record("r1", s + 1, "big", 4.0, if s == 3 { 50.0 } else { 100.0 });
         one.at_ms = START + s * 1000 + 999;
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn the_plot_names_every_account_with_both_lines() {
+fn plot_has_both_lines_of_every_account() {
     let svg = plot::svg(&Explained::new(&read_text(&small_log()), 1).intervals);
 
     let svg = svg.expect("the plot can be drawn");
@@ -286,7 +286,7 @@
                        [caller small-1]\nservice = drafting\nrate = 30\ntokens = 20\n\
                        [caller small-2]\nservice = booking\nrate = 10\npath = /run\nkeyed = yes\n";
 
-async fn serve(site: &Site, seconds: u64) {
+async fn send_load(site: &Site, seconds: u64) {
     let plan = Plan {
         callers: parse("callers", CALLERS).expect("the plan is good"),
         time: Duration::from_secs(seconds),
@@ -295,8 +295,8 @@
     run(&plan, &site.seeds(), &Arc::new(Watcher::default())).await;
 }
 
-/// Ends every router that still runs in good order.
-async fn leave(site: &mut Site) {
+/// Shuts down every running router.
+async fn shut_down(site: &mut Site) {
     for router in &site.routers {
         router.signal(Signal::SIGTERM);
     }
@@ -305,8 +305,8 @@
     }
 }
 
-/// Cost of drafting that the stand-ins ran, by account.
-fn ran(site: &Site) -> BTreeMap<Box<str>, f64> {
+/// Cost of drafting according to the test servers, by account.
+fn server_cost(site: &Site) -> BTreeMap<Box<str>, f64> {
     let mut sums: BTreeMap<Box<str>, f64> = BTreeMap::new();
     for server in &site.servers {
         for (account, cost) in &server.standin.ledger().lock().cost {
@@ -335,10 +335,10 @@
     sums
 }
 
-/// An operator cuts a leaving router short with a second signal while a server works on a call that
-/// has no answer yet. The server's time was used, so it must stand in the account's record.
+/// A second signal ends a leaving router at once while a server works on a call. The server's time was
+/// used, so it must be charged to the account.
 #[test]
-fn a_call_that_was_cut_is_charged_and_recorded() {
+fn aborted_call_is_charged_and_recorded() {
     block_on(async {
         let fleet = small_fleet()
             .line("[service slow]\ncost = time")
@@ -353,7 +353,7 @@
             .body("{\"tag\":\"big/1\"}");
         let call = tokio::spawn(call.send());
 
-        // From here on the call runs, whatever it waited for before.
+        // Wait until the call runs on the server.
         while site
             .servers
             .iter()
@@ -364,7 +364,7 @@
         tokio::time::sleep(Duration::from_millis(500)).await;
         site.routers[0].signal(Signal::SIGTERM);
         tokio::time::sleep(Duration::from_millis(200)).await;
-        leave(&mut site).await;
+        shut_down(&mut site).await;
 
         let answer = call.await.expect("the caller lives");
         let explained = explain(&site);
@@ -376,21 +376,21 @@
     });
 }
 
-/// The parent company adds up what its accounts received and holds it against the servers' own
-/// books. With every record there, the two must agree.
+/// If no record is missing, the cost that each account received must match the cost that the servers
+/// counted.
 #[test]
-fn sums_agree_with_the_servers_books_when_no_record_is_missing() {
+fn received_cost_matches_the_servers() {
     block_on(async {
         let mut site = small_site(ROUTER, 3).await;
-        serve(&site, 3).await;
-        leave(&mut site).await;
+        send_load(&site, 3).await;
+        shut_down(&mut site).await;
 
         let explained = explain(&site);
 
         assert!(explained.is_whole(), "{:?}", explained.missing);
-        let (books, records) = (ran(&site), received(&explained));
-        assert!(books.values().sum::<f64>() > 1000.0, "{books:?}");
-        for (account, cost) in &books {
+        let (counted, records) = (server_cost(&site), received(&explained));
+        assert!(counted.values().sum::<f64>() > 1000.0, "{counted:?}");
+        for (account, cost) in &counted {
             let found = records.get(account).copied().unwrap_or(0.0);
             assert!(
                 (found - cost).abs() <= 0.001 * cost,
@@ -400,41 +400,46 @@
     });
 }
 
-/// A router is killed with calls in flight. Their records are never written, and the accountant
-/// must be told from which router and how much can't be explained, instead of a sum that is
-/// silently short.
+/// A router is killed with calls in flight, so their records are never written. The result must name
+/// the router and an upper limit of the unrecorded cost instead of being silently too low.
 #[test]
-fn what_a_killed_router_did_not_write_is_told() {
+fn records_lost_with_a_killed_router_are_reported() {
     block_on(async {
         let mut site = small_site(ROUTER, 3).await;
-        let load = serve(&site, 3);
+        let load = send_load(&site, 3);
         let middle = tokio::time::sleep(Duration::from_millis(1500));
         let pid = site.routers[1].pid().expect("it runs");
         tokio::join!(load, async {
             middle.await;
-            // A process of this test's own site.
+            // A router process of this test.
             let _ended = kill(pid, Signal::SIGKILL);
         });
         site.routers[1].kill();
-        leave(&mut site).await;
+        shut_down(&mut site).await;
 
         let explained = explain(&site);
 
-        let books: f64 = ran(&site).values().sum();
+        let counted: f64 = server_cost(&site).values().sum();
         let records: f64 = received(&explained).values().sum();
         let names: Vec<&str> = explained.missing.iter().map(|m| &*m.entry).collect();
-        let told: f64 = explained
+        let reported: f64 = explained
             .missing
             .iter()
             .filter_map(|m| m.cost.get("drafting"))
             .sum();
         println!(
-            "books {books}, records {records}, told {told}, {:?}",
+            "counted {counted}, records {records}, reported {reported}, {:?}",
             explained.missing
         );
         assert_eq!(names, ["r2"]);
-        let short = books - records;
-        assert!(short > -0.001 * books, "books {books}, records {records}");
-        assert!(short <= told, "short of {short}, told {told}");
+        let shortfall = counted - records;
+        assert!(
+            shortfall > -0.001 * counted,
+            "counted {counted}, records {records}"
+        );
+        assert!(
+            shortfall <= reported,
+            "shortfall of {shortfall}, reported {reported}"
+        );
     });
 }
--- a/tests/testsuite/frames.rs
+++ b/tests/testsuite/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between instances.
+//! Authentication and replay protection of frames between instances.
 
 use hawthornmill::ident::{Incarnation, InstanceId};
 use hawthornmill::wire::{FrameError, Message, Opener, Sealer};
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_frame_is_opened_once() {
+fn repeated_frame_is_rejected() {
     let frame = sealer(9).seal(&Message::Probe(3)).expect("it fits");
     let mut opener = Opener::new(KEY, 9);
 
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn a_frame_of_an_earlier_connection_is_refused() {
+fn frame_of_another_channel_is_rejected() {
     let frame = sealer(9).seal(&Message::Probe(3)).expect("it fits");
 
     assert_eq!(Opener::new(KEY, 10).open(&frame), Err(FrameError::Replayed));
 }
 
 #[test]
-fn a_frame_under_another_key_is_refused() {
+fn frame_with_another_key_is_rejected() {
     let frame = sealer(0).seal(&Message::Probe(3)).expect("it fits");
 
     assert_eq!(
@@ -38,7 +38,7 @@
     );
 }
 
-/// Frames of a stream as they leave, the first a full one.
+/// Sealed frames of a stream; the first is a full one.
 fn stream(messages: &[Message]) -> Vec<Vec<u8>> {
     let mut sealer = sealer(9);
     let sealed = messages.iter().map(|m| sealer.seal_next(m));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn later_frames_of_a_stream_are_short_and_open_in_order() {
+fn short_frames_of_a_stream_open_in_order() {
     let messages = [1, 2, 3].map(Message::Probe);
     let frames = stream(&messages);
     let mut opener = Opener::stream(KEY, 9);
@@ -60,10 +60,10 @@
     }
 }
 
-/// Somebody who can write into a connection leaves a frame out, repeats one or moves one. Short frames
-/// carry no number, so only the MAC can tell.
+/// An attacker drops, repeats or reorders frames of a connection. Short frames carry no sequence
+/// number, so the MAC must detect it.
 #[test]
-fn short_frames_out_of_their_order_are_refused() {
+fn reordered_short_frames_are_rejected() {
     let frames = stream(&[1, 2, 3].map(Message::Probe));
     let after = |first: &[usize], then: usize| {
         let mut opener = Opener::stream(KEY, 9);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_short_frame_is_no_datagram() {
+fn short_frame_is_rejected_as_datagram() {
     let frames = stream(&[1, 2].map(Message::Probe));
     let mut opener = Opener::new(KEY, 9);
     opener.open(&frames[0]).expect("the frame is good");
@@ -90,7 +90,7 @@
 
 proptest! {
     #[test]
-    fn any_changed_byte_is_noticed(at in 0_usize..60, bit in 0_u8..8) {
+    fn changed_bit_is_detected(at in 0_usize..60, bit in 0_u8..8) {
         let mut frame = sealer(0).seal(&Message::LedgerPull).expect("it fits");
         let at = at % frame.len();
         frame[at] ^= 1 << bit;
@@ -99,25 +99,25 @@
     }
 
     #[test]
-    fn random_bytes_are_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn random_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         prop_assert!(Opener::new(KEY, 0).open(&bytes).is_err());
     }
 }
 
-/// A stream is cut in the middle of a frame, or begins with a length that no frame has. What came must
-/// not pass for a frame.
+/// A stream is cut in the middle of a frame, or begins with an invalid length. The received part must
+/// not be returned as a frame.
 #[tokio::test]
-async fn a_stream_frame_comes_whole_or_not_at_all() {
+async fn truncated_stream_frame_is_not_returned() {
     use hawthornmill_process::frames;
-    let mut whole = Vec::new();
-    frames::append(&mut whole, b"frame");
+    let mut complete = Vec::new();
+    frames::append(&mut complete, b"frame");
     let too_long = [0xff; 4];
 
-    let read = frames::read(&mut &*whole).await;
-    let cut = frames::read(&mut &whole[..6]).await;
-    let refused = frames::read(&mut &too_long[..]).await;
+    let read = frames::read(&mut &*complete).await;
+    let cut = frames::read(&mut &complete[..6]).await;
+    let oversized = frames::read(&mut &too_long[..]).await;
 
     assert_eq!(read, Ok(Some(b"frame".to_vec())));
     assert_eq!(cut, Ok(None));
-    assert_eq!(refused, Err(FrameError::TooLarge));
+    assert_eq!(oversized, Err(FrameError::TooLarge));
 }
--- a/tests/testsuite/histories.rs
+++ b/tests/testsuite/histories.rs
@@ -1,4 +1,4 @@
-//! Recorded copies of calls, checked against the promises to callers.
+//! Histories of duplicated calls, checked against the at-most-once guarantees.
 
 use std::time::Duration;
 
@@ -29,13 +29,13 @@
     }
 }
 
-fn ran(tags: &[(&str, u32)]) -> Books {
+fn runs_of(tags: &[(&str, u32)]) -> Books {
     tags.iter().map(|(t, n)| ((*t).into(), *n)).collect()
 }
 
-/// Two copies get the same run's answer, a third says nothing: all promises are kept.
+/// Two copies get the same run's response, the outcome of a third is unknown: no violation.
 #[test]
-fn a_history_that_keeps_every_promise_passes() {
+fn valid_history_has_no_violations() {
     let copies = [
         copy("a/1", "k1", (0, 10), "whole", 7),
         copy("a/1", "k1", (5, 20), "whole", 7),
@@ -44,33 +44,33 @@
         copy("a/2", "k2", (20, 30), "not_run", 0),
     ];
 
-    assert_eq!(check(&copies, &ran(&[("a/1", 1)])), []);
+    assert_eq!(check(&copies, &runs_of(&[("a/1", 1)])), []);
 }
 
-/// The checker must see each broken promise; one that sees none proves nothing.
+/// The checker must detect each kind of violation, or a passing history proves nothing.
 #[test]
-fn every_broken_promise_is_seen() {
+fn each_violation_is_detected() {
     let tag = || "a/1".into();
     let inconsistent = || Violation::Inconsistent("k".into());
     let cases = [
         (
             vec![copy("a/1", "k", (0, 9), "whole", 7)],
-            ran(&[("a/1", 2)]),
+            runs_of(&[("a/1", 2)]),
             vec![Violation::RanTwice(tag())],
         ),
         (
             vec![copy("a/1", "k", (0, 9), "whole", 7)],
-            ran(&[]),
+            runs_of(&[]),
             vec![Violation::AnswerWithoutRun(tag())],
         ),
         (
             vec![copy("a/1", "k", (0, 9), "ran", 0)],
-            ran(&[]),
+            runs_of(&[]),
             vec![Violation::FalseRan(tag())],
         ),
         (
             vec![copy("a/1", "k", (0, 9), "not_run", 0)],
-            ran(&[("a/1", 1)]),
+            runs_of(&[("a/1", 1)]),
             vec![Violation::FalseNotRun(tag())],
         ),
         (
@@ -79,16 +79,16 @@
                 copy("a/1", "k", (0, 9), "whole", 7),
                 copy("a/1", "k", (10, 19), "whole", 8),
             ],
-            ran(&[("a/1", 1)]),
+            runs_of(&[("a/1", 1)]),
             vec![inconsistent()],
         ),
         (
-            // Refused for good, and answered later.
+            // Rejected for good, but answered later.
             vec![
                 copy("a/1", "k", (0, 9), "not_run", 0),
                 copy("a/1", "k", (10, 19), "whole", 7),
             ],
-            ran(&[("a/1", 1)]),
+            runs_of(&[("a/1", 1)]),
             vec![Violation::FalseNotRun(tag()), inconsistent()],
         ),
         (
@@ -96,7 +96,7 @@
                 copy("a/1", "k", (0, 9), "whole", 7),
                 copy("a/2", "k2", (0, 9), "whole", 7),
             ],
-            ran(&[("a/1", 1), ("a/2", 1)]),
+            runs_of(&[("a/1", 1), ("a/2", 1)]),
             vec![Violation::SharedRun(tag(), "a/2".into())],
         ),
         (
@@ -104,7 +104,7 @@
                 crossed: true,
                 ..copy("a/1", "k", (0, 9), "whole", 7)
             }],
-            ran(&[("a/1", 1)]),
+            runs_of(&[("a/1", 1)]),
             vec![Violation::Crossed(tag())],
         ),
     ];
@@ -114,7 +114,7 @@
     }
 }
 
-fn storm(site: &Site, seed: u64) -> Storm {
+fn duplicated_calls(site: &Site, seed: u64) -> Storm {
     Storm {
         seed,
         service: "booking".into(),
@@ -126,26 +126,26 @@
     }
 }
 
-/// Runs the storm of `seed` while `events` happen, and returns what was answered.
-async fn weather(seed: u64, routers: usize, events: &[Event]) -> Vec<Copy> {
+/// Sends the duplicated calls of `seed` while `events` happen, and returns the responses.
+async fn run_with_faults(seed: u64, routers: usize, events: &[Event]) -> Vec<Copy> {
     let mut plan = SitePlan::new(&small_fleet().text(), DOMAINS, routers);
     plan.extra = "[discovery]\nttl_ms = 300\n".into();
     let mut site = start(ROUTER, plan).await;
-    let storm = storm(&site, seed);
-    let calls = tokio::spawn(async move { run(&storm).await });
+    let duplicated_calls = duplicated_calls(&site, seed);
+    let calls = tokio::spawn(async move { run(&duplicated_calls).await });
 
     play(&mut site, events).await.expect("routers start again");
-    let copies = calls.await.expect("the storm ends");
+    let copies = calls.await.expect("the calls end");
 
-    // A run that a lost caller began may still be under way.
+    // A call whose client disconnected may still be running.
     tokio::time::sleep(Duration::from_millis(300)).await;
     let outcomes = ["whole", "not_run", "ran", "unknown", "none"].map(|o| (o, count(&copies, o)));
     println!(
         "seed {seed}, {routers} routers: {} copies, {outcomes:?}",
         copies.len()
     );
-    let broken = check(&copies, &books(&site));
-    assert_eq!(broken, [], "seed {seed}, {events:?}");
+    let violations = check(&copies, &books(&site));
+    assert_eq!(violations, [], "seed {seed}, {events:?}");
     site.stop().await;
     copies
 }
@@ -154,28 +154,28 @@
     copies.iter().filter(|c| &*c.outcome == outcome).count()
 }
 
-/// The same key comes through up to eight routers at once, callers break off and ask elsewhere.
-/// Every booking is made at most once, and every copy that waits gets the one answer.
+/// Calls with the same key arrive through up to eight routers at once, and clients disconnect and
+/// retry elsewhere. Every call must run at most once, and every copy that waits must get its response.
 #[test]
-fn copies_through_eight_routers_run_once() {
-    let copies = block_on(weather(1, 8, &[]));
+fn duplicates_through_eight_routers_run_once() {
+    let copies = block_on(run_with_faults(1, 8, &[]));
 
     assert!(count(&copies, "whole") > 150, "{}", count(&copies, "whole"));
-    // Only callers that wait a few milliseconds are refused, and those who ask with their key.
+    // Only clients with a timeout of a few milliseconds are rejected, and their later requests with
+    // the same key.
     let refused = copies.iter().filter(|c| &*c.outcome == "not_run");
     let codes: Vec<u16> = refused.map(|c| c.code).collect();
     assert!(codes.iter().all(|c| [3007, 3024].contains(c)), "{codes:?}");
 }
 
-/// Routers are killed, frozen and told to leave at moments drawn from a seed, while copies of the
-/// same bookings arrive through all of them. A home that dies takes what it knew with it, one that
-/// wakes up finds old calls in its sockets; no booking may be made twice, and none that was said
-/// not to have run may have.
+/// Routers are killed, frozen and shut down at random times while duplicated calls arrive through all
+/// of them. A killed home loses its keys, and a resumed one finds old calls in its sockets. No call
+/// may run twice, and none that was reported as not run may have run.
 #[test]
-fn no_seed_of_faults_breaks_a_promise() {
+fn router_faults_do_not_run_a_call_twice() {
     for seed in [11, 12, 13] {
         let events = draw(seed, 4, 4, Duration::from_secs(4));
-        let copies = block_on(weather(seed, 4, &events));
+        let copies = block_on(run_with_faults(seed, 4, &events));
 
         assert!(count(&copies, "whole") > 50, "{}", count(&copies, "whole"));
     }
--- a/tests/testsuite/keys.rs
+++ b/tests/testsuite/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of calls that must not repeat: their form, and the home's memory of them.
+//! Idempotency keys: their format, and the table of their home instance.
 
 use std::time::{Duration, Instant};
 
@@ -16,9 +16,9 @@
     (AccountId::of(account), suffix.into())
 }
 
-fn used(made: u32, now: Instant) -> KeyUse {
+fn key_use(issued: u32, now: Instant) -> KeyUse {
     KeyUse {
-        issued_secs: made,
+        issued_secs: issued,
         digest: DIGEST,
         expires_at: now + retention(TTL, Duration::from_secs(1)),
     }
@@ -33,111 +33,111 @@
     }
 }
 
-/// A caller is told `not_run` of its booking, goes on with a new key, and the first copy of the old
-/// call arrives late. It must not run any more, or one family gets two loaner bikes.
+/// A client receives `not_run`, retries with a new key, and a copy of the first call arrives late. If
+/// that copy ran, the call would run twice.
 #[test]
-fn a_refusal_is_final_for_copies_that_come_later() {
+fn rejected_key_does_not_run_later() {
     let now = Instant::now();
     let mut table = KeyTable::new(100, 1000);
     assert_eq!(
-        table.claim(&key("lab", "1"), used(5, now)),
+        table.claim(&key("lab", "1"), key_use(5, now)),
         ClaimResult::Run
     );
 
     table.reject(&key("lab", "1"), Code::QueueFull);
 
-    let late = table.claim(&key("lab", "1"), used(5, now));
+    let late = table.claim(&key("lab", "1"), key_use(5, now));
     assert_eq!(late, ClaimResult::Rejected(Code::QueueFull));
 }
 
-/// The table is full and refuses a key; room is made; a second copy of the refused call arrives. It
-/// stays refused, since its caller may have gone on; a key of a newer prefix runs.
+/// The full table rejects a key, then has room again, and a copy of the call arrives. It must stay
+/// rejected, since its client may have retried with a new key; a key of a newer prefix runs.
 #[test]
-fn a_key_refused_for_want_of_room_stays_refused() {
+fn key_rejected_by_a_full_table_does_not_run_later() {
     let now = Instant::now();
     let mut table = KeyTable::new(4, 1000);
     assert_eq!(
-        table.claim(&key("lab", "1"), used(5, now)),
+        table.claim(&key("lab", "1"), key_use(5, now)),
         ClaimResult::Run
     );
     assert_eq!(
-        table.claim(&key("lab", "2"), used(6, now)),
+        table.claim(&key("lab", "2"), key_use(6, now)),
         ClaimResult::Full
     );
     table.complete(&key("lab", "1"), None);
     table.remove_expired(now + Duration::from_secs(500));
     assert!(table.is_empty());
 
-    let late = table.claim(&key("lab", "2"), used(6, now));
-    let fresh = table.claim(&key("lab", "3"), used(7, now));
+    let late = table.claim(&key("lab", "2"), key_use(6, now));
+    let fresh = table.claim(&key("lab", "3"), key_use(7, now));
 
     assert_eq!((late, fresh), (ClaimResult::Full, ClaimResult::Run));
 }
 
-/// One account floods the home with keys. Another's first key must still find room.
+/// One account uses a large number of keys. The first key of another must still be accepted.
 #[test]
-fn a_flood_of_keys_by_one_account_leaves_room_for_others() {
+fn one_account_cannot_fill_the_table() {
     let now = Instant::now();
     let mut table = KeyTable::new(40, 1000);
 
-    let runs = (0..100)
-        .filter(|n| table.claim(&key("big", &n.to_string()), used(5, now)) == ClaimResult::Run)
+    let accepted = (0..100)
+        .filter(|n| table.claim(&key("big", &n.to_string()), key_use(5, now)) == ClaimResult::Run)
         .count();
 
-    assert_eq!(runs, 10);
+    assert_eq!(accepted, 10);
     assert_eq!(
-        table.claim(&key("small", "1"), used(5, now)),
+        table.claim(&key("small", "1"), key_use(5, now)),
         ClaimResult::Run
     );
 }
 
-/// A caller asks what became of its call. Looking must not claim the key for an instant, or a copy
-/// that comes in that instant would be told that the call runs.
+/// A client asks for the state of its call. If that claimed the key even for a moment, a copy that
+/// arrives then would be told that the call is running.
 #[test]
-fn looking_at_a_key_changes_nothing() {
+fn get_does_not_claim_the_key() {
     let table = KeyTable::new(10, 1000);
 
     assert_eq!(table.get(&key("lab", "1"), DIGEST), None);
     assert!(table.is_empty());
 }
 
-/// Another account uses the very same key text. It must learn nothing of the first one's answer.
+/// Two accounts use the same key. The second must not receive the response of the first.
 #[test]
-fn the_key_of_another_account_is_a_different_key() {
+fn accounts_do_not_share_keys() {
     let now = Instant::now();
     let mut table = KeyTable::new(10, 1000);
     assert_eq!(
-        table.claim(&key("lab", "1"), used(5, now)),
+        table.claim(&key("lab", "1"), key_use(5, now)),
         ClaimResult::Run
     );
     table.complete(&key("lab", "1"), Some(answer(10)));
 
     assert_eq!(
-        table.claim(&key("kiosk", "1"), used(5, now)),
+        table.claim(&key("kiosk", "1"), key_use(5, now)),
         ClaimResult::Run
     );
 }
 
-/// Answers are dropped to stay within the bound of bytes, marks are not: a repeated key is told
-/// that its call ran, and is never run again.
+/// Responses are discarded to limit memory, keys are not: a repeated call must be reported as run and
+/// must not run again.
 #[test]
-fn answers_are_dropped_and_marks_stay() {
+fn key_of_a_discarded_response_does_not_run_again() {
     let now = Instant::now();
     let mut table = KeyTable::new(100, 25);
     for suffix in ["1", "2", "3"] {
         assert_eq!(
-            table.claim(&key("lab", suffix), used(5, now)),
+            table.claim(&key("lab", suffix), key_use(5, now)),
             ClaimResult::Run
         );
         table.complete(&key("lab", suffix), Some(answer(10)));
     }
 
     assert_eq!(
-        table.claim(&key("lab", "1"), used(5, now)),
+        table.claim(&key("lab", "1"), key_use(5, now)),
         ClaimResult::Discarded
     );
     assert_eq!(
-        table.claim(&key("lab", "3"), used(5, now)),
+        table.claim(&key("lab", "3"), key_use(5, now)),
         ClaimResult::Replay(answer(10))
     );
     assert_eq!(table.bytes(), 20);
@@ -147,7 +147,7 @@
 enum Step {
     Claim(u8, u8),
     Ran(u8, u8),
-    Refuse(u8, u8),
+    Reject(u8, u8),
     Unknown(u8, u8),
     Sweep,
 }
@@ -157,49 +157,49 @@
     prop_oneof![
         4 => pair.clone().prop_map(|(a, k)| Step::Claim(a, k)),
         1 => pair.clone().prop_map(|(a, k)| Step::Ran(a, k)),
-        1 => pair.clone().prop_map(|(a, k)| Step::Refuse(a, k)),
+        1 => pair.clone().prop_map(|(a, k)| Step::Reject(a, k)),
         1 => pair.prop_map(|(a, k)| Step::Unknown(a, k)),
         1 => Just(Step::Sweep),
     ]
 }
 
 proptest! {
-    /// Whatever happens in whatever order, a key of a prefix that may still be used is run at most
-    /// once, and never after it was refused.
+    /// In any order of events, a key with a valid prefix runs at most once, and never after it was
+    /// rejected.
     #[test]
     fn no_order_of_events_runs_a_key_twice(steps in prop::collection::vec(step(), 1..200)) {
         let now = Instant::now();
         let mut table = KeyTable::new(8, 30);
-        let mut over = std::collections::BTreeSet::new();
+        let mut finished = std::collections::BTreeSet::new();
         let name = |a: u8, k: u8| key(&a.to_string(), &k.to_string());
         for step in steps {
             match step {
-                Step::Claim(a, k) => match table.claim(&name(a, k), used(5, now)) {
-                    ClaimResult::Run => prop_assert!(over.insert((a, k)), "ran twice or after a refusal"),
-                    ClaimResult::Full => { over.insert((a, k)); }
+                Step::Claim(a, k) => match table.claim(&name(a, k), key_use(5, now)) {
+                    ClaimResult::Run => prop_assert!(finished.insert((a, k)), "ran twice or after a rejection"),
+                    ClaimResult::Full => { finished.insert((a, k)); }
                     _ => {}
                 },
                 Step::Ran(a, k) => table.complete(&name(a, k), Some(answer(10))),
-                Step::Refuse(a, k) => table.reject(&name(a, k), Code::QueueFull),
+                Step::Reject(a, k) => table.reject(&name(a, k), Code::QueueFull),
                 Step::Unknown(a, k) => table.set_unknown(&name(a, k)),
                 Step::Sweep => table.remove_expired(now + TTL),
             }
         }
     }
 
-    /// A prefix that one instance made is read by every other, and one changed character spoils it.
+    /// A prefix issued by one instance is accepted by every other; a changed character invalidates it.
     #[test]
-    fn a_prefix_is_read_back_and_a_changed_one_is_not(
-        home: u64, run: u64, made: u32, at in 0usize..60, to in "[0-9a-z]",
+    fn changed_or_foreign_prefix_is_rejected(
+        home: u64, run: u64, issued: u32, at in 0usize..60, to in "[0-9a-z]",
     ) {
         let prefix = KeyPrefix {
             home: InstanceId(home),
             incarnation: Incarnation(run),
-            issued_secs: made,
+            issued_secs: issued,
         };
         let text = prefix.encode(&FLEET);
-        let good = KeyPrefix::parse_key(&FLEET, &format!("{text}.a-1"));
-        prop_assert_eq!(good, Ok((prefix, "a-1".into())));
+        let parsed = KeyPrefix::parse_key(&FLEET, &format!("{text}.a-1"));
+        prop_assert_eq!(parsed, Ok((prefix, "a-1".into())));
 
         let mut changed = text.to_string();
         let at = at % changed.len();
@@ -212,9 +212,9 @@
         prop_assert_eq!(other, Err(KeyError::UnknownIssuer));
     }
 
-    /// Random bytes are never taken for a key and never make the reader fail.
+    /// Random text is never accepted as a key and never makes the parser panic.
     #[test]
-    fn random_text_is_no_key(text in "\\PC{0,200}") {
+    fn random_text_is_rejected(text in "\\PC{0,200}") {
         prop_assert!(KeyPrefix::parse_key(&FLEET, &text).is_err());
     }
 }
--- a/tests/testsuite/labels.rs
+++ b/tests/testsuite/labels.rs
@@ -1,14 +1,14 @@
-//! Selectors.
+//! Label selectors.
 
 use hawthornmill::labels::{Selector, parse_labels};
 
 fn matches(selector: &str, labels: &str) -> bool {
-    let selector = Selector::parse(selector).expect("the selector is good");
-    selector.matches(&parse_labels(labels).expect("the labels are good"))
+    let selector = Selector::parse(selector).expect("the selector is valid");
+    selector.matches(&parse_labels(labels).expect("the labels are valid"))
 }
 
 #[test]
-fn every_form_of_a_term_is_understood() {
+fn every_operator_matches() {
     let labels = "size=small,region=nairobi";
 
     assert!(matches("", labels));
@@ -23,15 +23,15 @@
 }
 
 #[test]
-fn faults_come_with_their_column() {
-    let fault = |text: &str| {
-        let error = Selector::parse(text).expect_err("the selector is bad");
+fn errors_have_a_column() {
+    let error_of = |text: &str| {
+        let error = Selector::parse(text).expect_err("the selector is invalid");
         error.to_string()
     };
 
-    insta::assert_snapshot!(fault("size=small,,x"), @"column 12: empty term");
-    insta::assert_snapshot!(fault("size=sm all"), @"column 8: invalid character ` ` in a key or value");
-    insta::assert_snapshot!(fault("region in (a,b"), @"column 11: `(` is never closed");
-    insta::assert_snapshot!(fault("region of (a)"), @"column 1: a list needs `key in` or `key notin` before it");
-    insta::assert_snapshot!(fault("a=b)"), @"column 4: `)` without `(`");
+    insta::assert_snapshot!(error_of("size=small,,x"), @"column 12: empty term");
+    insta::assert_snapshot!(error_of("size=sm all"), @"column 8: invalid character ` ` in a key or value");
+    insta::assert_snapshot!(error_of("region in (a,b"), @"column 11: `(` is never closed");
+    insta::assert_snapshot!(error_of("region of (a)"), @"column 1: a list needs `key in` or `key notin` before it");
+    insta::assert_snapshot!(error_of("a=b)"), @"column 4: `)` without `(`");
 }
