--- a/crates/hawthornmill-gateway/src/daemon.rs
+++ b/crates/hawthornmill-gateway/src/daemon.rs
@@ -118,7 +118,10 @@
         Rc::clone(gateway),
         store_watch::Topic::Servers,
     ));
-    spawn_local(gossip::send_news(Rc::clone(gateway), Rc::clone(&datagrams)));
+    spawn_local(gossip::send_reports(
+        Rc::clone(gateway),
+        Rc::clone(&datagrams),
+    ));
     spawn_local(gossip::receive(Rc::clone(gateway), Rc::clone(&datagrams)));
     spawn_local(state_sync::sync_from_peers(Rc::clone(gateway), datagrams));
     spawn_local(state_sync::serve_peers(Rc::clone(gateway), sockets.peer));
--- a/crates/hawthornmill-gateway/src/gateway.rs
+++ b/crates/hawthornmill-gateway/src/gateway.rs
@@ -93,9 +93,9 @@
     /// Number of open client connections.
     pub connections: Cell<usize>,
     /// Congestion of the network link of this instance.
-    pub link: RefCell<LinkMonitor>,
+    pub link_monitor: RefCell<LinkMonitor>,
     /// How late the process runs its timers.
-    pub strain: Cell<LoadShedder>,
+    pub load_shedder: Cell<LoadShedder>,
     /// Connections rejected since they were last logged.
     pub rejected: RefCell<RejectedConnections>,
     /// Number of requests in flight.
@@ -105,11 +105,11 @@
     /// Whether a list of registrations came from the store or a peer since the start.
     pub has_registrations: Cell<bool>,
     /// Whether this instance reads the store, and whether the store answers.
-    pub store_access: Cell<StoreRole>,
+    pub store_role: Cell<StoreRole>,
     /// Wakes the dispatch loop: a slot became free, or another input of queued requests changed.
     pub queue_wakeup: Notify,
     /// Wakes the gossip task: something changed that peers should learn at once.
-    pub news_wakeup: Notify,
+    pub report_wakeup: Notify,
     /// Wakes the gossip task: the work of this instance changed much since it was last announced.
     pub work_wakeup: Notify,
     phase: watch::Sender<Phase>,
@@ -125,12 +125,12 @@
         incarnation: Incarnation,
     ) -> Rc<Self> {
         let now = clock.now();
-        let place = Location {
+        let location = Location {
             domain: settings.domain,
             region: settings.region,
         };
         let mut scheduler = Scheduler::new(
-            place,
+            location,
             RetryBudget::new(settings.guarantees.resend_budget, now),
         );
         scheduler.regions.clone_from(&settings.regions);
@@ -146,19 +146,19 @@
             leaving_servers: RefCell::default(),
             state_cache: RefCell::default(),
             pending_state: PendingState::default(),
-            peers: RefCell::new(PeerTable::new(place.domain)),
+            peers: RefCell::new(PeerTable::new(location.domain)),
             pool: Pool::default(),
             metrics: Metrics::default(),
             connections: Cell::new(0),
-            link: RefCell::default(),
-            strain: Cell::default(),
+            link_monitor: RefCell::default(),
+            load_shedder: Cell::default(),
             rejected: RefCell::default(),
             in_flight: Cell::new(0),
             body_bytes: Cell::new(0),
             has_registrations: Cell::new(false),
-            store_access: Cell::new(StoreRole::Connected),
+            store_role: Cell::new(StoreRole::Connected),
             queue_wakeup: Notify::new(),
-            news_wakeup: Notify::new(),
+            report_wakeup: Notify::new(),
             work_wakeup: Notify::new(),
             phase: watch::Sender::new(Phase::Serving),
             waiters: RefCell::default(),
@@ -178,7 +178,7 @@
     /// Tells whether latency measured now reflects this instance rather than the servers.
     pub fn is_overloaded(&self) -> bool {
         let now = self.now();
-        self.strain.get().is_overloaded(now) || self.link.borrow().is_congested(now)
+        self.load_shedder.get().is_overloaded(now) || self.link_monitor.borrow().is_congested(now)
     }
 
     /// Returns the index of the current catalog.
@@ -204,7 +204,7 @@
     /// Changes the phase and announces it to peers.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
-        self.news_wakeup.notify_one();
+        self.report_wakeup.notify_one();
     }
 
     /// Tells whether clients may be sent to this instance.
@@ -244,7 +244,7 @@
                 *self.table.borrow_mut() = Some(Rc::new(table));
                 self.catalog_lag.borrow_mut().catch_up(version);
                 self.queue_wakeup.notify_one();
-                self.news_wakeup.notify_one();
+                self.report_wakeup.notify_one();
             }
             Err((code, message)) => {
                 let fields = json!({"version": version, "code": code.number(), "why": message});
@@ -287,7 +287,7 @@
         self.leaving_servers
             .borrow_mut()
             .record(leaving, source, self.now());
-        self.news_wakeup.notify_one();
+        self.report_wakeup.notify_one();
     }
 
     /// Records that a registration was removed at `revision`, possibly because the store was unavailable.
@@ -321,9 +321,9 @@
     /// # Errors
     /// Why the request is rejected, and when its client may retry.
     pub async fn select_server(&self, request: &Request) -> Result<Placement, Refusal> {
-        let verdict = self.scheduler.borrow_mut().submit(request, self.now());
+        let admission = self.scheduler.borrow_mut().submit(request, self.now());
         self.announce_work();
-        let decided = match verdict {
+        let decided = match admission {
             Admission::Decided(decided) => return decided,
             Admission::Queued(ticket) => self.wait_for_decision(ticket).await,
         };
@@ -356,8 +356,8 @@
                 Some(waiter) => waiter.send(decided).err(),
                 None => Some(decided),
             };
-            if let Some(Ok(choice)) = unclaimed {
-                self.release(&choice, false);
+            if let Some(Ok(placement)) = unclaimed {
+                self.release(&placement, false);
             }
         }
     }
@@ -370,8 +370,8 @@
     }
 
     /// Records that a request is no longer in flight at its server.
-    pub fn release(&self, choice: &Placement, began: bool) {
-        self.scheduler.borrow_mut().finish(choice, began);
+    pub fn release(&self, placement: &Placement, began: bool) {
+        self.scheduler.borrow_mut().finish(placement, began);
         self.queue_wakeup.notify_one();
     }
 
@@ -435,8 +435,8 @@
             self.gateway.scheduler.borrow_mut().cancel(self.ticket);
         }
         // A server was selected, but the client disconnected before it was told: free the slot here.
-        if let Ok(Ok(choice)) = self.decided.try_recv() {
-            self.gateway.release(&choice, false);
+        if let Ok(Ok(placement)) = self.decided.try_recv() {
+            self.gateway.release(&placement, false);
         }
     }
 }
@@ -466,10 +466,10 @@
 pub async fn monitor_lateness(gateway: Rc<Gateway>) {
     loop {
         let now = gateway.now();
-        let mut strain = gateway.strain.get();
-        strain.tick(now, now + LATENESS_INTERVAL);
-        gateway.strain.set(strain);
-        log_rejected(&gateway, strain.lag(now));
+        let mut load_shedder = gateway.load_shedder.get();
+        load_shedder.tick(now, now + LATENESS_INTERVAL);
+        gateway.load_shedder.set(load_shedder);
+        log_rejected(&gateway, load_shedder.lag(now));
         tokio::time::sleep(LATENESS_INTERVAL).await;
     }
 }
--- a/crates/hawthornmill-gateway/src/gossip.rs
+++ b/crates/hawthornmill-gateway/src/gossip.rs
@@ -1,6 +1,4 @@
-//! Exchanges state with the other instances over UDP.
-//!
-//! A piece of news is the periodic message in which an instance announces its state and work.
+//! Exchanges periodic reports of state and work with the other instances over UDP.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,8 +15,8 @@
 use crate::gateway::{Gateway, Phase};
 use crate::{event_log, state_sync};
 
-/// Shortest time between two pieces of news.
-const MIN_NEWS_INTERVAL: Duration = Duration::from_millis(40);
+/// Shortest time between two reports.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(40);
 /// Shortest time between two announcements of work; a peer dispatches about ten requests in it.
 const MIN_WORK_INTERVAL: Duration = Duration::from_millis(20);
 /// Shortest time between two announcements of work to the dozen peers in a large fleet.
@@ -32,14 +30,14 @@
 /// Without this limit, all its datagrams would be dropped as replays.
 const MAX_REPLAYS: u32 = 6;
 
-/// Sends news and announcements of work until the process ends.
-pub async fn send_news(gateway: Rc<Gateway>, datagrams: Rc<DatagramSocket>) {
+/// Sends reports and announcements of work until the process ends.
+pub async fn send_reports(gateway: Rc<Gateway>, datagrams: Rc<DatagramSocket>) {
     let mut round = 0;
     let mut due = tokio::time::Instant::now();
     loop {
         tokio::select! {
             () = tokio::time::sleep_until(due) => {}
-            () = gateway.news_wakeup.notified() => tokio::time::sleep(MIN_NEWS_INTERVAL).await,
+            () = gateway.report_wakeup.notified() => tokio::time::sleep(MIN_REPORT_INTERVAL).await,
             () = gateway.work_wakeup.notified() => {
                 send_work(&gateway, &datagrams);
                 let large = gateway.peers.borrow().is_large_fleet();
@@ -48,7 +46,7 @@
                 continue;
             }
         }
-        due = tokio::time::Instant::now() + gateway.settings().news_interval;
+        due = tokio::time::Instant::now() + gateway.settings().report_interval;
         round += 1;
         let now = gateway.now();
         let settings = gateway.settings();
@@ -62,9 +60,9 @@
             .borrow_mut()
             .retry_budget
             .observe_instances(fleet_size);
-        let news = build_news(&gateway, round, now);
+        let report = build_report(&gateway, round, now);
         let others = targets.iter().filter(|t| **t != settings.listen.peer);
-        datagrams.send(&Message::News(Box::new(news)), others.copied());
+        datagrams.send(&Message::News(Box::new(report)), others.copied());
         send_leaving(&gateway, &datagrams, now);
         relay_domain(&gateway, &datagrams, round);
     }
@@ -117,10 +115,10 @@
     members.push(Member {
         id: gateway.id,
         incarnation: gateway.incarnation,
-        info: contact(gateway),
+        info: own_info(gateway),
         ready: gateway.is_ready(),
         leaving: gateway.phase() > Phase::Serving,
-        store_role: gateway.store_access.get(),
+        store_role: gateway.store_role.get(),
         catalog_version: gateway.catalog_version(),
         revision: scheduler.registry.latest_revision(),
     });
@@ -136,7 +134,7 @@
         .collect()
 }
 
-fn contact(gateway: &Gateway) -> PeerInfo {
+fn own_info(gateway: &Gateway) -> PeerInfo {
     let settings = gateway.settings();
     PeerInfo {
         client_addr: settings.listen.front,
@@ -158,7 +156,7 @@
     datagrams.send(&Message::Work(work), targets);
 }
 
-fn build_news(gateway: &Gateway, round: u64, now: Instant) -> InstanceReport {
+fn build_report(gateway: &Gateway, round: u64, now: Instant) -> InstanceReport {
     let mut scheduler = gateway.scheduler.borrow_mut();
     let mut work = scheduler.loads.local();
     work.truncate(MAX_REPORTED);
@@ -166,10 +164,10 @@
     usage.sort_by(|a, b| b.1.requested.total_cmp(&a.1.requested));
     usage.truncate(MAX_REPORTED);
     InstanceReport {
-        info: contact(gateway),
+        info: own_info(gateway),
         ready: gateway.is_ready(),
         leaving: gateway.phase() > Phase::Serving,
-        store_role: gateway.store_access.get(),
+        store_role: gateway.store_role.get(),
         catalog_version: gateway.catalog_version(),
         revision: scheduler.registry.latest_revision(),
         work,
@@ -233,7 +231,7 @@
     if peers.relay_rank(gateway.id, now).is_none() || peers.is_domain_peer(from) {
         return;
     }
-    let domain_peers = peers.domain_peers(now).map(|(_, mate)| mate.info.peer_addr);
+    let domain_peers = peers.domain_peers(now).map(|(_, peer)| peer.info.peer_addr);
     datagrams.send_frame(frame, domain_peers);
 }
 
@@ -243,7 +241,7 @@
     let own = gateway.settings().domain;
     let (sender, run) = (frame.sender, frame.incarnation);
     match frame.message {
-        Message::News(news) => handle_news(gateway, sender, run, &news),
+        Message::News(report) => handle_report(gateway, sender, run, &report),
         Message::Work(work) => gateway
             .scheduler
             .borrow_mut()
@@ -266,26 +264,26 @@
             gateway.scheduler.borrow_mut().apply_domain_work(*work, now);
         }
         Message::Leaving(all) => gateway.apply_leaving(&all),
-        Message::Wanted(wanted) => state_sync::send_parts(gateway, datagrams, from, &wanted),
-        Message::Part(part) => gateway.pending_state.add_part(from, part),
+        Message::Wanted(wanted) => state_sync::send_fragments(gateway, datagrams, from, &wanted),
+        Message::Part(part) => gateway.pending_state.add_fragment(from, part),
         _ => {}
     }
 }
 
-fn handle_news(gateway: &Gateway, sender: InstanceId, run: Incarnation, news: &InstanceReport) {
+fn handle_report(gateway: &Gateway, sender: InstanceId, run: Incarnation, report: &InstanceReport) {
     let now = gateway.now();
-    gateway.observe_version(news.catalog_version);
+    gateway.observe_version(report.catalog_version);
     let mut peers = gateway.peers.borrow_mut();
-    if let Some(change) = peers.apply_report(sender, run, news, now) {
-        log_peer_change(change, news.info.peer_addr, peers.live(now).count());
+    if let Some(change) = peers.apply_report(sender, run, report, now) {
+        log_peer_change(change, report.info.peer_addr, peers.live(now).count());
     }
     let own = gateway.settings().domain;
-    if peers.is_large_fleet() && news.info.domain != own {
+    if peers.is_large_fleet() && report.info.domain != own {
         // The totals of its domain include its work, which must not be counted twice.
         return;
     }
     let mut scheduler = gateway.scheduler.borrow_mut();
-    scheduler.apply_report(sender, news, now);
+    scheduler.apply_report(sender, report, now);
     if scheduler.queue_len() > 0 {
         gateway.queue_wakeup.notify_one();
     }
--- a/crates/hawthornmill-gateway/src/listener.rs
+++ b/crates/hawthornmill-gateway/src/listener.rs
@@ -77,7 +77,7 @@
         gateway.metrics.connection_rejected("full");
         return;
     }
-    let share = gateway.strain.get().shed_ratio(gateway.now());
+    let share = gateway.load_shedder.get().shed_ratio(gateway.now());
     if share > 0.0 && rand::random::<f64>() < share {
         reject(gateway, &stream);
         return;
--- a/crates/hawthornmill-gateway/src/proxy/progress.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -28,7 +28,7 @@
         "lack": outlook.unmet_cost, "standing": outlook.share.status.log_name(), "lead": outlook.share.usage_ratio,
         "asked": outlook.usage.requested, "got": outlook.usage.served, "registrations": scheduler.registry.latest_revision(),
         "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway),
-        "link_wait_ms": gateway.link.borrow().queueing_delay(now).as_millis() as u64,
+        "link_wait_ms": gateway.link_monitor.borrow().queueing_delay(now).as_millis() as u64,
     });
     event_log::request_problem("refused", &context.request.attempt_id, fields);
 }
--- a/crates/hawthornmill-gateway/src/proxy/send.rs
+++ b/crates/hawthornmill-gateway/src/proxy/send.rs
@@ -93,7 +93,7 @@
         let after = gateway.now();
         let elapsed = after.duration_since(now);
         gateway
-            .link
+            .link_monitor
             .borrow_mut()
             .record_connect(address, elapsed, after);
     }
--- a/crates/hawthornmill-gateway/src/settings.rs
+++ b/crates/hawthornmill-gateway/src/settings.rs
@@ -64,8 +64,8 @@
     pub seeds: Vec<SocketAddr>,
     /// Key that seals the frames between instances.
     pub key: [u8; 32],
-    /// Interval of news to the other instances.
-    pub news_interval: Duration,
+    /// Interval of reports to the other instances.
+    pub report_interval: Duration,
     /// Address of the platform's store.
     pub store: SocketAddr,
     /// Guarantees given for the deployment.
@@ -109,7 +109,7 @@
             listen,
             seeds: seeds(&mut reader, &peers, listen.peer.port()),
             key: key(&mut reader, &peers),
-            news_interval: reader.millis(&peers, "news_ms", 200.0),
+            report_interval: reader.millis(&peers, "news_ms", 200.0),
             store: store(&mut reader, &one("store")),
             guarantees: guarantees(&mut reader, &one("promises")),
             level: level(&mut reader, &one("telemetry")),
--- a/crates/hawthornmill-gateway/src/state_sync.rs
+++ b/crates/hawthornmill-gateway/src/state_sync.rs
@@ -33,27 +33,27 @@
 /// Consecutive rounds without a datagram after which a connection is tried.
 const MAX_EMPTY_ROUNDS: usize = 2;
 
-/// Sends the parts of this instance's state that `wanted` asks for.
-pub fn send_parts(
+/// Sends the requested fragments of this instance's state.
+pub fn send_fragments(
     gateway: &Gateway,
     datagrams: &DatagramSocket,
     to: SocketAddr,
-    wanted: &FragmentRequest,
+    fragment_request: &FragmentRequest,
 ) {
     let newest = || {
-        let whole = postcard::to_allocvec(&collect_knowledge(gateway, wanted.sync));
-        whole.unwrap_or_else(|error| {
+        let bytes = postcard::to_allocvec(&build_response(gateway, fragment_request.sync));
+        bytes.unwrap_or_else(|error| {
             log::error!(target: "mates", "can't encode the state for a peer: {error}");
             Vec::new()
         })
     };
     let now = gateway.now();
-    let parts = gateway
+    let fragments = gateway
         .state_cache
         .borrow_mut()
-        .fragments(wanted, newest, now);
-    for part in parts {
-        datagrams.send(&Message::Part(part), [to]);
+        .fragments(fragment_request, newest, now);
+    for fragment in fragments {
+        datagrams.send(&Message::Part(fragment), [to]);
     }
 }
 
@@ -70,32 +70,33 @@
     gateway: &Gateway,
     datagrams: &DatagramSocket,
     peer: SocketAddr,
-    pull: SyncRequest,
+    request: SyncRequest,
 ) -> Result<(), PullError> {
     let began = gateway.now();
-    let response = receive_parts(gateway, datagrams, peer, pull).await;
+    let response = receive_fragments(gateway, datagrams, peer, request).await;
     let why = response.as_ref().err().map(|why| format!("{why:?}"));
     log_pull(gateway, peer, began, "parts", why.as_deref());
-    apply_knowledge(gateway, response?, peer);
+    apply_response(gateway, response?, peer);
     Ok(())
 }
 
-async fn receive_parts(
+async fn receive_fragments(
     gateway: &Gateway,
     datagrams: &DatagramSocket,
     peer: SocketAddr,
-    pull: SyncRequest,
+    request: SyncRequest,
 ) -> Result<SyncResponse, PullError> {
     let pending = &gateway.pending_state;
     pending.start(peer);
     let mut empty = 0;
     while empty < MAX_EMPTY_ROUNDS {
-        let (before, wanted) = pending.with_reassembly(|a| (a.received(), a.request(pull)));
-        datagrams.send(&Message::Wanted(wanted), [peer]);
-        let round = fragments::round_timeout(gateway.strain.get().lag(gateway.now()));
+        let (before, fragment_request) =
+            pending.with_reassembly(|a| (a.received(), a.request(request)));
+        datagrams.send(&Message::Wanted(fragment_request), [peer]);
+        let round = fragments::round_timeout(gateway.load_shedder.get().lag(gateway.now()));
         let _over = tokio::time::timeout(round, pending.wait_complete()).await;
         match pending.with_reassembly(|a| a.outcome().cloned()) {
-            Some(Outcome::Complete(whole)) => return decode_knowledge(&whole),
+            Some(Outcome::Complete(bytes)) => return decode_response(&bytes),
             Some(Outcome::TooLarge) => return Err(PullError::TooLarge),
             None => {}
         }
@@ -105,8 +106,8 @@
     Err(PullError::Silent)
 }
 
-fn decode_knowledge(whole: &[u8]) -> Result<SyncResponse, PullError> {
-    postcard::from_bytes(whole).map_err(|error| {
+fn decode_response(bytes: &[u8]) -> Result<SyncResponse, PullError> {
+    postcard::from_bytes(bytes).map_err(|error| {
         log::warn!(target: "mates", "can't decode the state of a peer: {error}");
         PullError::Unreadable
     })
@@ -116,16 +117,16 @@
 pub async fn sync_from_peers(gateway: Rc<Gateway>, datagrams: Rc<DatagramSocket>) {
     let mut behind_since: Option<Instant> = None;
     let mut skipped: Vec<(SocketAddr, Instant)> = Vec::new();
-    let mut patience = AdaptiveTimeout::default();
+    let mut answer_timeout = AdaptiveTimeout::default();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
         let now = gateway.now();
         skipped.retain(|(_, at)| now.duration_since(*at) < RETRY_DELAY);
-        let pull = SyncRequest {
+        let request = SyncRequest {
             catalog_version: gateway.catalog_version(),
             revision: gateway.scheduler.borrow().registry.latest_revision(),
         };
-        let ahead = peers_ahead(&gateway, pull, &skipped);
+        let ahead = peers_ahead(&gateway, request, &skipped);
         if ahead.is_empty() {
             behind_since = None;
             continue;
@@ -134,18 +135,18 @@
             continue;
         }
         let mut all_answered = true;
-        for heard in ahead {
-            let peer = heard.info.peer_addr;
+        for candidate in ahead {
+            let peer = candidate.info.peer_addr;
             skipped.push((peer, now));
-            let pulled = match pull_by_datagrams(&gateway, &datagrams, peer, pull).await {
+            let pulled = match pull_by_datagrams(&gateway, &datagrams, peer, request).await {
                 Ok(()) => true,
                 // Another peer may answer sooner than a connection to this one.
                 Err(PullError::Silent)
-                    if !self::peers_ahead(&gateway, pull, &skipped).is_empty() =>
+                    if !self::peers_ahead(&gateway, request, &skipped).is_empty() =>
                 {
                     false
                 }
-                Err(_) => pull_by_connection(&gateway, peer, pull, &mut patience).await,
+                Err(_) => pull_by_connection(&gateway, peer, request, &mut answer_timeout).await,
             };
             skipped.pop();
             if !pulled {
@@ -155,20 +156,25 @@
         }
         if all_answered {
             behind_since = None;
-            patience = AdaptiveTimeout::default();
+            answer_timeout = AdaptiveTimeout::default();
         }
     }
 }
 
-/// Returns the peers to ask for newer state than `pull` names, except those in `skipped`.
+/// Returns the peers to ask for newer state than `request` names, except those in `skipped`.
 fn peers_ahead(
     gateway: &Gateway,
-    pull: SyncRequest,
+    request: SyncRequest,
     skipped: &[(SocketAddr, Instant)],
 ) -> SmallVec<[PeerState; 2]> {
     let skipped: Vec<SocketAddr> = skipped.iter().map(|(peer, _)| *peer).collect();
     let peers = gateway.peers.borrow();
-    peers.sync_candidates(pull.catalog_version, pull.revision, &skipped, gateway.now())
+    peers.sync_candidates(
+        request.catalog_version,
+        request.revision,
+        &skipped,
+        gateway.now(),
+    )
 }
 
 /// Progress of a pull over a connection; the log shows the variant.
@@ -183,30 +189,30 @@
 async fn pull_by_connection(
     gateway: &Gateway,
     peer: SocketAddr,
-    pull: SyncRequest,
-    patience: &mut AdaptiveTimeout,
+    request: SyncRequest,
+    answer_timeout: &mut AdaptiveTimeout,
 ) -> bool {
     let (began, step) = (gateway.now(), Cell::new(Step::Connecting));
     let response = tokio::time::timeout(
-        patience.current(),
-        pull_knowledge(gateway, peer, pull, &step),
+        answer_timeout.current(),
+        request_state(gateway, peer, request, &step),
     )
     .await;
     let why = match response {
-        Ok(Ok(knowledge)) => {
-            apply_knowledge(gateway, knowledge, peer);
+        Ok(Ok(response)) => {
+            apply_response(gateway, response, peer);
             None
         }
         Ok(Err(error)) => Some(error.to_string()),
         Err(_elapsed) => Some(format!(
             "no answer in {} ms",
-            patience.current().as_millis()
+            answer_timeout.current().as_millis()
         )),
     };
     let step = format!("{:?}", step.get());
     log_pull(gateway, peer, began, &step, why.as_deref());
     if why.is_some() {
-        patience.on_timeout(gateway.peers.borrow().is_seen_since(peer, began));
+        answer_timeout.on_timeout(gateway.peers.borrow().is_seen_since(peer, began));
     }
     why.is_none()
 }
@@ -219,28 +225,28 @@
     event_log::state_change("mate_asked", fields);
 }
 
-fn apply_knowledge(gateway: &Gateway, knowledge: SyncResponse, from: SocketAddr) {
+fn apply_response(gateway: &Gateway, response: SyncResponse, from: SocketAddr) {
     let from = from.to_string();
-    if let Some(catalog) = knowledge.catalog {
+    if let Some(catalog) = response.catalog {
         gateway.apply_catalog(catalog, &from);
     }
-    if let Some(entries) = knowledge.registrations {
+    if let Some(entries) = response.registrations {
         let list = RegistrationList {
             entries,
-            unconfirmed: knowledge.unconfirmed,
-            revision: knowledge.revision,
+            unconfirmed: response.unconfirmed,
+            revision: response.revision,
             after_outage: false,
         };
         gateway.apply_registrations(list, &from);
         let registry = &mut gateway.scheduler.borrow_mut().registry;
-        registry.advance_latest(knowledge.revision);
+        registry.advance_latest(response.revision);
     }
 }
 
-async fn pull_knowledge(
+async fn request_state(
     gateway: &Gateway,
     peer: SocketAddr,
-    pull: SyncRequest,
+    request: SyncRequest,
     step: &Cell<Step>,
 ) -> std::io::Result<SyncResponse> {
     let mut stream = connect_timeout(peer, timeout::MAX_TIMEOUT).await?;
@@ -249,10 +255,10 @@
     step.set(Step::Asked);
     let key = gateway.settings().key;
     let mut sealer = Sealer::new(key, gateway.id, gateway.incarnation, channel);
-    send_message(&mut stream, &mut sealer, &Message::Pull(pull)).await?;
+    send_message(&mut stream, &mut sealer, &Message::Pull(request)).await?;
     let mut opener = Opener::new(key, channel);
     match receive_message(&mut stream, &mut opener).await? {
-        Message::Knowledge(knowledge) => Ok(*knowledge),
+        Message::Knowledge(response) => Ok(*response),
         _ => Err(std::io::ErrorKind::InvalidData.into()),
     }
 }
@@ -299,27 +305,27 @@
     stream.write_u64_le(channel).await?;
     let key = gateway.settings().key;
     let mut opener = Opener::new(key, channel);
-    let Message::Pull(pull) = receive_message(&mut stream, &mut opener).await? else {
+    let Message::Pull(request) = receive_message(&mut stream, &mut opener).await? else {
         return Err(std::io::ErrorKind::InvalidData.into());
     };
-    let knowledge = collect_knowledge(gateway, pull);
+    let response = build_response(gateway, request);
     let mut sealer = Sealer::new(key, gateway.id, gateway.incarnation, channel);
     send_message(
         &mut stream,
         &mut sealer,
-        &Message::Knowledge(Box::new(knowledge)),
+        &Message::Knowledge(Box::new(response)),
     )
     .await
 }
 
-fn collect_knowledge(gateway: &Gateway, pull: SyncRequest) -> SyncResponse {
+fn build_response(gateway: &Gateway, request: SyncRequest) -> SyncResponse {
     let table = gateway.table();
-    let newer = table.filter(|t| t.version() > pull.catalog_version);
+    let newer = table.filter(|t| t.version() > request.catalog_version);
     let scheduler = gateway.scheduler.borrow();
     let latest = scheduler.registry.latest_revision();
     SyncResponse {
         catalog: newer.map(|t| t.catalog().clone()),
-        registrations: (latest > pull.revision).then(|| scheduler.registry.snapshot()),
+        registrations: (latest > request.revision).then(|| scheduler.registry.snapshot()),
         unconfirmed: scheduler.registry.unconfirmed(gateway.now()),
         revision: latest,
     }
--- a/crates/hawthornmill-gateway/src/store_watch.rs
+++ b/crates/hawthornmill-gateway/src/store_watch.rs
@@ -114,12 +114,12 @@
             let known = gateway.has_registrations.get() && gateway.catalog_version() > 0;
             let now = gateway.now();
             if !known || gateway.peers.borrow().should_follow_store(gateway.id, now) {
-                if gateway.store_access.get() == StoreRole::Idle {
-                    gateway.store_access.set(StoreRole::Connected);
+                if gateway.store_role.get() == StoreRole::Idle {
+                    gateway.store_role.set(StoreRole::Connected);
                 }
                 return;
             }
-            gateway.store_access.set(StoreRole::Idle);
+            gateway.store_role.set(StoreRole::Idle);
             tokio::time::sleep(ROLE_CHECK_INTERVAL).await;
         }
     }
@@ -147,7 +147,7 @@
             }
         }
         let revision = revision.unwrap_or_default();
-        let away = self.is_in_grace();
+        let after_outage = self.is_in_grace();
         match self.topic {
             Topic::Catalog => entries.iter().for_each(|i| self.apply_entry(i)),
             Topic::Servers => {
@@ -155,7 +155,7 @@
                     entries: entries.iter().map(|i| self.parse_change(i)).collect(),
                     unconfirmed: Vec::new(),
                     revision,
-                    after_outage: away,
+                    after_outage: after_outage,
                 };
                 self.gateway.apply_registrations(list, "store");
             }
@@ -251,7 +251,7 @@
                 }
                 self.answered_at = now;
                 self.failures = 0;
-                self.gateway.store_access.set(StoreRole::Connected);
+                self.gateway.store_role.set(StoreRole::Connected);
             }
             Err(StoreError::HistoryLost) => {
                 event_log::state_change("store_history_lost", json!({"topic": topic}));
@@ -262,7 +262,7 @@
                     let fields = json!({"topic": topic, "how": format!("{failure:?}")});
                     event_log::state_change("store_lost", fields);
                 }
-                self.gateway.store_access.set(StoreRole::Disconnected);
+                self.gateway.store_role.set(StoreRole::Disconnected);
                 if now.duration_since(self.answered_at) > OUTAGE_THRESHOLD {
                     self.grace_until = Some(now + RETURN_GRACE);
                 }
--- a/tests/testsuite/gateway/missed_updates.rs
+++ b/tests/testsuite/gateway/missed_updates.rs
@@ -62,24 +62,24 @@
     /// Announces `port` as the port for clients, and a catalog of `version`.
     async fn announce(&self, port: u16, version: u64) {
         let own = self.socket.local_addr().expect("the socket has an address");
-        let mate = PeerInfo {
+        let info = PeerInfo {
             client_addr: std::net::SocketAddr::new(own.ip(), port),
             peer_addr: own,
             domain: DomainId::of("a"),
         };
-        let news = InstanceReport {
+        let report = InstanceReport {
             catalog_version: version,
             revision: 0,
-            ..news_of(mate)
+            ..news_of(info)
         };
         for _ in 0..20 {
-            self.send(&Message::News(Box::new(news.clone()))).await;
+            self.send(&Message::News(Box::new(report.clone()))).await;
         }
     }
 
-    /// Answers each pull with `knowledge`, but drops the first part each time.
-    async fn serve_parts(&self, knowledge: &SyncResponse) {
-        let whole = postcard::to_allocvec(knowledge).expect("the state can be encoded");
+    /// Answers each pull with `state`, but drops the first fragment each time.
+    async fn serve_fragments(&self, state: &SyncResponse) {
+        let whole = postcard::to_allocvec(state).expect("the state can be encoded");
         let mut opener = Opener::new(frame_key(), 0);
         let mut buffer = vec![0; 2_048];
         loop {
@@ -90,10 +90,10 @@
                 .expect("a datagram arrives");
             let frame = opener.open(&buffer[..length]);
             if let Ok(Message::Wanted(wanted)) = frame.map(|f| f.message) {
-                let parts = split_fragments(&whole, &wanted);
-                let lost = usize::from(parts.len() > 1);
-                for part in parts.into_iter().skip(lost) {
-                    self.send(&Message::Part(part)).await;
+                let fragments = split_fragments(&whole, &wanted);
+                let lost = usize::from(fragments.len() > 1);
+                for fragment in fragments.into_iter().skip(lost) {
+                    self.send(&Message::Part(fragment)).await;
                 }
             }
         }
@@ -337,7 +337,7 @@
         let front = fleet.gateways[0].front();
         let peer = Peer::bind(&fleet, 1).await;
         let catalog = hawthornmill_platform::catalog::parse(with_many_routes(2).as_bytes());
-        let knowledge = SyncResponse {
+        let state = SyncResponse {
             catalog: Some(catalog.expect("the catalog is valid")),
             registrations: None,
             unconfirmed: Vec::new(),
@@ -351,7 +351,7 @@
         });
         tokio::select! {
             () = served => {}
-            () = peer.serve_parts(&knowledge) => {}
+            () = peer.serve_fragments(&state) => {}
         }
     });
 }
--- a/tests/testsuite/gateway/overload.rs
+++ b/tests/testsuite/gateway/overload.rs
@@ -20,26 +20,26 @@
 /// The lateness of a process whose timers fired `late` milliseconds late, and the time of the last one.
 fn measure_lateness(late: &[u64]) -> (LoadShedder, Instant) {
     let mut now = Instant::now();
-    let mut strain = LoadShedder::default();
-    strain.tick(now, now + millis(TICK_MS));
+    let mut shedder = LoadShedder::default();
+    shedder.tick(now, now + millis(TICK_MS));
     for late in late {
         now += millis(TICK_MS + late);
-        strain.tick(now, now + millis(TICK_MS));
+        shedder.tick(now, now + millis(TICK_MS));
     }
-    (strain, now)
+    (shedder, now)
 }
 
 fn rejection_share(late: &[u64]) -> f64 {
-    let (strain, now) = measure_lateness(late);
-    strain.shed_ratio(now)
+    let (shedder, now) = measure_lateness(late);
+    shedder.shed_ratio(now)
 }
 
 /// Failure: an overloaded process takes its own lateness for slow servers, and sends them nothing.
 #[test]
 fn own_lateness_is_not_taken_for_slow_servers() {
     let behind = |late: &[u64]| {
-        let (strain, now) = measure_lateness(late);
-        strain.is_overloaded(now)
+        let (shedder, now) = measure_lateness(late);
+        shedder.is_overloaded(now)
     };
 
     assert!(behind(&[30]));
@@ -80,11 +80,11 @@
 /// Failure: a process that was paused for a second accepts the backlog before its overdue timer fires.
 #[test]
 fn overdue_timer_counts_before_it_fires() {
-    let (strain, now) = measure_lateness(&[0]);
+    let (shedder, now) = measure_lateness(&[0]);
 
     let (due, overdue) = (
-        strain.shed_ratio(now + millis(TICK_MS)),
-        strain.shed_ratio(now + millis(1_000)),
+        shedder.shed_ratio(now + millis(TICK_MS)),
+        shedder.shed_ratio(now + millis(1_000)),
     );
 
     assert!(due <= 0.0, "{due}");
