--- a/crates/hawthornmill/src/routing/catalog.rs
+++ b/crates/hawthornmill/src/routing/catalog.rs
@@ -81,7 +81,7 @@
     pub id: ServiceId,
     /// Name for logs.
     pub name: Box<str>,
-    /// Connections that one server accepts from all instances together.
+    /// Connections that one server accepts from all its clients together.
     pub max_connections: u32,
     /// Set where the servers are model engines.
     pub engine: Option<Engine>,
--- a/crates/hawthornmill/src/routing/fragments.rs
+++ b/crates/hawthornmill/src/routing/fragments.rs
@@ -79,8 +79,8 @@
         now: Instant,
     ) -> Vec<Fragment> {
         self.responses
-            .retain(|a| now.duration_since(a.at) < RESPONSE_TTL);
-        if let Some(response) = self.responses.iter().find(|a| a.digest == request.digest) {
+            .retain(|r| now.duration_since(r.at) < RESPONSE_TTL);
+        if let Some(response) = self.responses.iter().find(|r| r.digest == request.digest) {
             return split_fragments(&response.payload, request);
         }
         let payload = latest();
@@ -170,7 +170,7 @@
     /// Joins the fragments once all have arrived; drops them when the digest doesn't match.
     fn join(&mut self) {
         let fragments: Option<Vec<&[u8]>> = self.fragments.iter().map(Option::as_deref).collect();
-        let Some(payload) = fragments.map(|p| p.concat()) else {
+        let Some(payload) = fragments.map(|f| f.concat()) else {
             return;
         };
         if digest(&payload) == self.digest {
@@ -192,7 +192,7 @@
 
     /// Builds the request for the missing fragments, for a requester whose state is `sync`.
     pub fn request(&self, sync: SyncRequest) -> FragmentRequest {
-        let missing = self.fragments.iter().zip(0..).filter(|(p, _)| p.is_none());
+        let missing = self.fragments.iter().zip(0..).filter(|(f, _)| f.is_none());
         FragmentRequest {
             sync,
             digest: self.digest,
--- a/crates/hawthornmill/src/routing/gossip.rs
+++ b/crates/hawthornmill/src/routing/gossip.rs
@@ -25,12 +25,12 @@
 /// Silence after which a peer is forgotten.
 const FORGET_AFTER: Duration = Duration::from_mins(1);
 /// In a large fleet, one in this many rounds goes to seeds and to peers of other failure domains that report directly.
-const REMOTE_ROUNDS: u64 = 4;
+const REMOTE_INTERVAL_ROUNDS: u64 = 4;
 /// Relays of a failure domain in a large fleet; one may be cut off or gone and not count as silent yet.
-const RELAYS: usize = 2;
+const RELAYS_PER_DOMAIN: usize = 2;
 /// A relay sends in one of this many rounds. The two relays alternate, so a domain reports every 0.2 s; each summary is
 /// forwarded to every instance of each other domain.
-const RELAY_ROUNDS: u64 = 2;
+const RELAY_INTERVAL_ROUNDS: u64 = 2;
 /// In a large fleet, time for which a peer of another failure domain gets reports after it reported directly.
 const DIRECT_TTL: Duration = Duration::from_secs(2);
 /// Number of other instances from which a fleet counts as large.
@@ -225,7 +225,7 @@
             catalog_version: member.catalog_version,
             revision: member.revision,
             last_seen: now,
-            last_direct: self.peers.get(&member.id).and_then(|h| h.last_direct),
+            last_direct: self.peers.get(&member.id).and_then(|p| p.last_direct),
             timeout: REMOTE_TIMEOUT,
         };
         self.update(member.id, state, now)
@@ -239,8 +239,8 @@
         now: Instant,
     ) -> Option<PeerChange> {
         let current = self.peers.get(&from);
-        let previous = current.filter(|h| h.incarnation == state.incarnation);
-        state.leaving |= previous.is_some_and(|h| h.leaving);
+        let previous = current.filter(|p| p.incarnation == state.incarnation);
+        state.leaving |= previous.is_some_and(|p| p.leaving);
         let change = match previous {
             None => Some(PeerChange::Started),
             Some(previous) if now.duration_since(previous.last_seen) >= previous.timeout => {
@@ -263,7 +263,7 @@
 
     /// Returns the live peers of the own failure domain.
     pub fn domain_peers(&self, now: Instant) -> impl Iterator<Item = (InstanceId, &PeerState)> {
-        self.live(now).filter(|(_, h)| h.info.domain == self.domain)
+        self.live(now).filter(|(_, p)| p.info.domain == self.domain)
     }
 
     /// Returns the rank of instance `me` among the relays of its domain, or `None` when it is no relay.
@@ -272,25 +272,26 @@
             return None;
         }
         let own_hash = mix(self.domain.0 ^ me.0);
-        let others = self.domain_peers(now).filter(|(_, h)| !h.leaving);
+        let others = self.domain_peers(now).filter(|(_, p)| !p.leaving);
         let ahead = others
             .filter(|(id, _)| mix(self.domain.0 ^ id.0) > own_hash)
             .count();
-        (ahead < RELAYS).then_some(ahead)
+        (ahead < RELAYS_PER_DOMAIN).then_some(ahead)
     }
 
     /// Returns where the relay of `rank` sends its summary in `round`: one relay of each other failure domain.
     ///
     /// The relays of a domain take turns, so one that is cut off delays a change by two summaries at most.
     pub fn relay_targets(&self, rank: usize, round: u64, now: Instant) -> Vec<SocketAddr> {
-        if !(rank as u64 * RELAY_ROUNDS / 2 + round).is_multiple_of(RELAY_ROUNDS) {
+        if !(rank as u64 * RELAY_INTERVAL_ROUNDS / 2 + round).is_multiple_of(RELAY_INTERVAL_ROUNDS)
+        {
             return Vec::new();
         }
-        let turn = rank + (round / RELAY_ROUNDS) as usize;
+        let turn = rank + (round / RELAY_INTERVAL_ROUNDS) as usize;
         let mut domains: BTreeMap<DomainId, SmallVec<[(u64, SocketAddr); 16]>> = BTreeMap::new();
         let remote = self
             .live(now)
-            .filter(|(_, h)| h.info.domain != self.domain && !h.leaving);
+            .filter(|(_, p)| p.info.domain != self.domain && !p.leaving);
         for (id, state) in remote {
             let domain = state.info.domain;
             let ranked = domains.entry(domain).or_default();
@@ -298,7 +299,7 @@
         }
         let chosen = |mut ranked: SmallVec<[(u64, SocketAddr); 16]>| {
             ranked.sort_unstable_by(|a, b| b.cmp(a));
-            ranked[turn % RELAYS.min(ranked.len())].1
+            ranked[turn % RELAYS_PER_DOMAIN.min(ranked.len())].1
         };
         domains.into_values().map(chosen).collect()
     }
@@ -306,19 +307,19 @@
     /// Returns whether `address` belongs to an instance of the own failure domain.
     pub fn is_domain_peer(&self, address: SocketAddr) -> bool {
         let mut all = self.peers.values();
-        all.any(|h| h.info.domain == self.domain && h.info.peer_addr == address)
+        all.any(|p| p.info.domain == self.domain && p.info.peer_addr == address)
     }
 
     /// Returns whether a live instance that accepts requests has a newer catalog than `version`.
     pub fn has_newer_catalog(&self, version: u64, now: Instant) -> bool {
-        let mut all = self.live(now).map(|(_, h)| h);
-        all.any(|h| h.catalog_version > version && h.ready && !h.leaving)
+        let mut all = self.live(now).map(|(_, p)| p);
+        all.any(|p| p.catalog_version > version && p.ready && !p.leaving)
     }
 
     /// Returns whether the instance at `address` was heard, directly or through a relay, after `since`.
     pub fn is_seen_since(&self, address: SocketAddr, since: Instant) -> bool {
         let mut all = self.peers.values();
-        all.any(|h| h.info.peer_addr == address && h.last_seen > since)
+        all.any(|p| p.info.peer_addr == address && p.last_seen > since)
     }
 
     /// Returns the largest number of instances that were live at once, including this one.
@@ -330,8 +331,8 @@
     pub fn live(&self, now: Instant) -> impl Iterator<Item = (InstanceId, &PeerState)> {
         self.peers
             .iter()
-            .filter(move |(_, h)| now.duration_since(h.last_seen) < h.timeout)
-            .map(|(id, h)| (*id, h))
+            .filter(move |(_, p)| now.duration_since(p.last_seen) < p.timeout)
+            .map(|(id, p)| (*id, p))
     }
 
     /// Returns the peers from which to request what is newer than `version` and `revision`.
@@ -353,25 +354,25 @@
         now: Instant,
     ) -> SmallVec<[PeerState; 2]> {
         let live = || {
-            let all = self.live(now).map(|(_, h)| h);
-            all.filter(|h| !unresponsive.contains(&h.info.peer_addr))
+            let all = self.live(now).map(|(_, p)| p);
+            all.filter(|p| !unresponsive.contains(&p.info.peer_addr))
         };
-        let is_local = |h: &PeerState| h.info.domain == self.domain;
-        let catalog = live().filter(|h| h.catalog_version > version);
-        let servers = live().filter(|h| h.revision > revision);
+        let is_local = |p: &PeerState| p.info.domain == self.domain;
+        let catalog = live().filter(|p| p.catalog_version > version);
+        let servers = live().filter(|p| p.revision > revision);
         let mut selected: SmallVec<[PeerState; 2]> = SmallVec::new();
         selected.extend(
             servers
-                .max_by_key(|h| (is_local(h), h.revision, h.catalog_version))
+                .max_by_key(|p| (is_local(p), p.revision, p.catalog_version))
                 .copied(),
         );
         if selected
             .first()
-            .is_none_or(|h| h.catalog_version <= version)
+            .is_none_or(|p| p.catalog_version <= version)
         {
             selected.extend(
                 catalog
-                    .max_by_key(|h| (is_local(h), h.catalog_version, h.revision))
+                    .max_by_key(|p| (is_local(p), p.catalog_version, p.revision))
                     .copied(),
             );
         }
@@ -384,16 +385,16 @@
     /// failure domain do, and the others hear from them; an instance that gets no response from the store isn't counted, so
     /// another one takes over.
     pub fn should_follow_store(&self, me: InstanceId, now: Instant) -> bool {
-        let others = || self.live(now).filter(|(_, h)| !h.leaving);
+        let others = || self.live(now).filter(|(_, p)| !p.leaving);
         if others().count() < LARGE_FLEET_PEERS
-            || others().all(|(_, h)| h.store_role != StoreRole::Connected)
+            || others().all(|(_, p)| p.store_role != StoreRole::Connected)
         {
             return true;
         }
         let domain = self.domain;
         let own_hash = mix(domain.0 ^ me.0);
         let candidates = others()
-            .filter(|(_, h)| h.info.domain == domain && h.store_role != StoreRole::Disconnected);
+            .filter(|(_, p)| p.info.domain == domain && p.store_role != StoreRole::Disconnected);
         candidates
             .filter(|(id, _)| mix(domain.0 ^ id.0) > own_hash)
             .count()
@@ -402,7 +403,7 @@
 
     /// Returns some peers to name in a report, another part of them each `round`.
     pub fn peer_sample(&self, round: u64, now: Instant) -> Vec<SocketAddr> {
-        let all: Vec<SocketAddr> = self.live(now).map(|(_, h)| h.info.peer_addr).collect();
+        let all: Vec<SocketAddr> = self.live(now).map(|(_, p)| p.info.peer_addr).collect();
         let first = (round as usize * SAMPLE_SIZE) % all.len().max(1);
         all.iter()
             .cycle()
@@ -417,8 +418,8 @@
         let large = self.is_large_fleet();
         let targets = self
             .live(now)
-            .filter(|(_, h)| !large || h.info.domain == self.domain);
-        targets.map(|(_, h)| h.info.peer_addr).collect()
+            .filter(|(_, p)| !large || p.info.domain == self.domain);
+        targets.map(|(_, p)| p.info.peer_addr).collect()
     }
 
     /// Returns where to send the report of `round`: to all known peers, all peers named by others, and `seeds`.
@@ -432,21 +433,21 @@
         now: Instant,
     ) -> Vec<SocketAddr> {
         self.peers
-            .retain(|_, h| now.duration_since(h.last_seen) < FORGET_AFTER);
+            .retain(|_, p| now.duration_since(p.last_seen) < FORGET_AFTER);
         self.contacts
             .retain(|_, at| now.duration_since(*at) < FORGET_AFTER);
         let large = self.is_large_fleet();
-        let due = |id: &InstanceId, h: &PeerState| {
-            let direct = h
+        let due = |id: &InstanceId, p: &PeerState| {
+            let direct = p
                 .last_direct
                 .is_some_and(|at| now.duration_since(at) < DIRECT_TTL);
             !large
-                || h.info.domain == self.domain
-                || (direct && (id.0 ^ round).is_multiple_of(REMOTE_ROUNDS))
+                || p.info.domain == self.domain
+                || (direct && (id.0 ^ round).is_multiple_of(REMOTE_INTERVAL_ROUNDS))
         };
-        let due_peers = self.peers.iter().filter(|(id, h)| due(id, h));
-        let mut all: Vec<SocketAddr> = due_peers.map(|(_, h)| h.info.peer_addr).collect();
-        if !large || round.is_multiple_of(REMOTE_ROUNDS) {
+        let due_peers = self.peers.iter().filter(|(id, p)| due(id, p));
+        let mut all: Vec<SocketAddr> = due_peers.map(|(_, p)| p.info.peer_addr).collect();
+        if !large || round.is_multiple_of(REMOTE_INTERVAL_ROUNDS) {
             all.extend(self.contacts.keys());
             all.extend(seeds);
         }
--- a/crates/hawthornmill/src/routing/registry.rs
+++ b/crates/hawthornmill/src/routing/registry.rs
@@ -131,7 +131,7 @@
 
     /// Applies one change; returns false when it is older than the current entry.
     pub fn apply(&mut self, change: Change, now: Instant) -> bool {
-        let current = self.entries.get(&change.server).map_or(0, |k| k.revision);
+        let current = self.entries.get(&change.server).map_or(0, |e| e.revision);
         let tombstone = self.tombstones.get(&change.server).map_or(0, |(r, _)| *r);
         if change.revision <= current.max(tombstone) {
             return false;
@@ -140,7 +140,7 @@
         let old_start = self
             .entries
             .get(&change.server)
-            .map(|k| k.registration.start_ms);
+            .map(|e| e.registration.start_ms);
         let new_start = change.registration.as_ref().map(|e| e.start_ms);
         if old_start.is_some() && old_start != new_start {
             self.lost_caches.push(change.server);
@@ -166,7 +166,7 @@
     /// The entry stays otherwise unchanged until its own change arrives.
     pub fn mark_draining(&mut self, departure: Departure) -> bool {
         let entry = self.entries.get_mut(&departure.server);
-        let Some(entry) = entry.filter(|k| k.revision < departure.revision) else {
+        let Some(entry) = entry.filter(|e| e.revision < departure.revision) else {
             return false;
         };
         !std::mem::replace(&mut entry.registration.draining, true)
@@ -254,7 +254,7 @@
 
     /// Removes the entries whose grace period is over, and returns them.
     pub fn expire(&mut self, now: Instant) -> Vec<ServerId> {
-        let expired = |k: &RegistryEntry| k.expires_at.is_some_and(|until| until <= now);
+        let expired = |e: &RegistryEntry| e.expires_at.is_some_and(|until| until <= now);
         let ids: Vec<ServerId> = self
             .entries
             .iter()
--- a/crates/hawthornmill/src/routing/scheduler.rs
+++ b/crates/hawthornmill/src/routing/scheduler.rs
@@ -290,7 +290,7 @@
             unmet_cost: unmet.cost,
             ..DecisionContext::default()
         };
-        for (id, entry) in entries.filter(|(_, k)| k.registration.service == request.service) {
+        for (id, entry) in entries.filter(|(_, e)| e.registration.service == request.service) {
             context.servers += 1;
             context.draining += usize::from(entry.registration.draining);
             context.down += usize::from(self.loads.is_down(id, now));
@@ -396,7 +396,7 @@
     fn queued_for(&self, service: ServiceId) -> impl Iterator<Item = &QueuedRequest> {
         self.queue
             .values()
-            .filter(move |w| w.request.service == service)
+            .filter(move |q| q.request.service == service)
     }
 
     fn rank(&self, request: &Request) -> (ShareStatus, u32, Instant) {
@@ -442,7 +442,7 @@
     pub fn spilled_prefixes(&mut self, now: Instant) -> Vec<(PrefixKey, ServerId)> {
         self.spilled
             .retain(|(_, _, at)| now.duration_since(*at) < REPORT_TTL);
-        self.spilled.iter().map(|(f, s, _)| (*f, *s)).collect()
+        self.spilled.iter().map(|(p, s, _)| (*p, *s)).collect()
     }
 
     /// Applies the report of another instance.
@@ -479,7 +479,7 @@
             unmet,
             spilled: spilled
                 .take(domain_summary::MAX_SPILLED)
-                .map(|(f, s, _)| (*f, *s))
+                .map(|(p, s, _)| (*p, *s))
                 .collect(),
         }
     }
@@ -508,7 +508,7 @@
     fn is_hopeless(&self, request: &Request, now: Instant) -> bool {
         let rank = self.rank(request);
         let queued = self.queued_for(request.service);
-        let ahead = queued.filter(|w| self.rank(&w.request) <= rank).count();
+        let ahead = queued.filter(|q| self.rank(&q.request) <= rank).count();
         let left = wait_deadline(request).saturating_duration_since(now);
         let pace = self.paces.get(&request.service);
         left.is_zero() || pace.is_some_and(|p| p.hopeless(ahead, left, now))
--- a/crates/hawthornmill/src/routing/unmet_demand.rs
+++ b/crates/hawthornmill/src/routing/unmet_demand.rs
@@ -43,7 +43,7 @@
     /// Records that a request of `cost` found no capacity here.
     pub fn record(&mut self, service: ServiceId, status: ShareStatus, cost: f64, now: Instant) {
         let key = (service, status);
-        let before = self.local.get(&key).map_or(0, |o| o.demand(now).cost);
+        let before = self.local.get(&key).map_or(0, |d| d.demand(now).cost);
         let cost = f64::from(before) + cost;
         self.local.insert(key, LocalDemand { cost, at: now });
     }
@@ -71,11 +71,11 @@
 
     /// Returns this instance's unmet demand, to report to others.
     pub fn report(&self, now: Instant) -> Vec<(ServiceId, ShareStatus, UnmetDemand)> {
-        let recent = |o: &LocalDemand| now.duration_since(o.at) < REPORT_TTL;
+        let recent = |d: &LocalDemand| now.duration_since(d.at) < REPORT_TTL;
         let local = self.local.iter();
-        let reported = local.filter(|((_, s), o)| *s < ShareStatus::AboveFairShare && recent(o));
+        let reported = local.filter(|((_, s), d)| *s < ShareStatus::AboveFairShare && recent(d));
         reported
-            .map(|((service, status), o)| (*service, *status, o.demand(now)))
+            .map(|((service, status), d)| (*service, *status, d.demand(now)))
             .collect()
     }
 
--- a/crates/hawthornmill/src/routing/usage.rs
+++ b/crates/hawthornmill/src/routing/usage.rs
@@ -181,8 +181,8 @@
     /// Returns this instance's usage, to report to others.
     pub fn local(&mut self, now: Instant) -> Vec<(AccountId, AccountUsage)> {
         self.local
-            .retain(|_, f| f.at(now).requested >= MIN_REPORTED_COST);
-        self.local.iter().map(|(id, f)| (*id, f.at(now))).collect()
+            .retain(|_, d| d.at(now).requested >= MIN_REPORTED_COST);
+        self.local.iter().map(|(id, d)| (*id, d.at(now))).collect()
     }
 
     /// Returns the total usage of this instance and the `members` of its failure domain.
--- a/tests/testsuite/routing/fleet_simulation.rs
+++ b/tests/testsuite/routing/fleet_simulation.rs
@@ -204,9 +204,9 @@
 /// Fraction of the requests that the servers can start, where each holds a slot until its end.
 fn utilization(started: &BTreeMap<&'static str, u32>) -> f64 {
     let slots = 8.0 * SERVERS.len() as f64;
-    let held = (LATENCIES[0] + LATENCIES[1]).as_secs_f64();
-    let most = slots / held * (DURATIONS_MS[0] - DURATIONS_MS[1]) as f64 / 1_000.0;
-    f64::from(started.values().sum::<u32>()) / most
+    let slot_time = (LATENCIES[0] + LATENCIES[1]).as_secs_f64();
+    let capacity = slots / slot_time * (DURATIONS_MS[0] - DURATIONS_MS[1]) as f64 / 1_000.0;
+    f64::from(started.values().sum::<u32>()) / capacity
 }
 
 /// Failure: of accounts that request many times their share, one that enters at few instances gets less than half of the
--- a/tests/testsuite/routing/gossip.rs
+++ b/tests/testsuite/routing/gossip.rs
@@ -14,7 +14,7 @@
 }
 
 fn report(port: u16, version: u64, known_peers: Vec<SocketAddr>) -> InstanceReport {
-    let mate = PeerInfo {
+    let info = PeerInfo {
         client_addr: address(port),
         peer_addr: address(port + 1),
         domain: DomainId::of("a"),
@@ -23,7 +23,7 @@
         catalog_version: version,
         revision: 0,
         known_peers,
-        ..news_of(mate)
+        ..news_of(info)
     }
 }
 
@@ -130,11 +130,11 @@
 
     let live: Vec<u16> = peer_table
         .live(later)
-        .map(|(_, h)| h.info.client_addr.port())
+        .map(|(_, p)| p.info.client_addr.port())
         .collect();
     let versions = |have| -> Vec<u64> {
         let ahead = peer_table.sync_candidates(have, 0, &[], later);
-        ahead.iter().map(|h| h.catalog_version).collect()
+        ahead.iter().map(|p| p.catalog_version).collect()
     };
 
     assert_eq!(live.len(), 2);
@@ -234,7 +234,7 @@
     peer_table.apply_report(InstanceId::of("servers"), Incarnation(1), &servers, now);
     let candidates = |peer_table: &PeerTable| -> Vec<u16> {
         let ahead = peer_table.sync_candidates(3, 8, &[], now);
-        ahead.iter().map(|h| h.info.client_addr.port()).collect()
+        ahead.iter().map(|p| p.info.client_addr.port()).collect()
     };
 
     let apart = candidates(&peer_table);
--- a/tests/testsuite/routing/scheduler.rs
+++ b/tests/testsuite/routing/scheduler.rs
@@ -197,9 +197,9 @@
     let mut long = request("lab", shape(1, 0, 20_000), now);
     long.objective = millis(100);
 
-    let turned_away = scheduler.submit(&long, now);
+    let refused = scheduler.submit(&long, now);
 
-    assert!(matches!(turned_away, Admission::Decided(Err(_))));
+    assert!(matches!(refused, Admission::Decided(Err(_))));
     assert!(scheduler.unmet_demand(now).is_empty());
 }
 
@@ -299,9 +299,9 @@
         used.len()
     };
 
-    let (flood, owed) = (servers("flood"), servers("small"));
+    let (flood, below_guarantee) = (servers("flood"), servers("small"));
 
-    assert_eq!((flood, owed), (1, 6));
+    assert_eq!((flood, below_guarantee), (1, 6));
 }
 
 #[test]
@@ -463,13 +463,13 @@
     // Without a known token rate, no account is above its share.
     scheduler.token_rate = 0.0;
     let then = now + millis(250);
-    let turned = scheduler.dispatch_queued(then);
+    let dispatched = scheduler.dispatch_queued(then);
     let other = placed.iter().find(|c| c.server != home);
     scheduler.finish(other.expect("there are six servers"), false);
 
     let behind = scheduler.submit(&request("flood", shape(2, 10, 10), then), then);
 
-    assert!(turned.is_empty(), "{turned:?}");
+    assert!(dispatched.is_empty(), "{dispatched:?}");
     assert!(matches!(behind, Admission::Queued(_)), "{behind:?}");
 }
 
--- a/tests/testsuite/routing/unmet_demand.rs
+++ b/tests/testsuite/routing/unmet_demand.rs
@@ -26,7 +26,7 @@
     scheduler.apply_report(InstanceId::of("other"), &unmet, now);
 
     let refused = scheduler.submit(&request("flood", shape(1, 10, 10), now), now);
-    let owed = scheduler.submit(&request("small", shape(1, 10, 10), now), now);
+    let below_guarantee = scheduler.submit(&request("small", shape(1, 10, 10), now), now);
     let later = now + millis(1_000);
     scheduler.apply_report(
         InstanceId::of("other"),
@@ -36,7 +36,7 @@
     let after = scheduler.submit(&request("flood", shape(1, 10, 10), later), later);
 
     assert!(matches!(refused, Admission::Decided(Err(_))));
-    assert!(matches!(owed, Admission::Decided(Ok(_))));
+    assert!(matches!(below_guarantee, Admission::Decided(Ok(_))));
     assert!(matches!(after, Admission::Decided(Ok(_))));
 }
 
@@ -52,13 +52,19 @@
         scheduler.submit(&request("flood", shape(1, 10, 10), now), now)
     };
 
-    let (owed, below) = (
+    let (below_guarantee, below_fair_share) = (
         asks(ShareStatus::BelowGuarantee),
         asks(ShareStatus::BelowFairShare),
     );
 
-    assert!(matches!(owed, Admission::Decided(Err(_))), "{owed:?}");
-    assert!(matches!(below, Admission::Decided(Ok(_))), "{below:?}");
+    assert!(
+        matches!(below_guarantee, Admission::Decided(Err(_))),
+        "{below_guarantee:?}"
+    );
+    assert!(
+        matches!(below_fair_share, Admission::Decided(Ok(_))),
+        "{below_fair_share:?}"
+    );
 }
 
 /// Failure: an account that enters at one instance is refused there while others get twice as much, or a single request
@@ -69,8 +75,8 @@
     let asks = |cost: u32| {
         let mut scheduler = scheduler(ONE_SERVER, now);
         scheduler.token_rate = 10_000.0;
-        let lack = UnmetDemand { instances: 1, cost };
-        let unmet = report(vec![(ShareStatus::BelowGuarantee, lack)], flood_usage());
+        let demand = UnmetDemand { instances: 1, cost };
+        let unmet = report(vec![(ShareStatus::BelowGuarantee, demand)], flood_usage());
         scheduler.apply_report(InstanceId::of("other"), &unmet, now);
         scheduler.submit(&request("flood", shape(1, 10, 10), now), now)
     };
