--- a/crates/hawthornmill-gateway/src/gossip.rs
+++ b/crates/hawthornmill-gateway/src/gossip.rs
@@ -64,7 +64,7 @@
             .observe_instances(fleet_size);
         let news = build_news(&gateway, round, now);
         let others = targets.iter().filter(|t| **t != settings.listen.peer);
-        datagrams.send(&Message::News(Box::new(news)), others.copied());
+        datagrams.send(&Message::InstanceReport(Box::new(news)), others.copied());
         send_leaving(&gateway, &datagrams, now);
         relay_domain(&gateway, &datagrams, round);
     }
@@ -75,7 +75,7 @@
     let leaving = gateway.leaving_servers.borrow().for_domain(now);
     if !leaving.is_empty() {
         let targets = gateway.peers.borrow().broadcast_targets(now);
-        datagrams.send(&Message::Leaving(leaving), targets);
+        datagrams.send(&Message::Departures(leaving), targets);
     }
 }
 
@@ -90,7 +90,7 @@
         return;
     }
     let leaving = gateway.leaving_servers.borrow().for_other_domains(now);
-    let leaving = (!leaving.is_empty()).then_some(Message::Leaving(leaving));
+    let leaving = (!leaving.is_empty()).then_some(Message::Departures(leaving));
     for message in leaving.into_iter().chain(domain_messages(gateway, now)) {
         datagrams.send(&message, targets.iter().copied());
     }
@@ -131,7 +131,7 @@
     let members = scheduler.domain_members(settings.domain, members, now);
     let parts = DomainWork::parts(settings.domain, &work, &usage);
     let parts = parts.into_iter().map(|p| Message::DomainWork(Box::new(p)));
-    std::iter::once(Message::Members(Box::new(members)))
+    std::iter::once(Message::DomainMembers(Box::new(members)))
         .chain(parts)
         .collect()
 }
@@ -215,7 +215,7 @@
 const fn is_relayed(message: &Message) -> bool {
     matches!(
         message,
-        Message::Members(_) | Message::DomainWork(_) | Message::Leaving(_)
+        Message::DomainMembers(_) | Message::DomainWork(_) | Message::Departures(_)
     )
 }
 
@@ -243,13 +243,13 @@
     let own = gateway.settings().domain;
     let (sender, run) = (frame.sender, frame.incarnation);
     match frame.message {
-        Message::News(news) => handle_news(gateway, sender, run, &news),
+        Message::InstanceReport(news) => handle_news(gateway, sender, run, &news),
         Message::Work(work) => gateway
             .scheduler
             .borrow_mut()
             .loads
             .apply_peer_report(sender, work, now),
-        Message::Members(members) if members.domain != own => {
+        Message::DomainMembers(members) if members.domain != own => {
             for member in members.members.iter().filter(|m| m.id != gateway.id) {
                 gateway.observe_version(member.catalog_version);
                 let mut peers = gateway.peers.borrow_mut();
@@ -265,9 +265,11 @@
         Message::DomainWork(work) if work.domain != own => {
             gateway.scheduler.borrow_mut().apply_domain_work(*work, now);
         }
-        Message::Leaving(all) => gateway.apply_leaving(&all),
-        Message::Wanted(wanted) => state_sync::send_parts(gateway, datagrams, from, &wanted),
-        Message::Part(part) => gateway.pending_state.add_part(from, part),
+        Message::Departures(all) => gateway.apply_leaving(&all),
+        Message::FragmentRequest(wanted) => {
+            state_sync::send_parts(gateway, datagrams, from, &wanted)
+        }
+        Message::Fragment(part) => gateway.pending_state.add_part(from, part),
         _ => {}
     }
 }
--- a/crates/hawthornmill-gateway/src/state_sync.rs
+++ b/crates/hawthornmill-gateway/src/state_sync.rs
@@ -53,7 +53,7 @@
         .borrow_mut()
         .fragments(wanted, newest, now);
     for part in parts {
-        datagrams.send(&Message::Part(part), [to]);
+        datagrams.send(&Message::Fragment(part), [to]);
     }
 }
 
@@ -91,7 +91,7 @@
     let mut empty = 0;
     while empty < MAX_EMPTY_ROUNDS {
         let (before, wanted) = pending.with_reassembly(|a| (a.received(), a.request(pull)));
-        datagrams.send(&Message::Wanted(wanted), [peer]);
+        datagrams.send(&Message::FragmentRequest(wanted), [peer]);
         let round = fragments::round_timeout(gateway.strain.get().lag(gateway.now()));
         let _over = tokio::time::timeout(round, pending.wait_complete()).await;
         match pending.with_reassembly(|a| a.outcome().cloned()) {
@@ -249,10 +249,10 @@
     step.set(Step::Asked);
     let key = gateway.settings().key;
     let mut sealer = Sealer::new(key, gateway.id, gateway.incarnation, channel);
-    send_message(&mut stream, &mut sealer, &Message::Pull(pull)).await?;
+    send_message(&mut stream, &mut sealer, &Message::SyncRequest(pull)).await?;
     let mut opener = Opener::new(key, channel);
     match receive_message(&mut stream, &mut opener).await? {
-        Message::Knowledge(knowledge) => Ok(*knowledge),
+        Message::SyncResponse(knowledge) => Ok(*knowledge),
         _ => Err(std::io::ErrorKind::InvalidData.into()),
     }
 }
@@ -299,7 +299,7 @@
     stream.write_u64_le(channel).await?;
     let key = gateway.settings().key;
     let mut opener = Opener::new(key, channel);
-    let Message::Pull(pull) = receive_message(&mut stream, &mut opener).await? else {
+    let Message::SyncRequest(pull) = receive_message(&mut stream, &mut opener).await? else {
         return Err(std::io::ErrorKind::InvalidData.into());
     };
     let knowledge = collect_knowledge(gateway, pull);
@@ -307,7 +307,7 @@
     send_message(
         &mut stream,
         &mut sealer,
-        &Message::Knowledge(Box::new(knowledge)),
+        &Message::SyncResponse(Box::new(knowledge)),
     )
     .await
 }
--- a/crates/hawthornmill-tools/src/explain/plot.rs
+++ b/crates/hawthornmill-tools/src/explain/plot.rs
@@ -48,7 +48,7 @@
         for line in &step.lines {
             let series = services.entry(line.service.clone()).or_default();
             let points = series.entry(line.account.clone()).or_default();
-            points.push((at, line.part.entitled, line.part.received));
+            points.push((at, line.usage.entitled, line.usage.received));
         }
     }
     for series in services.values_mut() {
--- a/crates/hawthornmill-tools/src/explain/text.rs
+++ b/crates/hawthornmill-tools/src/explain/text.rs
@@ -44,7 +44,7 @@
         "account", "share", "owed", "received", "diff %", "backlogged s"
     )?;
     for line in lines {
-        let part = &line.part;
+        let part = &line.usage;
         let difference = if part.entitled > 0.0 {
             100.0 * (part.received - part.entitled) / part.entitled
         } else {
@@ -69,8 +69,8 @@
     let mut totals: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
     for line in explained.intervals.iter().flat_map(|i| &i.lines) {
         let total = totals.entry(&line.service).or_default();
-        total.0 += line.part.received;
-        total.1 += line.part.estimated;
+        total.0 += line.usage.received;
+        total.1 += line.usage.estimated;
     }
     for (service, (received, estimated)) in totals {
         writeln!(
--- a/crates/hawthornmill/src/usage/explain/intervals.rs
+++ b/crates/hawthornmill/src/usage/explain/intervals.rs
@@ -48,7 +48,7 @@
     pub account: Box<str>,
     /// The usage.
     #[serde(flatten)]
-    pub part: AccountUsage,
+    pub usage: AccountUsage,
 }
 
 /// Usage of all accounts in one interval.
@@ -128,7 +128,7 @@
     AccountLine {
         service,
         account,
-        part,
+        usage: part,
     }
 }
 
@@ -143,24 +143,30 @@
     }
     let held: Vec<_> = split_steps(start, end).collect();
     // Not `held_ms`: rounding errors of milliseconds since the epoch would make the sum inexact.
-    let whole: f64 = held.iter().map(|(_, from, to)| to - from).sum();
-    let fraction = |length: f64| if whole > 0.0 { length / whole } else { 1.0 };
+    let total_ms: f64 = held.iter().map(|(_, from, to)| to - from).sum();
+    let fraction = |length: f64| {
+        if total_ms > 0.0 {
+            length / total_ms
+        } else {
+            1.0
+        }
+    };
     for (index, from, to) in &held {
         let step = account.steps.entry(*index).or_default();
         step.received += record.cost * fraction(to - from);
     }
     let arrived = start - record.waited_ms;
-    let refused = is_rejected(record);
+    let rejected = is_rejected(record);
     let first = account
         .steps
         .entry(arrived.max(0.0) as u64 / STEP_MS)
         .or_default();
-    first.offered += if refused {
+    first.offered += if rejected {
         record.estimate
     } else {
         record.cost
     };
-    if refused {
+    if rejected {
         let last = account.steps.entry(record.at_ms / STEP_MS).or_default();
         last.expired += record.estimate;
     }
--- a/crates/hawthornmill/src/usage/explain/summary.rs
+++ b/crates/hawthornmill/src/usage/explain/summary.rs
@@ -27,7 +27,7 @@
 
 /// Describes why the account of `line` received what it did.
 pub fn explain_line(line: &AccountLine, interval: &Interval, missing: &[MissingRecords]) -> String {
-    let part = &line.part;
+    let part = &line.usage;
     let mut words = vec![difference(part)];
     words.extend(waiting(part));
     words.extend(rejections(part));
--- a/crates/hawthornmill/src/wire/message.rs
+++ b/crates/hawthornmill/src/wire/message.rs
@@ -316,21 +316,21 @@
     /// Old owner to new owner.
     Handover(Handover),
     /// State of a gateway instance for the others, over UDP.
-    News(Box<InstanceReport>),
+    InstanceReport(Box<InstanceReport>),
     /// Requests that a gateway instance has in flight, between two full updates, over UDP.
     Work(Vec<(ServerId, Work)>),
     /// Members of a failure domain of a large fleet, over UDP.
-    Members(Box<DomainMembers>),
+    DomainMembers(Box<DomainMembers>),
     /// Requests that such a failure domain has in flight, over UDP.
     DomainWork(Box<DomainWork>),
     /// Requests newer state from a gateway instance.
-    Pull(SyncRequest),
+    SyncRequest(SyncRequest),
     /// Response with that state.
-    Knowledge(Box<SyncResponse>),
+    SyncResponse(Box<SyncResponse>),
     /// Servers that a gateway instance knows to be leaving, over UDP.
-    Leaving(Vec<Departure>),
+    Departures(Vec<Departure>),
     /// Requests newer state from a gateway instance in parts, over UDP.
-    Wanted(FragmentRequest),
+    FragmentRequest(FragmentRequest),
     /// Response with one part of it.
-    Part(Fragment),
+    Fragment(Fragment),
 }
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -186,7 +186,7 @@
         one.at_ms = START + second * 1000 + 999;
         one
     };
-    let refused = |second| {
+    let rejected = |second| {
         let mut one = at(second + 300, "late", second, 0.0);
         one.reason = Reason::QueueFull;
         one.code = 3008;
@@ -199,13 +199,13 @@
         let mut waits = at(s + 400, "busy", s, 0.0);
         waits.outcome = "not_run".into();
         waits.code = 3007;
-        [refused(s), waits]
+        [rejected(s), waits]
     });
     let lines: Vec<String> = alone.chain(both).chain(more).map(line).collect();
 
     let explained = Explained::new(&read_text(&lines.join("\n")), 60);
 
-    let parts = explained.intervals[0].lines.iter().map(|l| &l.part);
+    let parts = explained.intervals[0].lines.iter().map(|l| &l.usage);
     let sums: Vec<(f64, f64)> = parts.map(|p| (p.entitled, p.received)).collect();
     assert_eq!(sums, [(6000.0, 7200.0), (1500.0, 300.0)]);
 }
@@ -220,11 +220,11 @@
         for (n, (account, share)) in [("big", share), ("small", 1.0)].into_iter().enumerate() {
             let mut ran = record("r1", 4 * s + n as u64 + 1, account, share, 50.0);
             ran.at_ms = START + s * 1000 + 999;
-            let mut refused = ran.clone();
-            refused.seq += 2;
-            (refused.cost, refused.code, refused.outcome) = (0.0, 3008, "not_run".into());
-            refused.reason = Reason::QueueFull;
-            lines.extend([line(ran), line(refused)]);
+            let mut rejected = ran.clone();
+            rejected.seq += 2;
+            (rejected.cost, rejected.code, rejected.outcome) = (0.0, 3008, "not_run".into());
+            rejected.reason = Reason::QueueFull;
+            lines.extend([line(ran), line(rejected)]);
         }
         lines
     };
@@ -233,7 +233,7 @@
     let explained = Explained::new(&read_text(&lines.join("\n")), 10);
 
     let lines = explained.intervals.iter().flat_map(|i| &i.lines);
-    let parts: Vec<(f64, f64)> = lines.map(|l| (l.part.share, l.part.entitled)).collect();
+    let parts: Vec<(f64, f64)> = lines.map(|l| (l.usage.share, l.usage.entitled)).collect();
     assert_eq!(
         parts,
         [(4.0, 800.0), (1.0, 200.0), (1.0, 500.0), (1.0, 500.0)]
@@ -258,7 +258,7 @@
     let explained = Explained::new(&read_text(&lines.join("\n")), 60);
 
     let parts = explained.intervals.iter().flat_map(|i| &i.lines);
-    for part in parts.filter(|l| &*l.account == "small").map(|l| &l.part) {
+    for part in parts.filter(|l| &*l.account == "small").map(|l| &l.usage) {
         assert!((part.entitled - 50.0).abs() < 1e-9, "{part:?}");
     }
 }
@@ -288,7 +288,7 @@
 
 async fn send_load(site: &Site, seconds: u64) {
     let plan = Plan {
-        callers: parse("callers", CALLERS).expect("the plan is good"),
+        callers: parse("callers", CALLERS).expect("the plan is valid"),
         time: Duration::from_secs(seconds),
         seed: 1,
     };
@@ -330,7 +330,7 @@
     let mut sums: BTreeMap<Box<str>, f64> = BTreeMap::new();
     let lines = explained.intervals.iter().flat_map(|i| &i.lines);
     for line in lines.filter(|l| &*l.service == "drafting") {
-        *sums.entry(line.account.clone()).or_default() += line.part.received;
+        *sums.entry(line.account.clone()).or_default() += line.usage.received;
     }
     sums
 }
@@ -366,11 +366,11 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
         shut_down(&mut site).await;
 
-        let answer = call.await.expect("the caller lives");
+        let response = call.await.expect("the task ends");
         let explained = explain(&site);
-        assert!(answer.is_err(), "{answer:?}");
+        assert!(response.is_err(), "{response:?}");
         let lines = explained.intervals.iter().flat_map(|i| &i.lines);
-        let cost: f64 = lines.map(|l| l.part.received).sum();
+        let cost: f64 = lines.map(|l| l.usage.received).sum();
         assert!(cost > 400.0, "{explained:?}");
         assert!(explained.is_whole(), "{:?}", explained.missing);
     });
--- a/tests/testsuite/gateway/missed_updates.rs
+++ b/tests/testsuite/gateway/missed_updates.rs
@@ -73,7 +73,8 @@
             ..news_of(mate)
         };
         for _ in 0..20 {
-            self.send(&Message::News(Box::new(news.clone()))).await;
+            self.send(&Message::InstanceReport(Box::new(news.clone())))
+                .await;
         }
     }
 
@@ -89,11 +90,11 @@
                 .await
                 .expect("a datagram arrives");
             let frame = opener.open(&buffer[..length]);
-            if let Ok(Message::Wanted(wanted)) = frame.map(|f| f.message) {
+            if let Ok(Message::FragmentRequest(wanted)) = frame.map(|f| f.message) {
                 let parts = split_fragments(&whole, &wanted);
                 let lost = usize::from(parts.len() > 1);
                 for part in parts.into_iter().skip(lost) {
-                    self.send(&Message::Part(part)).await;
+                    self.send(&Message::Fragment(part)).await;
                 }
             }
         }
@@ -316,7 +317,7 @@
         };
 
         wait_until("the instance receives the announcement", || async {
-            peer.send(&Message::Leaving(vec![leaving])).await;
+            peer.send(&Message::Departures(vec![leaving])).await;
             !fleet.gateways[0].logged("registration_leaving").is_empty()
         })
         .await;
