--- a/crates/hawthornmill/src/config/entitlement.rs
+++ b/crates/hawthornmill/src/config/entitlement.rs
@@ -40,11 +40,11 @@
     for _ in 0..ROUNDS {
         for class in classes.iter().filter(|r| !r.shares.is_empty()) {
             let level = |a: &AccountId| normalised.get(a).copied().unwrap_or(0.0);
-            let least = class
+            let next = class
                 .shares
                 .iter()
                 .min_by(|a, b| level(a.0).total_cmp(&level(b.0)));
-            let Some((account, share)) = least else {
+            let Some((account, share)) = next else {
                 continue;
             };
             let part = class.slots / ROUNDS as f64;
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -126,19 +126,19 @@
     block_on(async {
         let site = small_site(ROUTER, 3).await;
         for revision in [2, 3] {
-            let whole = split_values(&site, revision);
-            let mut part = whole.clone();
-            part.remove("servers");
+            let complete = split_values(&site, revision);
+            let mut partial = complete.clone();
+            partial.remove("servers");
             if revision == 3 {
                 let other = split_values(&site, 99).remove("servers");
-                part.extend(other.map(|text| ("servers".into(), text)));
+                partial.extend(other.map(|text| ("servers".into(), text)));
             }
-            let manifest = manifest(revision, &whole);
-            site.platform.publish_raw(manifest.clone(), part);
+            let manifest = manifest(revision, &complete);
+            site.platform.publish_raw(manifest.clone(), partial);
             tokio::time::sleep(Duration::from_secs(1)).await;
             let during = revisions(&site).await;
 
-            site.platform.publish_raw(manifest, whole);
+            site.platform.publish_raw(manifest, complete);
             let applied = wait_for_revision(&site, revision, Duration::from_secs(7)).await;
 
             assert_eq!(during, [Some(revision - 1); 3]);
@@ -282,7 +282,7 @@
 /// A starting instance with revision 3 must not serve while a peer may have a newer revision.
 #[test]
 fn starting_instance_waits_until_its_revision_is_confirmed() {
-    let is_ready = |peers: &[(u64, bool)], answer: Option<ProbeAck>, age: u64| {
+    let is_ready = |peers: &[(u64, bool)], ack: Option<ProbeAck>, age: u64| {
         let now = Instant::now();
         let own = contact("i0", "a", "north");
         let mut board = Blackboard::new(own, Incarnation(1), Tuning::default(), now);
@@ -306,7 +306,7 @@
                 board.members.record_liveness(sign, now);
             }
         }
-        if let Some(ack) = answer {
+        if let Some(ack) = ack {
             tick::on_probe_ack(&mut board, ack, now);
         }
         startup::is_ready(&board, now, now + Duration::from_millis(age))
--- a/tests/testsuite/frames.rs
+++ b/tests/testsuite/frames.rs
@@ -15,7 +15,7 @@
     let frame = sealer(9).seal(&Message::Probe(3)).expect("it fits");
     let mut opener = Opener::new(KEY, 9);
 
-    let first = opener.open(&frame).expect("the frame is good");
+    let first = opener.open(&frame).expect("the frame is valid");
 
     assert_eq!(first.message, Message::Probe(3));
     assert_eq!(opener.open(&frame), Err(FrameError::Replayed));
@@ -56,7 +56,7 @@
     let lengths: Vec<usize> = frames.iter().map(Vec::len).collect();
     assert_eq!(lengths, [51, 19, 19]);
     for (frame, message) in opened.into_iter().zip(messages) {
-        assert_eq!(frame.expect("the frame is good").message, message);
+        assert_eq!(frame.expect("the frame is valid").message, message);
     }
 }
 
@@ -68,7 +68,7 @@
     let after = |first: &[usize], then: usize| {
         let mut opener = Opener::stream(KEY, 9);
         for index in first {
-            opener.open(&frames[*index]).expect("the frame is good");
+            opener.open(&frames[*index]).expect("the frame is valid");
         }
         opener.open(&frames[then]).map(|f| f.message)
     };
@@ -83,7 +83,7 @@
 fn short_frame_is_rejected_as_datagram() {
     let frames = stream(&[1, 2].map(Message::Probe));
     let mut opener = Opener::new(KEY, 9);
-    opener.open(&frames[0]).expect("the frame is good");
+    opener.open(&frames[0]).expect("the frame is valid");
 
     assert_eq!(opener.open(&frames[1]), Err(FrameError::Malformed));
 }
--- a/tests/testsuite/histories.rs
+++ b/tests/testsuite/histories.rs
@@ -83,7 +83,7 @@
             vec![inconsistent()],
         ),
         (
-            // Rejected for good, but answered later.
+            // Rejected for good, but served later.
             vec![
                 copy("a/1", "k", (0, 9), "not_run", 0),
                 copy("a/1", "k", (10, 19), "whole", 7),
@@ -163,8 +163,8 @@
     assert!(count(&copies, "whole") > 150, "{}", count(&copies, "whole"));
     // Only clients with a timeout of a few milliseconds are rejected, and their later requests with
     // the same key.
-    let refused = copies.iter().filter(|c| &*c.outcome == "not_run");
-    let codes: Vec<u16> = refused.map(|c| c.code).collect();
+    let rejected = copies.iter().filter(|c| &*c.outcome == "not_run");
+    let codes: Vec<u16> = rejected.map(|c| c.code).collect();
     assert!(codes.iter().all(|c| [3007, 3024].contains(c)), "{codes:?}");
 }
 
--- a/tests/testsuite/keys.rs
+++ b/tests/testsuite/keys.rs
@@ -24,7 +24,7 @@
     }
 }
 
-fn answer(length: usize) -> StoredResponse {
+fn response(length: usize) -> StoredResponse {
     StoredResponse {
         status: 200,
         content_type: None,
@@ -110,7 +110,7 @@
         table.claim(&key("lab", "1"), key_use(5, now)),
         ClaimResult::Run
     );
-    table.complete(&key("lab", "1"), Some(answer(10)));
+    table.complete(&key("lab", "1"), Some(response(10)));
 
     assert_eq!(
         table.claim(&key("kiosk", "1"), key_use(5, now)),
@@ -129,7 +129,7 @@
             table.claim(&key("lab", suffix), key_use(5, now)),
             ClaimResult::Run
         );
-        table.complete(&key("lab", suffix), Some(answer(10)));
+        table.complete(&key("lab", suffix), Some(response(10)));
     }
 
     assert_eq!(
@@ -138,7 +138,7 @@
     );
     assert_eq!(
         table.claim(&key("lab", "3"), key_use(5, now)),
-        ClaimResult::Replay(answer(10))
+        ClaimResult::Replay(response(10))
     );
     assert_eq!(table.bytes(), 20);
 }
@@ -179,7 +179,7 @@
                     ClaimResult::Full => { finished.insert((a, k)); }
                     _ => {}
                 },
-                Step::Ran(a, k) => table.complete(&name(a, k), Some(answer(10))),
+                Step::Ran(a, k) => table.complete(&name(a, k), Some(response(10))),
                 Step::Reject(a, k) => table.reject(&name(a, k), Code::QueueFull),
                 Step::Unknown(a, k) => table.set_unknown(&name(a, k)),
                 Step::Sweep => table.remove_expired(now + TTL),
