--- a/crates/hawthornmill-gateway/src/gossip.rs
+++ b/crates/hawthornmill-gateway/src/gossip.rs
@@ -267,7 +267,7 @@
         }
         Message::Departures(all) => gateway.apply_leaving(&all),
         Message::FragmentRequest(wanted) => {
-            state_sync::send_parts(gateway, datagrams, from, &wanted)
+            state_sync::send_parts(gateway, datagrams, from, &wanted);
         }
         Message::Fragment(part) => gateway.pending_state.add_part(from, part),
         _ => {}
--- a/crates/hawthornmill/src/usage/explain/intervals.rs
+++ b/crates/hawthornmill/src/usage/explain/intervals.rs
@@ -93,42 +93,42 @@
 pub fn intervals(log: &UsageLog, length_ms: u64) -> Vec<Interval> {
     let length_ms = length_ms.max(1).div_ceil(STEP_MS) * STEP_MS;
     let mut accounts: BTreeMap<Key, Account> = BTreeMap::new();
-    let mut parts: BTreeMap<u64, BTreeMap<Key, AccountUsage>> = BTreeMap::new();
+    let mut by_interval: BTreeMap<u64, BTreeMap<Key, AccountUsage>> = BTreeMap::new();
     for record in log.records() {
         let key = (record.service.clone(), record.account.clone());
         let account = accounts.entry(key.clone()).or_default();
         add_record(account, record);
-        let part = parts.entry(record.at_ms / length_ms).or_default();
-        count(part.entry(key).or_default(), record);
+        let usage = by_interval.entry(record.at_ms / length_ms).or_default();
+        count_call(usage.entry(key).or_default(), record);
     }
     for (key, account) in &accounts {
         for (index, step) in &account.steps {
-            let part = parts.entry(index * STEP_MS / length_ms).or_default();
-            let part = part.entry(key.clone()).or_default();
-            part.received += step.received;
-            part.backlogged_ms += union_ms(&step.waits);
-            part.share = account.share(*index);
+            let usage = by_interval.entry(index * STEP_MS / length_ms).or_default();
+            let usage = usage.entry(key.clone()).or_default();
+            usage.received += step.received;
+            usage.backlogged_ms += union_ms(&step.waits);
+            usage.share = account.share(*index);
         }
     }
     for (index, key, entitled) in entitlements(&accounts) {
-        let part = parts.entry(index * STEP_MS / length_ms).or_default();
-        part.entry(key).or_default().entitled += entitled;
+        let usage = by_interval.entry(index * STEP_MS / length_ms).or_default();
+        usage.entry(key).or_default().entitled += entitled;
     }
-    let intervals = parts.into_iter();
+    let intervals = by_interval.into_iter();
     intervals
-        .map(|(index, parts)| Interval {
+        .map(|(index, accounts)| Interval {
             start_ms: index * length_ms,
             length_ms,
-            lines: parts.into_iter().map(to_line).collect(),
+            lines: accounts.into_iter().map(to_line).collect(),
         })
         .collect()
 }
 
-fn to_line(((service, account), part): (Key, AccountUsage)) -> AccountLine {
+fn to_line(((service, account), usage): (Key, AccountUsage)) -> AccountLine {
     AccountLine {
         service,
         account,
-        usage: part,
+        usage,
     }
 }
 
@@ -195,17 +195,17 @@
     })
 }
 
-fn count(part: &mut AccountUsage, record: &UsageRecord) {
+fn count_call(usage: &mut AccountUsage, record: &UsageRecord) {
     if record.estimated {
-        part.estimated += record.cost;
+        usage.estimated += record.cost;
     }
     if record.code != 0 && &*record.outcome == "not_run" {
-        *part.refused.entry(record.reason).or_default() += 1;
+        *usage.refused.entry(record.reason).or_default() += 1;
     } else {
-        part.calls += 1;
+        usage.calls += 1;
     }
     if record.reason != Reason::None {
-        *part.waited_ms.entry(record.reason).or_default() += record.waited_ms;
+        *usage.waited_ms.entry(record.reason).or_default() += record.waited_ms;
     }
 }
 
--- a/crates/hawthornmill/src/usage/explain/summary.rs
+++ b/crates/hawthornmill/src/usage/explain/summary.rs
@@ -27,33 +27,33 @@
 
 /// Describes why the account of `line` received what it did.
 pub fn explain_line(line: &AccountLine, interval: &Interval, missing: &[MissingRecords]) -> String {
-    let part = &line.usage;
-    let mut words = vec![difference(part)];
-    words.extend(waiting(part));
-    words.extend(rejections(part));
+    let usage = &line.usage;
+    let mut phrases = vec![describe_difference(usage)];
+    phrases.extend(describe_waits(usage));
+    phrases.extend(describe_rejections(usage));
     let end = interval.start_ms + interval.length_ms;
-    for describe_run in missing
+    for gap in missing
         .iter()
         .filter(|m| m.between_ms.0 < end && m.between_ms.1 >= interval.start_ms)
     {
-        words.push(format!("records missing from {}", describe_run.entry));
+        phrases.push(format!("records missing from {}", gap.entry));
     }
-    words.join("; ")
+    phrases.join("; ")
 }
 
-fn difference(part: &AccountUsage) -> String {
-    let difference = part.received - part.entitled;
-    if part.received == 0.0 && part.entitled == 0.0 {
+fn describe_difference(usage: &AccountUsage) -> String {
+    let difference = usage.received - usage.entitled;
+    if usage.received == 0.0 && usage.entitled == 0.0 {
         return "received nothing".into();
     }
-    if difference.abs() <= TOLERANCE * part.entitled {
-        if part.backlogged_ms > 0.0 {
+    if difference.abs() <= TOLERANCE * usage.entitled {
+        if usage.backlogged_ms > 0.0 {
             return "received its share".into();
         }
         return "received all that it asked for".into();
     }
-    let percent = 100.0 * difference.abs() / part.entitled.max(f64::MIN_POSITIVE);
-    if part.entitled <= 0.0 {
+    let percent = 100.0 * difference.abs() / usage.entitled.max(f64::MIN_POSITIVE);
+    if usage.entitled <= 0.0 {
         return "received more than owed, which others went without".into();
     }
     if difference > 0.0 {
@@ -63,31 +63,31 @@
     }
 }
 
-fn waiting(part: &AccountUsage) -> Option<String> {
-    let total: f64 = part.waited_ms.values().sum();
+fn describe_waits(usage: &AccountUsage) -> Option<String> {
+    let total: f64 = usage.waited_ms.values().sum();
     if total <= 0.0 {
         return None;
     }
-    let mut list: Vec<(&Reason, &f64)> = part
+    let mut list: Vec<(&Reason, &f64)> = usage
         .waited_ms
         .iter()
         .filter(|(_, ms)| **ms >= MIN_FRACTION * total)
         .collect();
     list.sort_by(|a, b| b.1.total_cmp(a.1));
-    let words: Vec<String> = list
+    let phrases: Vec<String> = list
         .iter()
         .map(|(reason, ms)| format!("{} ({:.0} %)", describe(**reason), 100.0 * **ms / total))
         .collect();
-    Some(format!("calls waited because {}", words.join(", ")))
+    Some(format!("calls waited because {}", phrases.join(", ")))
 }
 
-fn rejections(part: &AccountUsage) -> Option<String> {
-    let words: Vec<String> = part
+fn describe_rejections(usage: &AccountUsage) -> Option<String> {
+    let phrases: Vec<String> = usage
         .refused
         .iter()
         .map(|(reason, count)| format!("{count} refused: {}", describe(*reason)))
         .collect();
-    (!words.is_empty()).then(|| words.join(", "))
+    (!phrases.is_empty()).then(|| phrases.join(", "))
 }
 
 /// Describes missing records, one sentence for each process run.
@@ -96,7 +96,7 @@
 }
 
 fn describe_run(missing: &MissingRecords) -> String {
-    let mut words = Vec::new();
+    let mut phrases = Vec::new();
     if missing.records > 0 {
         let ranges: Vec<String> = missing
             .gaps
@@ -104,15 +104,15 @@
             .map(|(first, last)| format!("{first} to {last}"))
             .collect();
         let (records, ranges) = (count(missing.records, "record"), ranges.join(", "));
-        words.push(format!("{records} missing (numbers {ranges})"));
+        phrases.push(format!("{records} missing (numbers {ranges})"));
     }
     if missing.killed {
-        let least: u64 = missing.open.iter().map(|o| o.calls).sum();
-        let most: u64 = missing.peak.values().sum();
-        words.push(format!(
+        let open_calls: u64 = missing.open.iter().map(|o| o.calls).sum();
+        let peak_calls: u64 = missing.peak.values().sum();
+        phrases.push(format!(
             "ended without a final checkpoint; the last one lists {} in flight without a record, \
-             and the run had up to {most} at once",
-            count(least, "call")
+             and the run had up to {peak_calls} at once",
+            count(open_calls, "call")
         ));
     }
     let costs: Vec<String> = missing
@@ -121,13 +121,13 @@
         .map(|(service, cost)| format!("{cost:.0} of {service}"))
         .collect();
     if !costs.is_empty() {
-        words.push(format!(
+        phrases.push(format!(
             "up to about {} can't be explained",
             costs.join(", ")
         ));
     }
     let run = format!("{} (run {:x})", missing.entry, missing.incarnation);
-    format!("{run}: {}", words.join("; "))
+    format!("{run}: {}", phrases.join("; "))
 }
 
 fn count(number: u64, what: &str) -> String {
--- a/crates/hawthornmill/src/usage/wait_reason.rs
+++ b/crates/hawthornmill/src/usage/wait_reason.rs
@@ -75,30 +75,31 @@
 #[derive(Debug, Default)]
 pub struct WaitTracker {
     owners: BTreeMap<PoolId, Owner>,
+    /// Until when calls of a pool may have waited because of a change of its owner.
     owner_changed: BTreeMap<PoolId, Instant>,
-    stale: Option<Instant>,
-    unreachable: BTreeMap<RegionId, Instant>,
+    last_stale: Option<Instant>,
+    last_unreachable: BTreeMap<RegionId, Instant>,
 }
 
 impl WaitTracker {
     /// Records the present state of the board.
     pub fn observe(&mut self, board: &Blackboard, now: Instant) {
         if board.stale_since.is_some() {
-            self.stale = Some(now);
+            self.last_stale = Some(now);
         }
         for region in unreachable_regions(board) {
-            self.unreachable.insert(region, now);
+            self.last_unreachable.insert(region, now);
         }
-        for (pool, link) in &board.sessions {
+        for (pool, session) in &board.sessions {
             let known = self.owners.get(pool).copied();
-            let silent = link.owner.is_none_or(|(id, _)| board.is_unreachable(id));
+            let owner_unreachable = session.owner.is_none_or(|(id, _)| board.is_unreachable(id));
             // The first owner that a process learns of is not a change.
-            let changed = known.is_some() && known != link.owner;
-            if silent || changed {
+            let changed = known.is_some() && known != session.owner;
+            if owner_unreachable || changed {
                 // A new owner first collects the state of the entries and issues no grants meanwhile.
                 self.owner_changed.insert(*pool, now + board.tuning.rebuild);
             }
-            if let Some(owner) = link.owner {
+            if let Some(owner) = session.owner {
                 self.owners.insert(*pool, owner);
             }
         }
@@ -116,26 +117,31 @@
         if now.duration_since(arrived) <= MIN_WAIT {
             return Reason::None;
         }
-        let during = |at: Option<Instant>| at.is_some_and(|at| at >= arrived);
-        if during(self.stale) {
+        let observed = |at: Option<Instant>| at.is_some_and(|at| at >= arrived);
+        if observed(self.last_stale) {
             return Reason::ViewUnconfirmed;
         }
         let pools = board.config.pools_by_service.get(&service);
-        let open: SmallVec<[PoolId; 4]> = pools
+        let usable: SmallVec<[PoolId; 4]> = pools
             .into_iter()
             .flatten()
             .copied()
             .filter(|p| board.config.can_use_pool(account, *p))
             .collect();
         // An unreachable region also changes the owners of its pools, so it is checked first.
-        let is_unreachable =
-            |p: &PoolId| during(self.unreachable.get(&board.config.pools[p].region).copied());
-        if open.iter().any(is_unreachable) {
+        let is_unreachable = |p: &PoolId| {
+            observed(
+                self.last_unreachable
+                    .get(&board.config.pools[p].region)
+                    .copied(),
+            )
+        };
+        if usable.iter().any(is_unreachable) {
             return Reason::RegionUnreachable;
         }
-        if open
+        if usable
             .iter()
-            .any(|p| during(self.owner_changed.get(p).copied()))
+            .any(|p| observed(self.owner_changed.get(p).copied()))
         {
             return Reason::OwnerChange;
         }
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -104,8 +104,8 @@
 fn rejected_revision_is_not_fetched_again() {
     block_on(async {
         let site = small_site(ROUTER, 3).await;
-        let bad = Values::from([("fleet".into(), "[account x]\n".into())]);
-        site.platform.publish(bad);
+        let invalid = Values::from([("fleet".into(), "[account x]\n".into())]);
+        site.platform.publish(invalid);
         tokio::time::sleep(Duration::from_secs(1)).await;
 
         let calls = calls_during(&site, Duration::from_secs(4)).await;
@@ -292,7 +292,7 @@
         board.roster.replace(Vec::new());
         for (number, (revision, live)) in peers.iter().enumerate() {
             let contact = contact(&format!("i{}", number + 1), "b", "north");
-            let sign = LivenessUpdate {
+            let update = LivenessUpdate {
                 from: InstanceId::of(&contact.name),
                 incarnation: Incarnation(1),
                 leaving: false,
@@ -303,7 +303,7 @@
             };
             board.members.upsert_contact(contact, now);
             if *live {
-                board.members.record_liveness(sign, now);
+                board.members.record_liveness(update, now);
             }
         }
         if let Some(ack) = ack {
