--- a/crates/hawthornmill-gateway/src/gossip.rs
+++ b/crates/hawthornmill-gateway/src/gossip.rs
@@ -266,9 +266,7 @@
             gateway.scheduler.borrow_mut().apply_domain_work(*work, now);
         }
         Message::Departures(all) => gateway.apply_leaving(&all),
-        Message::FragmentRequest(wanted) => {
-            state_sync::send_parts(gateway, datagrams, from, &wanted);
-        }
+        Message::FragmentRequest(req) => state_sync::send_parts(gateway, datagrams, from, &req),
         Message::Fragment(part) => gateway.pending_state.add_part(from, part),
         _ => {}
     }
--- a/crates/hawthornmill/src/config/accept.rs
+++ b/crates/hawthornmill/src/config/accept.rs
@@ -76,13 +76,13 @@
 }
 
 fn check_value(value: &ValueRef, values: &Values) -> Option<Diagnostic> {
-    let error = |code, what: String| {
+    let error = |code, message: String| {
         Some(Diagnostic {
             code,
             file: value.name.clone(),
             line: 0,
             column: 0,
-            message: what.into(),
+            message: message.into(),
         })
     };
     let Some(text) = values.get(&value.name) else {
@@ -92,11 +92,11 @@
         );
     };
     if text.len() > MAX_VALUE_BYTES {
-        let what = format!(
+        let message = format!(
             "{} bytes; at most {MAX_VALUE_BYTES} are allowed",
             text.len()
         );
-        return error(Code::ValueTooLarge, what);
+        return error(Code::ValueTooLarge, message);
     }
     if digest(text) != value.digest {
         return error(
--- a/crates/hawthornmill/src/config/parse.rs
+++ b/crates/hawthornmill/src/config/parse.rs
@@ -70,37 +70,37 @@
 fn register_names(names: &mut NameRegistry, reader: &mut Reader<'_>, section: &Section) {
     let name = &*section.name;
     let value = |key: &str| section.get(key).map(|e| e.value.clone());
-    let mut keys: SmallVec<[(&'static str, u64, Box<str>); 2]> = SmallVec::new();
+    let mut ids: SmallVec<[(&'static str, u64, Box<str>); 2]> = SmallVec::new();
     match &*section.kind {
-        "account" => keys.push(("account", AccountId::of(name).0, name.into())),
-        "service" => keys.push(("service", ServiceId::of(name).0, name.into())),
+        "account" => ids.push(("account", AccountId::of(name).0, name.into())),
+        "service" => ids.push(("service", ServiceId::of(name).0, name.into())),
         "domain" => {
-            keys.push(("domain", DomainId::of(name).0, name.into()));
-            keys.extend(value("region").map(|r| ("region", RegionId::of(&r).0, r)));
+            ids.push(("domain", DomainId::of(name).0, name.into()));
+            ids.extend(value("region").map(|r| ("region", RegionId::of(&r).0, r)));
         }
         "server" => {
-            keys.push(("server", ServerId::of(name).0, name.into()));
+            ids.push(("server", ServerId::of(name).0, name.into()));
             if let (Some(service), Some(domain)) = (value("service"), value("domain")) {
                 let pool = PoolId::of(ServiceId::of(&service), DomainId::of(&domain));
-                keys.push(("pool", pool.0, format!("{service} in {domain}").into()));
+                ids.push(("pool", pool.0, format!("{service} in {domain}").into()));
             }
         }
         _ => {}
     }
-    for (kind, key, name) in keys {
-        if let Some(other) = names.register(kind, key, &name) {
-            let what = format!(
+    for (kind, id, name) in ids {
+        if let Some(other) = names.register(kind, id, &name) {
+            let message = format!(
                 "{kind}s `{other}` and `{name}` have the same identifier; rename one of them"
             );
-            reader.report(Code::KeyCollision, section.line, 0, what);
+            reader.report(Code::KeyCollision, section.line, 0, message);
         }
     }
 }
 
 fn add_section(config: &mut FleetConfig, reader: &mut Reader<'_>, section: &Section) {
     if section.name.is_empty() {
-        let what = format!("section [{}] needs a name", section.kind);
-        reader.report(Code::MissingKey, section.line, 0, what);
+        let message = format!("section [{}] needs a name", section.kind);
+        reader.report(Code::MissingKey, section.line, 0, message);
         return;
     }
     match &*section.kind {
@@ -263,9 +263,9 @@
         servers: selector_of(reader, section, "servers"),
         share: reader.number_in(section, "share", 1.0, 0.001..=MAX_SHARE),
     };
-    let twice = config.grants.iter().any(|g| g.name == grant.name);
+    let duplicate = config.grants.iter().any(|g| g.name == grant.name);
     config.grants.push(grant);
-    report_duplicate(reader, section, twice);
+    report_duplicate(reader, section, duplicate);
 }
 
 fn labels_of(reader: &mut Reader<'_>, section: &Section) -> Labels {
@@ -300,10 +300,10 @@
     }
 }
 
-fn report_duplicate(reader: &mut Reader<'_>, section: &Section, twice: bool) {
-    if twice {
-        let what = format!("[{} {}] is defined twice", section.kind, section.name);
-        reader.report(Code::Duplicate, section.line, 0, what);
+fn report_duplicate(reader: &mut Reader<'_>, section: &Section, duplicate: bool) {
+    if duplicate {
+        let message = format!("[{} {}] is defined twice", section.kind, section.name);
+        reader.report(Code::Duplicate, section.line, 0, message);
     }
 }
 
--- a/crates/hawthornmill/src/ini.rs
+++ b/crates/hawthornmill/src/ini.rs
@@ -30,13 +30,13 @@
 
 impl Diagnostic {
     /// The diagnostic for a file that can't be read.
-    pub fn unreadable(file: &Path, what: &str) -> Self {
+    pub fn unreadable(file: &Path, message: &str) -> Self {
         Self {
             code: Code::FileUnreadable,
             file: file.display().to_string().into(),
             line: 0,
             column: 0,
-            message: what.into(),
+            message: message.into(),
         }
     }
 }
@@ -175,13 +175,13 @@
     }
 }
 
-fn syntax(file: &str, line: usize, what: &str) -> Diagnostic {
+fn syntax(file: &str, line: usize, message: &str) -> Diagnostic {
     Diagnostic {
         code: Code::IniSyntax,
         file: file.into(),
         line,
         column: 0,
-        message: what.into(),
+        message: message.into(),
     }
 }
 
@@ -190,30 +190,30 @@
     let mut headers = std::collections::BTreeMap::new();
     for section in sections {
         if let Some(first) = headers.insert((&section.kind, &section.name), section.line) {
-            let what = format!(
+            let message = format!(
                 "section [{} {}] is already defined at line {first}",
                 section.kind, section.name
             );
-            errors.push(duplicate(file, section.line, what));
+            errors.push(duplicate(file, section.line, message));
         }
         let mut keys = std::collections::BTreeMap::new();
         for entry in &section.entries {
             if let Some(first) = keys.insert(&entry.key, entry.line) {
-                let what = format!("key `{}` is already defined at line {first}", entry.key);
-                errors.push(duplicate(file, entry.line, what));
+                let message = format!("key `{}` is already defined at line {first}", entry.key);
+                errors.push(duplicate(file, entry.line, message));
             }
         }
     }
     errors
 }
 
-fn duplicate(file: &str, line: usize, what: String) -> Diagnostic {
+fn duplicate(file: &str, line: usize, message: String) -> Diagnostic {
     Diagnostic {
         code: Code::Duplicate,
         file: file.into(),
         line,
         column: 0,
-        message: what.into(),
+        message: message.into(),
     }
 }
 
@@ -252,13 +252,13 @@
     }
 
     /// Adds a diagnostic.
-    pub fn report(&mut self, code: Code, line: usize, column: usize, what: impl Into<Box<str>>) {
+    pub fn report(&mut self, code: Code, line: usize, column: usize, message: impl Into<Box<str>>) {
         self.diagnostics.push(Diagnostic {
             code,
             file: self.file.into(),
             line,
             column,
-            message: what.into(),
+            message: message.into(),
         });
     }
 
@@ -266,32 +266,32 @@
     pub fn reject_unknown_keys(&mut self, section: &Section, known: &[&str]) {
         for entry in &section.entries {
             if !known.contains(&&*entry.key) {
-                let what = format!(
+                let message = format!(
                     "unknown key `{}`{}",
                     entry.key,
                     suggestion(&entry.key, known)
                 );
-                self.report(Code::UnknownKey, entry.line, 0, what);
+                self.report(Code::UnknownKey, entry.line, 0, message);
             }
         }
     }
 
     /// Reports a section of a kind that is not in `known`.
     pub fn reject_unknown_section(&mut self, section: &Section, known: &[&str]) {
-        let what = format!(
+        let message = format!(
             "unknown section [{}]{}",
             section.kind,
             suggestion(&section.kind, known)
         );
-        self.report(Code::UnknownSection, section.line, 0, what);
+        self.report(Code::UnknownSection, section.line, 0, message);
     }
 
     /// The value of `key`; reports it if it is missing.
     pub fn required(&mut self, section: &Section, key: &str) -> Option<Box<str>> {
         let found = section.get(key).map(|e| e.value.clone());
         if found.is_none() {
-            let what = format!("section [{} {}] needs `{key}`", section.kind, section.name);
-            self.report(Code::MissingKey, section.line, 0, what);
+            let message = format!("section [{} {}] needs `{key}`", section.kind, section.name);
+            self.report(Code::MissingKey, section.line, 0, message);
         }
         found
     }
@@ -309,8 +309,8 @@
         if let Ok(value) = entry.value.parse() {
             return value;
         }
-        let what = format!("`{key}` can't be `{}`", entry.value);
-        self.report(Code::BadValue, entry.line, entry.column, what);
+        let message = format!("invalid value `{}` for `{key}`", entry.value);
+        self.report(Code::BadValue, entry.line, entry.column, message);
         default
     }
 
@@ -327,8 +327,12 @@
             return value;
         }
         let (line, column) = section.get(key).map_or((0, 0), |e| (e.line, e.column));
-        let what = format!("`{key}` must lie in {} to {}", bounds.start(), bounds.end());
-        self.report(Code::BadValue, line, column, what);
+        let message = format!(
+            "`{key}` must be between {} and {}",
+            bounds.start(),
+            bounds.end()
+        );
+        self.report(Code::BadValue, line, column, message);
         default
     }
 
@@ -344,8 +348,8 @@
         let address = value.parse().ok();
         if address.is_none() {
             let line = section.get(key).map_or(0, |e| e.line);
-            let what = format!("`{key}` is IP:port, not `{value}`");
-            self.report(Code::BadValue, line, 0, what);
+            let message = format!("`{key}` is IP:port, not `{value}`");
+            self.report(Code::BadValue, line, 0, message);
         }
         address
     }
@@ -358,8 +362,8 @@
         if let Ok(hash) = blake3::Hash::from_hex(entry.value.as_bytes()) {
             return Some(*hash.as_bytes());
         }
-        let what = format!("`{key}` is 64 hexadecimal digits");
-        self.report(Code::BadValue, entry.line, 0, what);
+        let message = format!("`{key}` is 64 hexadecimal digits");
+        self.report(Code::BadValue, entry.line, 0, message);
         None
     }
 
@@ -384,8 +388,8 @@
             return *value;
         }
         let names: Vec<&str> = choices.iter().map(|(w, _)| *w).collect();
-        let what = format!("`{key}` must be one of: {}", names.join(", "));
-        self.report(Code::BadValue, entry.line, entry.column, what);
+        let message = format!("`{key}` must be one of: {}", names.join(", "));
+        self.report(Code::BadValue, entry.line, entry.column, message);
         choices[0].1
     }
 }
--- a/crates/hawthornmill/src/labels.rs
+++ b/crates/hawthornmill/src/labels.rs
@@ -81,10 +81,10 @@
     }
 }
 
-fn error(column: usize, what: impl Into<Box<str>>) -> SelectorError {
+fn error(column: usize, message: impl Into<Box<str>>) -> SelectorError {
     SelectorError {
         column: column + 1,
-        message: what.into(),
+        message: message.into(),
     }
 }
 
