--- a/crates/hawthornmill-tools/src/explain/mod.rs
+++ b/crates/hawthornmill-tools/src/explain/mod.rs
@@ -10,7 +10,7 @@
 
 use argh::FromArgs;
 use hawthornmill::ini::Diagnostic;
-use hawthornmill::usage::explain::{Interval, MissingRecords, UsageLog, intervals};
+use hawthornmill::usage::explain::{Interval, MissingRecords, UsageLog, usage_per_interval};
 use serde::Serialize;
 
 use crate::request;
@@ -56,7 +56,7 @@
     /// Works out everything from `log`, in intervals of `seconds`.
     pub fn new(log: &UsageLog, seconds: u64) -> Self {
         Self {
-            intervals: intervals(log, seconds.saturating_mul(1000)),
+            intervals: usage_per_interval(log, seconds.saturating_mul(1000)),
             missing: log.missing(),
             runs: log.run_count(),
             duplicates: log.duplicates,
@@ -96,7 +96,7 @@
     let explained = Explained::new(&log, args.interval);
     if let Some(file) = &args.plot {
         // Steps of a second show what an interval's sum hides.
-        let steps = intervals(&log, 1000);
+        let steps = usage_per_interval(&log, 1000);
         std::fs::write(
             file,
             plot::svg(&steps).map_err(|e| Diagnostic::unreadable(file, &e))?,
--- a/crates/hawthornmill/src/usage/explain/intervals.rs
+++ b/crates/hawthornmill/src/usage/explain/intervals.rs
@@ -90,7 +90,7 @@
 }
 
 /// Computes usage in intervals of `length_ms`, rounded up to whole steps.
-pub fn intervals(log: &UsageLog, length_ms: u64) -> Vec<Interval> {
+pub fn usage_per_interval(log: &UsageLog, length_ms: u64) -> Vec<Interval> {
     let length_ms = length_ms.max(1).div_ceil(STEP_MS) * STEP_MS;
     let mut accounts: BTreeMap<Key, Account> = BTreeMap::new();
     let mut by_interval: BTreeMap<u64, BTreeMap<Key, AccountUsage>> = BTreeMap::new();
--- a/crates/hawthornmill/src/wire/message.rs
+++ b/crates/hawthornmill/src/wire/message.rs
@@ -26,7 +26,7 @@
 pub struct AccountTotal {
     /// The account.
     pub account: AccountId,
-    /// As demand, grants received from this owner so far plus requests that wait now (bounded).
+    /// Grants received from this owner so far; for demand, plus the requests that wait now (bounded).
     pub total: u32,
 }
 
