--- a/crates/hawthornmill/src/usage/explain/intervals.rs
+++ b/crates/hawthornmill/src/usage/explain/intervals.rs
@@ -48,7 +48,7 @@
     pub account: Box<str>,
     /// The usage.
     #[serde(flatten)]
-    pub part: AccountUsage,
+    pub usage: AccountUsage,
 }
 
 /// Usage of all accounts in one interval.
@@ -90,45 +90,45 @@
 }
 
 /// Computes usage in intervals of `length_ms`, rounded up to whole steps.
-pub fn intervals(log: &UsageLog, length_ms: u64) -> Vec<Interval> {
+pub fn usage_per_interval(log: &UsageLog, length_ms: u64) -> Vec<Interval> {
     let length_ms = length_ms.max(1).div_ceil(STEP_MS) * STEP_MS;
     let mut accounts: BTreeMap<Key, Account> = BTreeMap::new();
-    let mut parts: BTreeMap<u64, BTreeMap<Key, AccountUsage>> = BTreeMap::new();
+    let mut by_interval: BTreeMap<u64, BTreeMap<Key, AccountUsage>> = BTreeMap::new();
     for record in log.records() {
         let key = (record.service.clone(), record.account.clone());
         let account = accounts.entry(key.clone()).or_default();
         add_record(account, record);
-        let part = parts.entry(record.at_ms / length_ms).or_default();
-        count(part.entry(key).or_default(), record);
+        let usage = by_interval.entry(record.at_ms / length_ms).or_default();
+        count_call(usage.entry(key).or_default(), record);
     }
     for (key, account) in &accounts {
         for (index, step) in &account.steps {
-            let part = parts.entry(index * STEP_MS / length_ms).or_default();
-            let part = part.entry(key.clone()).or_default();
-            part.received += step.received;
-            part.backlogged_ms += union_ms(&step.waits);
-            part.share = account.share(*index);
+            let usage = by_interval.entry(index * STEP_MS / length_ms).or_default();
+            let usage = usage.entry(key.clone()).or_default();
+            usage.received += step.received;
+            usage.backlogged_ms += union_ms(&step.waits);
+            usage.share = account.share(*index);
         }
     }
     for (index, key, entitled) in entitlements(&accounts) {
-        let part = parts.entry(index * STEP_MS / length_ms).or_default();
-        part.entry(key).or_default().entitled += entitled;
+        let usage = by_interval.entry(index * STEP_MS / length_ms).or_default();
+        usage.entry(key).or_default().entitled += entitled;
     }
-    let intervals = parts.into_iter();
+    let intervals = by_interval.into_iter();
     intervals
-        .map(|(index, parts)| Interval {
+        .map(|(index, accounts)| Interval {
             start_ms: index * length_ms,
             length_ms,
-            lines: parts.into_iter().map(to_line).collect(),
+            lines: accounts.into_iter().map(to_line).collect(),
         })
         .collect()
 }
 
-fn to_line(((service, account), part): (Key, AccountUsage)) -> AccountLine {
+fn to_line(((service, account), usage): (Key, AccountUsage)) -> AccountLine {
     AccountLine {
         service,
         account,
-        part,
+        usage,
     }
 }
 
@@ -143,24 +143,30 @@
     }
     let held: Vec<_> = split_steps(start, end).collect();
     // Not `held_ms`: rounding errors of milliseconds since the epoch would make the sum inexact.
-    let whole: f64 = held.iter().map(|(_, from, to)| to - from).sum();
-    let fraction = |length: f64| if whole > 0.0 { length / whole } else { 1.0 };
+    let total_ms: f64 = held.iter().map(|(_, from, to)| to - from).sum();
+    let fraction = |length: f64| {
+        if total_ms > 0.0 {
+            length / total_ms
+        } else {
+            1.0
+        }
+    };
     for (index, from, to) in &held {
         let step = account.steps.entry(*index).or_default();
         step.received += record.cost * fraction(to - from);
     }
     let arrived = start - record.waited_ms;
-    let refused = is_rejected(record);
+    let rejected = is_rejected(record);
     let first = account
         .steps
         .entry(arrived.max(0.0) as u64 / STEP_MS)
         .or_default();
-    first.offered += if refused {
+    first.offered += if rejected {
         record.estimate
     } else {
         record.cost
     };
-    if refused {
+    if rejected {
         let last = account.steps.entry(record.at_ms / STEP_MS).or_default();
         last.expired += record.estimate;
     }
@@ -189,17 +195,17 @@
     })
 }
 
-fn count(part: &mut AccountUsage, record: &UsageRecord) {
+fn count_call(usage: &mut AccountUsage, record: &UsageRecord) {
     if record.estimated {
-        part.estimated += record.cost;
+        usage.estimated += record.cost;
     }
     if record.code != 0 && &*record.outcome == "not_run" {
-        *part.refused.entry(record.reason).or_default() += 1;
+        *usage.refused.entry(record.reason).or_default() += 1;
     } else {
-        part.calls += 1;
+        usage.calls += 1;
     }
     if record.reason != Reason::None {
-        *part.waited_ms.entry(record.reason).or_default() += record.waited_ms;
+        *usage.waited_ms.entry(record.reason).or_default() += record.waited_ms;
     }
 }
 
