--- a/crates/hawthornmill-gateway/src/gossip.rs
+++ b/crates/hawthornmill-gateway/src/gossip.rs
@@ -264,7 +264,7 @@
             gateway.scheduler.borrow_mut().apply_domain_work(*work, now);
         }
         Message::Departures(all) => gateway.apply_leaving(&all),
-        Message::FragmentRequest(req) => state_sync::send_fragments(gateway, datagrams, from, &req),
+        Message::FragmentRequest(r) => state_sync::send_fragments(gateway, datagrams, from, &r),
         Message::Fragment(part) => gateway.pending_state.add_fragment(from, part),
         _ => {}
     }
