--- a/crates/hawthornmill-net/src/entry/record.rs
+++ b/crates/hawthornmill-net/src/api/accounting.rs
@@ -14,8 +14,8 @@
 use hawthornmill::usage::{Reason, UsageRecord};
 
 use super::call::{Call, cost_of, count};
+use super::call_result::Finished;
 use super::problem::Problem;
-use super::relay::Finished;
 use crate::fleet::{Fleet, SlotGuard};
 
 /// A slot whose call is being tried.
--- a/crates/hawthornmill-net/src/entry/addresses.rs
+++ b/crates/hawthornmill-net/src/api/addresses.rs
@@ -5,7 +5,7 @@
 use hawthornmill::blackboard::Blackboard;
 use hawthornmill::ident::mix;
 
-use super::home::fresh_prefix;
+use super::key_store::fresh_prefix;
 use crate::fleet::Fleet;
 
 /// The answer of `GET /v1/addresses`.
--- a/crates/hawthornmill-net/src/entry/call.rs
+++ b/crates/hawthornmill-net/src/api/call.rs
@@ -12,11 +12,11 @@
 use opentelemetry::Context;
 use poem::{Body, Request, Response};
 
-use super::admit::{Admitted, admit};
-use super::home::fresh_prefix;
+use super::admission::{Admitted, admit};
+use super::key_store::fresh_prefix;
 use super::problem::Problem;
 use super::stream::{self, Delivery};
-use super::{addresses, body, keyed, record, retries};
+use super::{accounting, addresses, body, idempotency, retries};
 use crate::fleet::{Fleet, SlotGuard, Ticket};
 use crate::upstream::{Outbound, SendError, passed_on};
 
@@ -80,13 +80,13 @@
         Err(code) => {
             let problem = of_key(fleet, request, Problem::not_run(code, &id));
             let call = prepare(fleet, request, admitted, Bytes::new(), id);
-            record::record_refusal(fleet, &call, &problem, call.admitted.arrived);
+            accounting::record_refusal(fleet, &call, &problem, call.admitted.arrived);
             return refuse(fleet, &problem);
         }
     };
     let call = prepare(fleet, request, admitted, body, id);
     if call.admitted.repeat == RetryPolicy::Never {
-        return keyed::run(fleet, request, call, flying).await;
+        return idempotency::run(fleet, request, call, flying).await;
     }
     match retries::run(fleet, &call).await {
         Ok((slot, answer)) => {
@@ -161,7 +161,7 @@
 /// A call with a key may be the second copy of one that ran: only the key's home knows, and it was
 /// not asked. So no more than this copy is said not to have run.
 fn of_key(fleet: &Fleet, request: &Request, mut problem: Problem) -> Problem {
-    if request.headers().contains_key(keyed::KEY) {
+    if request.headers().contains_key(idempotency::KEY) {
         problem.outcome = Outcome::Unknown;
         problem.prefix = Some(fresh_prefix(fleet));
     }
@@ -198,11 +198,11 @@
     };
     drop(span);
     if result.is_ok() {
-        record::begin(fleet, call);
+        accounting::begin(fleet, call);
     }
     result.map_err(|code| {
         let problem = Problem::not_run(code, &call.out.id).retry(come_back(fleet, &call.admitted));
-        record::record_refusal(fleet, call, &problem, since);
+        accounting::record_refusal(fleet, call, &problem, since);
         problem
     })
 }
--- a/crates/hawthornmill-net/src/entry/relay.rs
+++ b/crates/hawthornmill-net/src/api/call_result.rs
@@ -2,7 +2,7 @@
 
 use hawthornmill::codes::Outcome;
 
-pub use super::record::finish;
+pub use super::accounting::finish;
 use crate::upstream::COST;
 
 /// How a call ended.
--- a/crates/hawthornmill-net/src/entry/keyed.rs
+++ b/crates/hawthornmill-net/src/api/idempotency.rs
@@ -19,12 +19,12 @@
 use poem::{Body, Request, Response};
 use tokio::sync::watch;
 
-use super::admit::TIMEOUT;
+use super::accounting;
+use super::admission::TIMEOUT;
 use super::call::{Call, Flying, attempt, refuse, slot};
-use super::home::fresh_prefix;
+use super::call_result::{self, Finished};
+use super::key_store::fresh_prefix;
 use super::problem::Problem;
-use super::record;
-use super::relay::{self, Finished};
 use super::stream as answer_stream;
 use crate::fleet::{Fleet, SlotGuard};
 use crate::upstream::REQUEST_ID;
@@ -49,7 +49,7 @@
         Ok(response) => until_written(response, flying).await,
         Err(problem) => {
             if refused_early(&problem) {
-                record::record_refusal(fleet, &copy, &problem, copy.admitted.arrived);
+                accounting::record_refusal(fleet, &copy, &problem, copy.admitted.arrived);
             }
             refuse(fleet, &problem.prefix(fresh_prefix(fleet)))
         }
@@ -293,7 +293,7 @@
                 code: problem.code.number(),
                 outcome: problem.outcome,
             };
-            relay::finish(fleet, call, slot, None, finished);
+            call_result::finish(fleet, call, slot, None, finished);
             Err(problem)
         }
     }
@@ -305,7 +305,7 @@
     slot: SlotGuard,
     mut answer: reqwest::Response,
 ) -> Result<StoredResponse, Problem> {
-    let reported = relay::reported(&answer);
+    let reported = call_result::reported(&answer);
     let rule = call.admitted.answer;
     let mut body = Vec::new();
     let ended = loop {
@@ -330,7 +330,7 @@
     } else {
         Outcome::Unknown
     };
-    relay::finish(fleet, call, slot, reported, Finished { code, outcome });
+    call_result::finish(fleet, call, slot, reported, Finished { code, outcome });
     if !whole {
         return Err(Problem::new(
             Code::UpstreamFailed,
--- a/crates/hawthornmill-net/src/entry/retries.rs
+++ b/crates/hawthornmill-net/src/api/retries.rs
@@ -9,10 +9,10 @@
 use poem::http::StatusCode;
 use smallvec::SmallVec;
 
+use super::accounting::Tried;
 use super::call::{Call, arrival, attempt, come_back, slot, wait};
+use super::call_result::{self, Finished};
 use super::problem::Problem;
-use super::record::Tried;
-use super::relay::{self, Finished};
 use crate::fleet::{Fleet, SlotGuard};
 
 /// What one try came to.
@@ -136,7 +136,7 @@
                 code: problem.code.number(),
                 outcome: problem.outcome,
             };
-            relay::finish(fleet, call, slot, None, finished);
+            call_result::finish(fleet, call, slot, None, finished);
             Err(problem.retry(come_back(fleet, &call.admitted)))
         }
     }
@@ -147,7 +147,7 @@
     let (reported, finished) = match tried {
         // A server that could not serve the call is believed to have done nothing for it.
         Ok(answer) => (
-            Some(relay::reported(answer).unwrap_or(0.0)),
+            Some(call_result::reported(answer).unwrap_or(0.0)),
             Finished {
                 code: Code::UpstreamFailed.number(),
                 outcome: Outcome::Unknown,
@@ -161,5 +161,5 @@
             },
         ),
     };
-    relay::finish(fleet, call, slot, reported, finished);
+    call_result::finish(fleet, call, slot, reported, finished);
 }
--- a/crates/hawthornmill-net/src/entry/status.rs
+++ b/crates/hawthornmill-net/src/api/status.rs
@@ -14,7 +14,7 @@
 /// Any caller reaches this page, and an account must not learn what others use. Hashes are compared,
 /// by the library in constant time, so the time that it takes tells nothing of the token.
 fn is_operator(fleet: &Fleet, headers: &HeaderMap) -> bool {
-    let token = super::admit::bearer(headers).map(|t| blake3::hash(t.as_bytes()));
+    let token = super::admission::bearer(headers).map(|t| blake3::hash(t.as_bytes()));
     let known = fleet.settings.operators.map(blake3::Hash::from_bytes);
     token.is_some() && token == known
 }
--- a/crates/hawthornmill-net/src/entry/stream.rs
+++ b/crates/hawthornmill-net/src/api/stream.rs
@@ -19,10 +19,10 @@
 use poem::{Body, Response};
 use tokio::time::{Instant, Sleep, sleep};
 
+use super::accounting::Tried;
 use super::call::{Call, Flying, attempt, slot};
+use super::call_result::{Finished, finish, reported};
 use super::problem::Problem;
-use super::record::Tried;
-use super::relay::{Finished, finish, reported};
 use crate::connections::Cutter;
 use crate::fleet::{Fleet, SlotGuard};
 use crate::upstream::{REQUEST_ID, Tail, passed_on};
--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -16,7 +16,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::Notify;
 
-use crate::entry::routes::routes;
+use crate::api::routes::routes;
 use crate::fleet::Fleet;
 use crate::peers::{Outgoing, tcp, udp};
 use crate::platform;
--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -17,8 +17,8 @@
 use smallvec::SmallVec;
 use tokio::sync::{Notify, oneshot};
 
+use crate::api::key_store::Home;
 use crate::connections::Connections;
-use crate::entry::home::Home;
 use crate::peers::Outgoing;
 use crate::platform;
 use crate::settings::Settings;
--- a/crates/hawthornmill-net/src/lib.rs
+++ b/crates/hawthornmill-net/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! | module | speaks with |
 //! |---|---|
-//! | [`entry`] | callers, over HTTP |
+//! | [`api`] | callers, over HTTP |
 //! | [`upstream`] | backend servers, over HTTP |
 //! | [`peers`] | other instances, over UDP and TCP |
 //! | [`platform`] | the platform's configuration service and instance list |
@@ -14,9 +14,9 @@
 //! | [`settings`], [`sockets`], [`connections`] | the process's own files and ports |
 //! | [`daemon`] | nobody: it joins the others into one process |
 
+pub mod api;
 pub mod connections;
 pub mod daemon;
-pub mod entry;
 pub mod fleet;
 pub mod peers;
 pub mod platform;
