--- a/crates/hawthornmill-net/src/api/key_store.rs
+++ b/crates/hawthornmill-net/src/api/key_store.rs
@@ -12,24 +12,24 @@
 
 /// Keys of one home.
 #[derive(Debug)]
-pub struct Home {
-    inner: Mutex<Inner>,
+pub struct KeyStore {
+    inner: Mutex<KeyState>,
 }
 
 /// What is behind the home's lock.
 #[derive(Debug)]
-pub struct Inner {
+pub struct KeyState {
     /// Marks and kept answers.
     pub table: KeyTable,
     /// Calls that run now; the sender is dropped when the call ends.
     pub running: BTreeMap<AccountKey, watch::Receiver<()>>,
 }
 
-impl Home {
+impl KeyStore {
     /// An empty home within `limits`.
     pub fn new(limits: &Limits) -> Self {
         Self {
-            inner: Mutex::new(Inner {
+            inner: Mutex::new(KeyState {
                 table: KeyTable::new(limits.keys, limits.kept),
                 running: BTreeMap::new(),
             }),
@@ -37,7 +37,7 @@
     }
 
     /// Locks the keys.
-    pub fn lock(&self) -> MutexGuard<'_, Inner> {
+    pub fn lock(&self) -> MutexGuard<'_, KeyState> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -17,7 +17,7 @@
 use smallvec::SmallVec;
 use tokio::sync::{Notify, oneshot};
 
-use crate::api::key_store::Home;
+use crate::api::key_store::KeyStore;
 use crate::connections::Connections;
 use crate::peers::Outgoing;
 use crate::platform;
@@ -59,7 +59,7 @@
     /// Connections of callers.
     pub connections: Connections,
     /// Keys of calls that must not repeat.
-    pub home: Home,
+    pub home: KeyStore,
     /// Logs, spans and metrics.
     pub telemetry: Telemetry,
     /// What is known of the platform's answers.
@@ -94,7 +94,7 @@
             settings.tuning.clone(),
             now,
         );
-        let home = Home::new(&settings.limits);
+        let home = KeyStore::new(&settings.limits);
         Arc::new(Self {
             settings,
             clock,
