--- a/crates/hawthornmill-net/src/api/accounting.rs
+++ b/crates/hawthornmill-net/src/api/accounting.rs
@@ -14,7 +14,7 @@
 use hawthornmill::usage::{Reason, UsageRecord};
 
 use super::call::{Call, cost_of, count};
-use super::call_result::Finished;
+use super::call_result::CallResult;
 use super::problem::Problem;
 use crate::fleet::{Fleet, SlotGuard};
 
@@ -23,13 +23,13 @@
 /// A caller that goes away drops the attempt wherever it stands, perhaps after bytes have left. The
 /// drop then settles the slot, so that the server's work is charged and its record is not missing.
 #[derive(Debug)]
-pub struct Tried<'a> {
+pub struct AttemptGuard<'a> {
     fleet: &'a Arc<Fleet>,
     call: &'a Call,
     slot: Option<SlotGuard>,
 }
 
-impl<'a> Tried<'a> {
+impl<'a> AttemptGuard<'a> {
     /// Watches over `slot`.
     pub fn new(fleet: &'a Arc<Fleet>, call: &'a Call, slot: SlotGuard) -> Self {
         Self {
@@ -56,14 +56,14 @@
     }
 }
 
-impl Drop for Tried<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
         if let Some(slot) = self.slot.take() {
-            let finished = Finished {
+            let result = CallResult {
                 code: Code::UpstreamFailed.number(),
                 outcome: Outcome::Unknown,
             };
-            finish(self.fleet, self.call, slot, None, finished);
+            finish(self.fleet, self.call, slot, None, result);
         }
     }
 }
@@ -82,16 +82,16 @@
     call: &Call,
     mut slot: SlotGuard,
     reported: Option<f64>,
-    finished: Finished,
+    result: CallResult,
 ) {
-    let not_run = finished.outcome == Outcome::NotRun;
+    let not_run = result.outcome == Outcome::NotRun;
     let cost = if not_run {
         0.0
     } else {
         cost_of(fleet, call, &slot, reported)
     };
     slot.set_cost(cost);
-    count(fleet, finished.code);
+    count(fleet, result.code);
     let waited = slot.taken.duration_since(slot.dispatch.arrived);
     let meters = &fleet.telemetry.meters;
     meters.waited.record(waited.as_secs_f64() * 1000.0, &[]);
@@ -105,8 +105,8 @@
     record.estimated = !not_run && reported.is_none() && call.admitted.cost == CostKind::Reported;
     record.waited_ms = waited.as_secs_f64() * 1000.0;
     record.held_ms = millis(slot.taken, fleet.clock.now());
-    record.outcome = finished.outcome.name().into();
-    record.code = finished.code;
+    record.outcome = result.outcome.name().into();
+    record.code = result.code;
     record.reason = if not_run {
         Reason::ServerFailed
     } else {
--- a/crates/hawthornmill-net/src/api/admission.rs
+++ b/crates/hawthornmill-net/src/api/admission.rs
@@ -44,13 +44,13 @@
 }
 
 /// A refusal with the words to go with it.
-pub type Refused = (Code, Option<Box<str>>);
+pub type Rejection = (Code, Option<Box<str>>);
 
 /// Checks headers, token, service and grant.
 ///
 /// # Errors
 /// The code of the first fault; the request was not run.
-pub fn admit(fleet: &Fleet, request: &Request) -> Result<Admitted, Refused> {
+pub fn admit(fleet: &Fleet, request: &Request) -> Result<Admitted, Rejection> {
     let now = fleet.clock.now();
     let headers = request.headers();
     if header_bytes(headers) > fleet.settings.limits.headers {
@@ -121,7 +121,7 @@
     value.strip_prefix("Bearer ").map(str::trim)
 }
 
-fn timeout(headers: &HeaderMap) -> Result<Option<Duration>, Refused> {
+fn timeout(headers: &HeaderMap) -> Result<Option<Duration>, Rejection> {
     let Some(value) = headers.get(TIMEOUT) else {
         return Ok(None);
     };
@@ -138,7 +138,7 @@
     Ok(Some(Duration::from_millis(millis).min(MOST_TIMEOUT)))
 }
 
-fn hint(headers: &HeaderMap) -> Result<Option<f64>, Refused> {
+fn hint(headers: &HeaderMap) -> Result<Option<f64>, Rejection> {
     let Some(value) = headers.get(HINT) else {
         return Ok(None);
     };
--- a/crates/hawthornmill-net/src/api/call.rs
+++ b/crates/hawthornmill-net/src/api/call.rs
@@ -15,7 +15,7 @@
 use super::admission::{Admitted, admit};
 use super::key_store::fresh_prefix;
 use super::problem::Problem;
-use super::stream::{self, Delivery};
+use super::stream::{self, CallerConnection};
 use super::{accounting, addresses, body, idempotency, retries};
 use crate::fleet::{Fleet, SlotGuard, Ticket};
 use crate::upstream::{Outbound, SendError, passed_on};
@@ -25,9 +25,9 @@
 
 /// Counts a call as in flight until it is dropped.
 #[derive(Debug)]
-pub struct Flying(Arc<Fleet>);
+pub struct InFlightGuard(Arc<Fleet>);
 
-impl Flying {
+impl InFlightGuard {
     /// Counts one more call.
     pub fn new(fleet: &Arc<Fleet>) -> Self {
         fleet.flying.fetch_add(1, Ordering::SeqCst);
@@ -40,7 +40,7 @@
     }
 }
 
-impl Drop for Flying {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.flying.fetch_sub(1, Ordering::SeqCst);
     }
@@ -61,7 +61,7 @@
 
 /// Answers one call.
 pub async fn run(fleet: &Arc<Fleet>, request: &Request, body: Body) -> Response {
-    let flying = Flying::new(fleet);
+    let in_flight = InFlightGuard::new(fleet);
     let id = fleet.request_id();
     let turn_away = |code, words| {
         let problem = refusal(fleet, code, words, &id);
@@ -86,12 +86,12 @@
     };
     let call = prepare(fleet, request, admitted, body, id);
     if call.admitted.repeat == RetryPolicy::Never {
-        return idempotency::run(fleet, request, call, flying).await;
+        return idempotency::run(fleet, request, call, in_flight).await;
     }
     match retries::run(fleet, &call).await {
         Ok((slot, answer)) => {
             let cutter = fleet.connections.cutter(request);
-            stream::answer(call, slot, answer, Delivery { flying, cutter })
+            stream::answer(call, slot, answer, CallerConnection { in_flight, cutter })
         }
         Err(problem) => refuse(fleet, &problem),
     }
--- a/crates/hawthornmill-net/src/api/call_result.rs
+++ b/crates/hawthornmill-net/src/api/call_result.rs
@@ -7,7 +7,7 @@
 
 /// How a call ended.
 #[derive(Debug, Clone, Copy)]
-pub struct Finished {
+pub struct CallResult {
     /// Numbered code; 0 for a whole answer.
     pub code: u16,
     /// What is known of the request.
--- a/crates/hawthornmill-net/src/api/idempotency.rs
+++ b/crates/hawthornmill-net/src/api/idempotency.rs
@@ -21,8 +21,8 @@
 
 use super::accounting;
 use super::admission::TIMEOUT;
-use super::call::{Call, Flying, attempt, refuse, slot};
-use super::call_result::{self, Finished};
+use super::call::{Call, InFlightGuard, attempt, refuse, slot};
+use super::call_result::{self, CallResult};
 use super::key_store::fresh_prefix;
 use super::problem::Problem;
 use super::stream as answer_stream;
@@ -41,12 +41,17 @@
 const ANSWER_LIMIT: usize = 16 << 20;
 
 /// Answers one call of a service that must not repeat.
-pub async fn run(fleet: &Arc<Fleet>, request: &Request, call: Call, flying: Flying) -> Response {
+pub async fn run(
+    fleet: &Arc<Fleet>,
+    request: &Request,
+    call: Call,
+    in_flight: InFlightGuard,
+) -> Response {
     // The run may end before its answer is written; this caller's call lasts until that is done.
-    let flying = Arc::new(flying);
+    let in_flight = Arc::new(in_flight);
     let copy = call.clone();
-    match dispatch(fleet, request, call, Arc::clone(&flying)).await {
-        Ok(response) => until_written(response, flying).await,
+    match dispatch(fleet, request, call, Arc::clone(&in_flight)).await {
+        Ok(response) => until_written(response, in_flight).await,
         Err(problem) => {
             if refused_early(&problem) {
                 accounting::record_refusal(fleet, &copy, &problem, copy.admitted.arrived);
@@ -57,14 +62,14 @@
 }
 
 /// Counts the call as in flight until its whole body was handed to the connection.
-async fn until_written(mut response: Response, flying: Arc<Flying>) -> Response {
+async fn until_written(mut response: Response, in_flight: Arc<InFlightGuard>) -> Response {
     let body = response.take_body().into_bytes().await.unwrap_or_default();
     response
         .headers_mut()
         .insert("content-length", body.len().into());
     let chunks = stream::iter([Ok::<_, std::io::Error>(body)]).inspect(move |_| {
         // Owned by the stream, which is dropped when the connection has taken all of it.
-        let _held = &flying;
+        let _held = &in_flight;
     });
     response.set_body(Body::from_bytes_stream(chunks));
     response
@@ -87,7 +92,7 @@
     fleet: &Arc<Fleet>,
     request: &Request,
     call: Call,
-    flying: Arc<Flying>,
+    in_flight: Arc<InFlightGuard>,
 ) -> Result<Response, Problem> {
     let id = call.out.id.clone();
     let text = request
@@ -105,7 +110,7 @@
     })?;
     let me = InstanceId::of(&fleet.settings.contact.name);
     if prefix.home == me && prefix.incarnation == fleet.incarnation {
-        return at_home(fleet, call, text, prefix, flying).await;
+        return at_home(fleet, call, text, prefix, in_flight).await;
     }
     let passed = request.headers().contains_key(PASSED);
     if prefix.home == me || passed {
@@ -125,7 +130,7 @@
     call: Call,
     text: &str,
     prefix: KeyPrefix,
-    flying: Arc<Flying>,
+    in_flight: Arc<InFlightGuard>,
 ) -> Result<Response, Problem> {
     let id = call.out.id.clone();
     if undatable(fleet) {
@@ -161,7 +166,7 @@
                     call,
                     own.clone(),
                     sender,
-                    flying,
+                    in_flight,
                 ));
                 receiver
             }
@@ -265,7 +270,7 @@
     call: Call,
     own: AccountKey,
     ended: watch::Sender<()>,
-    flying: Arc<Flying>,
+    in_flight: Arc<InFlightGuard>,
 ) {
     let result = run_claimed(&fleet, &call).await;
     let mut home = fleet.home.lock();
@@ -281,7 +286,7 @@
     home.running.remove(&own);
     drop(home);
     drop(ended);
-    drop(flying);
+    drop(in_flight);
 }
 
 async fn run_claimed(fleet: &Arc<Fleet>, call: &Call) -> Result<StoredResponse, Problem> {
@@ -289,11 +294,11 @@
     match attempt(fleet, call, &mut slot, true).await {
         Ok(answer) => collect(fleet, call, slot, answer).await,
         Err(problem) => {
-            let finished = Finished {
+            let result = CallResult {
                 code: problem.code.number(),
                 outcome: problem.outcome,
             };
-            call_result::finish(fleet, call, slot, None, finished);
+            call_result::finish(fleet, call, slot, None, result);
             Err(problem)
         }
     }
@@ -330,7 +335,7 @@
     } else {
         Outcome::Unknown
     };
-    call_result::finish(fleet, call, slot, reported, Finished { code, outcome });
+    call_result::finish(fleet, call, slot, reported, CallResult { code, outcome });
     if !whole {
         return Err(Problem::new(
             Code::UpstreamFailed,
--- a/crates/hawthornmill-net/src/api/retries.rs
+++ b/crates/hawthornmill-net/src/api/retries.rs
@@ -9,9 +9,9 @@
 use poem::http::StatusCode;
 use smallvec::SmallVec;
 
-use super::accounting::Tried;
+use super::accounting::AttemptGuard;
 use super::call::{Call, arrival, attempt, come_back, slot, wait};
-use super::call_result::{self, Finished};
+use super::call_result::{self, CallResult};
 use super::problem::Problem;
 use crate::fleet::{Fleet, SlotGuard};
 
@@ -50,7 +50,7 @@
     call: &Call,
     sent: &mut bool,
 ) -> Result<(SlotGuard, reqwest::Response), Problem> {
-    let mut held = Tried::new(fleet, call, slot(fleet, call).await?);
+    let mut held = AttemptGuard::new(fleet, call, slot(fleet, call).await?);
     let mut avoid: SmallVec<[ServerId; 2]> = SmallVec::new();
     for number in 1.. {
         let tried = attempt(fleet, call, held.slot(), false).await;
@@ -73,7 +73,7 @@
         }
         tokio::time::sleep(pause).await;
         let ticket = fleet.requeue(arrival(call), call.admitted.arrived, avoid.clone());
-        held = Tried::new(fleet, call, wait(fleet, call, ticket).await?);
+        held = AttemptGuard::new(fleet, call, wait(fleet, call, ticket).await?);
     }
     unreachable!("the number of tries is bounded by the decision")
 }
@@ -132,11 +132,11 @@
     match tried {
         Ok(answer) => Ok((slot, answer)),
         Err(problem) => {
-            let finished = Finished {
+            let result = CallResult {
                 code: problem.code.number(),
                 outcome: problem.outcome,
             };
-            call_result::finish(fleet, call, slot, None, finished);
+            call_result::finish(fleet, call, slot, None, result);
             Err(problem.retry(come_back(fleet, &call.admitted)))
         }
     }
@@ -144,22 +144,22 @@
 
 /// Gives the slot of a try back that will be repeated.
 fn settle(fleet: &Arc<Fleet>, call: &Call, slot: SlotGuard, tried: &TryResult) {
-    let (reported, finished) = match tried {
+    let (reported, result) = match tried {
         // A server that could not serve the call is believed to have done nothing for it.
         Ok(answer) => (
             Some(call_result::reported(answer).unwrap_or(0.0)),
-            Finished {
+            CallResult {
                 code: Code::UpstreamFailed.number(),
                 outcome: Outcome::Unknown,
             },
         ),
         Err(problem) => (
             None,
-            Finished {
+            CallResult {
                 code: problem.code.number(),
                 outcome: problem.outcome,
             },
         ),
     };
-    call_result::finish(fleet, call, slot, reported, finished);
+    call_result::finish(fleet, call, slot, reported, result);
 }
--- a/crates/hawthornmill-net/src/api/stream.rs
+++ b/crates/hawthornmill-net/src/api/stream.rs
@@ -19,9 +19,9 @@
 use poem::{Body, Response};
 use tokio::time::{Instant, Sleep, sleep};
 
-use super::accounting::Tried;
-use super::call::{Call, Flying, attempt, slot};
-use super::call_result::{Finished, finish, reported};
+use super::accounting::AttemptGuard;
+use super::call::{Call, InFlightGuard, attempt, slot};
+use super::call_result::{CallResult, finish, reported};
 use super::problem::Problem;
 use crate::connections::Cutter;
 use crate::fleet::{Fleet, SlotGuard};
@@ -39,7 +39,7 @@
     Over,
 }
 
-struct Relayed {
+struct ResponseStream {
     fleet: Arc<Fleet>,
     call: Call,
     slot: Option<SlotGuard>,
@@ -53,19 +53,19 @@
     reported: Option<f64>,
     silence: Pin<Box<Sleep>>,
     silent: bool,
-    delivery: Delivery,
+    connection: CallerConnection,
 }
 
 /// The caller's end of an answer.
 #[derive(Debug)]
-pub struct Delivery {
+pub struct CallerConnection {
     /// Counts the call as in flight.
-    pub flying: Flying,
+    pub in_flight: InFlightGuard,
     /// Breaks the caller's connection off.
     pub cutter: Cutter,
 }
 
-impl Relayed {
+impl ResponseStream {
     fn settle(&mut self, code: u16, outcome: Outcome) {
         if let Some(slot) = self.slot.take() {
             let reported = self.reported.or_else(|| self.tail.cost());
@@ -74,7 +74,7 @@
                 &self.call,
                 slot,
                 reported,
-                Finished { code, outcome },
+                CallResult { code, outcome },
             );
         }
     }
@@ -102,7 +102,7 @@
     /// Ends the caller's stream so that the cut shows.
     fn cut(&mut self, why: &str) -> io::Error {
         self.source = Source::Over;
-        self.delivery.cutter.cut();
+        self.connection.cutter.cut();
         io::Error::other(why)
     }
 
@@ -183,7 +183,7 @@
     Broken(&'static str),
 }
 
-impl Stream for Relayed {
+impl Stream for ResponseStream {
     type Item = Result<Bytes, io::Error>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
@@ -226,7 +226,7 @@
     }
 }
 
-impl Drop for Relayed {
+impl Drop for ResponseStream {
     fn drop(&mut self) {
         // The caller went away; dropping the source closes the connection, which cancels the call.
         self.settle(Code::UpstreamFailed.number(), Outcome::Unknown);
@@ -235,17 +235,17 @@
 
 /// Asks for the rest of an answer, in a slot of its own.
 async fn resume(fleet: Arc<Fleet>, call: Call) -> Resumed {
-    let mut tried = Tried::new(&fleet, &call, slot(&fleet, &call).await?);
+    let mut tried = AttemptGuard::new(&fleet, &call, slot(&fleet, &call).await?);
     let problem = match attempt(&fleet, &call, tried.slot(), false).await {
         Ok(answer) if answer.status().is_success() => return Ok((tried.into_slot(), answer)),
         Ok(_) => Problem::new(Code::UpstreamFailed, Outcome::Unknown, &call.out.id),
         Err(problem) => problem,
     };
-    let finished = Finished {
+    let result = CallResult {
         code: problem.code.number(),
         outcome: problem.outcome,
     };
-    finish(&fleet, &call, tried.into_slot(), None, finished);
+    finish(&fleet, &call, tried.into_slot(), None, result);
     Err(problem)
 }
 
@@ -262,7 +262,7 @@
     call: Call,
     slot: SlotGuard,
     answer: reqwest::Response,
-    delivery: Delivery,
+    connection: CallerConnection,
 ) -> Response {
     let mut response = Response::builder()
         .status(answer.status())
@@ -275,8 +275,8 @@
     }
     let done = needs_done(&call, answer.status());
     let resume = call.admitted.answer.resume && answer.status().is_success();
-    let relayed = Relayed {
-        fleet: Arc::clone(delivery.flying.fleet()),
+    let relayed = ResponseStream {
+        fleet: Arc::clone(connection.in_flight.fleet()),
         slot: Some(slot),
         lines: (done || resume).then(ResponseLines::default),
         done,
@@ -288,7 +288,7 @@
         silent: false,
         source: Source::Chunks(Box::pin(answer.bytes_stream())),
         call,
-        delivery,
+        connection,
     };
     response.set_body(Body::from_bytes_stream(relayed));
     response
