--- a/crates/hawthornmill-net/src/api/accounting.rs
+++ b/crates/hawthornmill-net/src/api/accounting.rs
@@ -192,7 +192,7 @@
         at_ms: SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_millis() as u64),
-        request: call.out.id.clone(),
+        request: call.outbound.id.clone(),
         account: call.admitted.account_name.clone(),
         service: call.admitted.service_name.clone(),
         server: "".into(),
--- a/crates/hawthornmill-net/src/api/admission.rs
+++ b/crates/hawthornmill-net/src/api/admission.rs
@@ -12,11 +12,11 @@
 use crate::fleet::Fleet;
 
 /// Header with the milliseconds that the caller still waits.
-pub const TIMEOUT: &str = "hawthornmill-timeout-ms";
+pub const TIMEOUT_HEADER: &str = "hawthornmill-timeout-ms";
 /// Header with the caller's guess of the cost.
-pub const HINT: &str = "hawthornmill-cost-hint";
+pub const COST_HINT_HEADER: &str = "hawthornmill-cost-hint";
 /// Longest deadline that a caller may set.
-const MOST_TIMEOUT: Duration = Duration::from_hours(1);
+const MAX_TIMEOUT: Duration = Duration::from_hours(1);
 
 /// A request that was let in.
 #[derive(Debug, Clone)]
@@ -30,11 +30,11 @@
     /// Its name.
     pub service_name: Box<str>,
     /// May the call be run again.
-    pub repeat: RetryPolicy,
+    pub retry: RetryPolicy,
     /// How it is charged.
     pub cost: CostKind,
     /// What its answer must be like.
-    pub answer: ResponseRules,
+    pub response: ResponseRules,
     /// Path and query at the backend server.
     pub path: Box<str>,
     /// When it arrived.
@@ -83,9 +83,9 @@
             account_name: config.accounts[account].name.clone(),
             service,
             service_name: known.name.clone(),
-            repeat: known.retry,
+            retry: known.retry,
             cost: known.cost,
-            answer: known.response,
+            response: known.response,
             path,
             arrived: now,
             deadline: now + asked.unwrap_or(known.timeout),
@@ -122,7 +122,7 @@
 }
 
 fn timeout(headers: &HeaderMap) -> Result<Option<Duration>, Rejection> {
-    let Some(value) = headers.get(TIMEOUT) else {
+    let Some(value) = headers.get(TIMEOUT_HEADER) else {
         return Ok(None);
     };
     let bad = || {
@@ -135,11 +135,11 @@
         .and_then(|v| v.trim().parse().ok())
         .filter(|v| *v > 0)
         .ok_or_else(bad)?;
-    Ok(Some(Duration::from_millis(millis).min(MOST_TIMEOUT)))
+    Ok(Some(Duration::from_millis(millis).min(MAX_TIMEOUT)))
 }
 
 fn hint(headers: &HeaderMap) -> Result<Option<f64>, Rejection> {
-    let Some(value) = headers.get(HINT) else {
+    let Some(value) = headers.get(COST_HINT_HEADER) else {
         return Ok(None);
     };
     let bad = || {
--- a/crates/hawthornmill-net/src/api/body.rs
+++ b/crates/hawthornmill-net/src/api/body.rs
@@ -9,7 +9,7 @@
 ///
 /// A server that answers and closes while the caller still sends makes the caller's machine drop the
 /// answer with the connection: the caller would see a broken connection and not the refusal.
-const DISCARD: usize = 16 << 20;
+const MAX_DISCARD_BYTES: usize = 16 << 20;
 
 /// Reads a body of at most `limit` bytes.
 ///
@@ -27,7 +27,7 @@
         }
         over += chunk.len();
         whole.clear();
-        if over > DISCARD {
+        if over > MAX_DISCARD_BYTES {
             break;
         }
     }
--- a/crates/hawthornmill-net/src/api/call.rs
+++ b/crates/hawthornmill-net/src/api/call.rs
@@ -21,7 +21,7 @@
 use crate::upstream::{Outbound, SendError, passed_on};
 
 /// Answer header with which a server says that it is about to go.
-const LEAVING: &str = "hawthornmill-leaving";
+const LEAVING_HEADER: &str = "hawthornmill-leaving";
 
 /// Counts a call as in flight until it is dropped.
 #[derive(Debug)]
@@ -52,11 +52,11 @@
     /// What was let in.
     pub admitted: Admitted,
     /// What goes to the server.
-    pub out: Outbound,
+    pub outbound: Outbound,
     /// Span of the call.
     pub span: Context,
     /// The caller's `Authorization`, for the home of a key; no server sees it.
-    pub bearer: Box<str>,
+    pub authorization: Box<str>,
 }
 
 /// Answers one call.
@@ -85,7 +85,7 @@
         }
     };
     let call = prepare(fleet, request, admitted, body, id);
-    if call.admitted.repeat == RetryPolicy::Never {
+    if call.admitted.retry == RetryPolicy::Never {
         return idempotency::run(fleet, request, call, in_flight).await;
     }
     match retries::run(fleet, &call).await {
@@ -118,19 +118,19 @@
     id: Box<str>,
 ) -> Call {
     let span = fleet.telemetry.spans.call(request.headers(), &id);
-    let out = Outbound {
+    let outbound = Outbound {
         method: request.method().clone(),
         path: admitted.path.clone(),
         headers: passed_on(request.headers()),
         body,
         id,
     };
-    let bearer = request.header("authorization").unwrap_or_default().into();
+    let authorization = request.header("authorization").unwrap_or_default().into();
     Call {
         admitted,
-        out,
+        outbound,
         span,
-        bearer,
+        authorization,
     }
 }
 
@@ -161,7 +161,7 @@
 /// A call with a key may be the second copy of one that ran: only the key's home knows, and it was
 /// not asked. So no more than this copy is said not to have run.
 fn of_key(fleet: &Fleet, request: &Request, mut problem: Problem) -> Problem {
-    if request.headers().contains_key(idempotency::KEY) {
+    if request.headers().contains_key(idempotency::KEY_HEADER) {
         problem.outcome = Outcome::Unknown;
         problem.prefix = Some(fresh_prefix(fleet));
     }
@@ -180,7 +180,7 @@
     entry::Arrival {
         service: call.admitted.service,
         account: call.admitted.account,
-        bytes: call.out.body.len(),
+        bytes: call.outbound.body.len(),
         deadline: call.admitted.deadline,
     }
 }
@@ -201,7 +201,8 @@
         accounting::begin(fleet, call);
     }
     result.map_err(|code| {
-        let problem = Problem::not_run(code, &call.out.id).retry(come_back(fleet, &call.admitted));
+        let problem =
+            Problem::not_run(code, &call.outbound.id).retry(come_back(fleet, &call.admitted));
         accounting::record_refusal(fleet, call, &problem, since);
         problem
     })
@@ -221,7 +222,7 @@
     fleet: &Arc<Fleet>,
     call: &Call,
     slot: &mut SlotGuard,
-    once: bool,
+    at_most_once: bool,
 ) -> Result<reqwest::Response, Problem> {
     let address = fleet.view(|board| {
         let server = board.config.servers.get(&slot.dispatch.server)?;
@@ -230,7 +231,10 @@
     let Some(address) = address else {
         // The server left the configuration between grant and send; there is nothing to connect to.
         slot.set_failed();
-        return Err(Problem::not_run(Code::UpstreamUnreachable, &call.out.id));
+        return Err(Problem::not_run(
+            Code::UpstreamUnreachable,
+            &call.outbound.id,
+        ));
     };
     let left = call
         .admitted
@@ -239,12 +243,13 @@
     if left.is_zero() {
         // The process was stopped between the grant and here, and the caller has given up. The
         // connection is made below, so no byte has left.
-        return Err(Problem::not_run(Code::DeadlinePassed, &call.out.id));
+        return Err(Problem::not_run(Code::DeadlinePassed, &call.outbound.id));
     }
     let span = fleet.telemetry.spans.child(&call.span, "server");
-    let mut out = call.out.clone();
-    fleet.telemetry.spans.carry(&span, &mut out.headers);
-    let sent = tokio::time::timeout(left, fleet.upstream.send(&address, &out, once)).await;
+    let mut outbound = call.outbound.clone();
+    fleet.telemetry.spans.carry(&span, &mut outbound.headers);
+    let sent =
+        tokio::time::timeout(left, fleet.upstream.send(&address, &outbound, at_most_once)).await;
     match sent {
         Ok(Ok(answer)) => {
             note_leaving(fleet, slot.dispatch.server, &answer);
@@ -252,13 +257,18 @@
         }
         Ok(Err(SendError::Unreachable)) => {
             slot.set_failed();
-            Err(Problem::not_run(Code::UpstreamUnreachable, &call.out.id))
+            Err(Problem::not_run(
+                Code::UpstreamUnreachable,
+                &call.outbound.id,
+            ))
+        }
+        Ok(Err(SendError::Broken(code))) => {
+            Err(Problem::new(code, Outcome::Unknown, &call.outbound.id))
         }
-        Ok(Err(SendError::Broken(code))) => Err(Problem::new(code, Outcome::Unknown, &call.out.id)),
         Err(_elapsed) => Err(Problem::new(
             Code::DeadlineWhileRunning,
             Outcome::Unknown,
-            &call.out.id,
+            &call.outbound.id,
         )),
     }
 }
@@ -268,7 +278,11 @@
 /// A pool's owner learns it from the load report as well, but one that can't reach the server, or
 /// is itself silent, would keep sending work there.
 fn note_leaving(fleet: &Fleet, server: ServerId, answer: &reqwest::Response) {
-    if answer.headers().get(LEAVING).is_some_and(|v| v == "yes") {
+    if answer
+        .headers()
+        .get(LEAVING_HEADER)
+        .is_some_and(|v| v == "yes")
+    {
         fleet.feed(|board, now| entry::on_server_leaving(board, server, now));
     }
 }
--- a/crates/hawthornmill-net/src/api/idempotency.rs
+++ b/crates/hawthornmill-net/src/api/idempotency.rs
@@ -20,7 +20,7 @@
 use tokio::sync::watch;
 
 use super::accounting;
-use super::admission::TIMEOUT;
+use super::admission::TIMEOUT_HEADER;
 use super::call::{Call, InFlightGuard, attempt, refuse, slot};
 use super::call_result::{self, CallResult};
 use super::key_store::fresh_prefix;
@@ -30,15 +30,15 @@
 use crate::upstream::REQUEST_ID;
 
 /// Header with the caller's key.
-pub const KEY: &str = "idempotency-key";
+pub const KEY_HEADER: &str = "idempotency-key";
 /// Header that marks a call passed on to its home; it is not passed on again.
-const PASSED: &str = "hawthornmill-passed";
+const FORWARDED_HEADER: &str = "hawthornmill-passed";
 /// Time that a home is given beyond the deadline to say what became of a call.
-const GRACE: Duration = Duration::from_millis(250);
+const RESULT_GRACE: Duration = Duration::from_millis(250);
 /// Time after a pause within which every call that waited in a socket has been read.
-const SETTLE: Duration = Duration::from_millis(250);
+const SOCKET_DRAIN_TIME: Duration = Duration::from_millis(250);
 /// Longest answer of a call that must not repeat.
-const ANSWER_LIMIT: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// Answers one call of a service that must not repeat.
 pub async fn run(
@@ -94,10 +94,10 @@
     call: Call,
     in_flight: Arc<InFlightGuard>,
 ) -> Result<Response, Problem> {
-    let id = call.out.id.clone();
+    let id = call.outbound.id.clone();
     let text = request
         .headers()
-        .get(KEY)
+        .get(KEY_HEADER)
         .ok_or_else(|| Problem::not_run(Code::KeyRequired, &id))?;
     let text = text.to_str().unwrap_or_default();
     let (prefix, _) = KeyPrefix::parse_key(&fleet.settings.key, text).map_err(|error| {
@@ -112,7 +112,7 @@
     if prefix.home == me && prefix.incarnation == fleet.incarnation {
         return at_home(fleet, call, text, prefix, in_flight).await;
     }
-    let passed = request.headers().contains_key(PASSED);
+    let passed = request.headers().contains_key(FORWARDED_HEADER);
     if prefix.home == me || passed {
         // The home's earlier run took what it knew of the key with it.
         return Err(lost(&id));
@@ -132,11 +132,11 @@
     prefix: KeyPrefix,
     in_flight: Arc<InFlightGuard>,
 ) -> Result<Response, Problem> {
-    let id = call.out.id.clone();
+    let id = call.outbound.id.clone();
     if undatable(fleet) {
         // Nothing of this copy has left; an earlier one may have run.
         let problem = Problem::new(Code::NotReady, Outcome::Unknown, &id).attempt(Outcome::NotRun);
-        return Err(problem.retry(SETTLE));
+        return Err(problem.retry(SOCKET_DRAIN_TIME));
     }
     let ttl = fleet.settings.discovery.keys;
     let own: AccountKey = (call.admitted.account, text.into());
@@ -190,7 +190,7 @@
         tick::detect_pause(board, now);
         let woke = board
             .resumed_at
-            .is_some_and(|at| now.duration_since(at) < SETTLE);
+            .is_some_and(|at| now.duration_since(at) < SOCKET_DRAIN_TIME);
         woke || board.stale_since.is_some()
     })
 }
@@ -198,12 +198,12 @@
 /// The same key must mean the same request.
 fn digest(call: &Call) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(call.out.method.as_str().as_bytes());
+    hasher.update(call.outbound.method.as_str().as_bytes());
     hasher.update(&[0]);
     hasher.update(call.admitted.service_name.as_bytes());
-    hasher.update(call.out.path.as_bytes());
+    hasher.update(call.outbound.path.as_bytes());
     hasher.update(&[0]);
-    hasher.update(&call.out.body);
+    hasher.update(&call.outbound.body);
     *hasher.finalize().as_bytes()
 }
 
@@ -215,7 +215,7 @@
     deadline: std::time::Instant,
     id: &str,
 ) -> Result<Response, Problem> {
-    let until = tokio::time::Instant::from_std(deadline + GRACE);
+    let until = tokio::time::Instant::from_std(deadline + RESULT_GRACE);
     // The sender says nothing and is dropped at the end, so an error is the awaited event.
     let _end = tokio::time::timeout_at(until, ended.changed()).await;
     let found = fleet.home.lock().table.get(own, digest);
@@ -311,7 +311,7 @@
     mut answer: reqwest::Response,
 ) -> Result<StoredResponse, Problem> {
     let reported = call_result::reported(&answer);
-    let rule = call.admitted.answer;
+    let rule = call.admitted.response;
     let mut body = Vec::new();
     let ended = loop {
         // A server that falls silent must not hold its slot for ever.
@@ -320,7 +320,7 @@
             Ok(Ok(None)) => break true,
             Ok(Err(_)) | Err(_) => break false,
         }
-        if body.len() > ANSWER_LIMIT {
+        if body.len() > MAX_RESPONSE_BYTES {
             break false;
         }
     };
@@ -340,7 +340,7 @@
         return Err(Problem::new(
             Code::UpstreamFailed,
             Outcome::Unknown,
-            &call.out.id,
+            &call.outbound.id,
         ));
     }
     let kind = answer.headers().get("content-type");
@@ -348,7 +348,7 @@
         status: answer.status().as_u16(),
         content_type: kind.and_then(|k| k.to_str().ok()).map(Into::into),
         body: body.into(),
-        request_id: call.out.id.clone(),
+        request_id: call.outbound.id.clone(),
     })
 }
 
@@ -365,7 +365,7 @@
     text: &str,
     prefix: KeyPrefix,
 ) -> Result<Response, Problem> {
-    let id = &call.out.id;
+    let id = &call.outbound.id;
     let address = fleet.view(|board| {
         let member = board.members.map.get(&prefix.home)?;
         (member.incarnation <= prefix.incarnation).then(|| member.contact.http.clone())
@@ -379,19 +379,19 @@
         .saturating_duration_since(fleet.clock.now());
     let url = format!(
         "http://{address}/v1/call/{}{}",
-        call.admitted.service_name, call.out.path
+        call.admitted.service_name, call.outbound.path
     );
     let sent = fleet
         .upstream
         .client()
-        .request(call.out.method.clone(), url)
-        .headers(call.out.headers.clone())
-        .header(KEY, text)
-        .header(PASSED, "1")
-        .header(TIMEOUT, (left.as_millis() as u64).max(1))
-        .header("authorization", &*call.bearer)
-        .body(call.out.body.clone())
-        .timeout(left + GRACE)
+        .request(call.outbound.method.clone(), url)
+        .headers(call.outbound.headers.clone())
+        .header(KEY_HEADER, text)
+        .header(FORWARDED_HEADER, "1")
+        .header(TIMEOUT_HEADER, (left.as_millis() as u64).max(1))
+        .header("authorization", &*call.authorization)
+        .body(call.outbound.body.clone())
+        .timeout(left + RESULT_GRACE)
         .send()
         .await;
     let answer = sent.map_err(|error| {
--- a/crates/hawthornmill-net/src/api/stream.rs
+++ b/crates/hawthornmill-net/src/api/stream.rs
@@ -28,7 +28,7 @@
 use crate::upstream::{REQUEST_ID, Tail, passed_on};
 
 /// Times that one answer is resumed at most.
-const RESUMES: u32 = 3;
+const MAX_RESUMES: u32 = 3;
 
 type Chunks = Pin<Box<dyn Stream<Item = reqwest::Result<Bytes>> + Send>>;
 type Resumed = Result<(SlotGuard, reqwest::Response), Problem>;
@@ -108,12 +108,12 @@
 
     /// The call that asks for the rest of the answer; none where that can't be had.
     fn continued(&mut self) -> Option<Call> {
-        let rule = self.call.admitted.answer;
-        if !rule.resume || self.resumes >= RESUMES {
+        let rule = self.call.admitted.response;
+        if !rule.resume || self.resumes >= MAX_RESUMES {
             return None;
         }
         let (count, partial) = self.lines.as_ref()?.resume_point()?;
-        let mut body: serde_json::Value = serde_json::from_slice(&self.call.out.body).ok()?;
+        let mut body: serde_json::Value = serde_json::from_slice(&self.call.outbound.body).ok()?;
         let from = body
             .as_object()?
             .get("from")
@@ -121,7 +121,7 @@
         body["from"] = (from.unwrap_or(0) + count).into();
         self.splice = ResumeFilter::new(partial);
         let mut call = self.call.clone();
-        call.out.body = body.to_string().into();
+        call.outbound.body = body.to_string().into();
         call.admitted.deadline = self.fleet.clock.now() + rule.idle_timeout;
         Some(call)
     }
@@ -167,7 +167,7 @@
                     // Counted from the moment that the caller is ready for more: a slow reader
                     // is not the server's silence.
                     self.silent = true;
-                    let until = Instant::now() + self.call.admitted.answer.idle_timeout;
+                    let until = Instant::now() + self.call.admitted.response.idle_timeout;
                     self.silence.as_mut().reset(until);
                 }
                 ready!(self.silence.as_mut().poll(cx));
@@ -238,7 +238,7 @@
     let mut tried = AttemptGuard::new(&fleet, &call, slot(&fleet, &call).await?);
     let problem = match attempt(&fleet, &call, tried.slot(), false).await {
         Ok(answer) if answer.status().is_success() => return Ok((tried.into_slot(), answer)),
-        Ok(_) => Problem::new(Code::UpstreamFailed, Outcome::Unknown, &call.out.id),
+        Ok(_) => Problem::new(Code::UpstreamFailed, Outcome::Unknown, &call.outbound.id),
         Err(problem) => problem,
     };
     let result = CallResult {
@@ -251,10 +251,10 @@
 
 /// Tells whether an answer with `status` is whole only with its last line.
 pub fn needs_done(call: &Call, status: StatusCode) -> bool {
-    call.admitted.answer.completion == Completion::DoneLine
+    call.admitted.response.completion == Completion::DoneLine
         && status.is_success()
         && status != StatusCode::NO_CONTENT
-        && call.out.method != Method::HEAD
+        && call.outbound.method != Method::HEAD
 }
 
 /// The caller's answer: the server's, streamed.
@@ -266,7 +266,7 @@
 ) -> Response {
     let mut response = Response::builder()
         .status(answer.status())
-        .header(REQUEST_ID, &*call.out.id)
+        .header(REQUEST_ID, &*call.outbound.id)
         .finish();
     response.headers_mut().extend(passed_on(answer.headers()));
     let length = answer.headers().get("content-length").cloned();
@@ -274,7 +274,7 @@
         response.headers_mut().insert("content-length", length);
     }
     let done = needs_done(&call, answer.status());
-    let resume = call.admitted.answer.resume && answer.status().is_success();
+    let resume = call.admitted.response.resume && answer.status().is_success();
     let relayed = ResponseStream {
         fleet: Arc::clone(connection.in_flight.fleet()),
         slot: Some(slot),
@@ -284,7 +284,7 @@
         resumes: 0,
         tail: Tail::default(),
         reported: reported(&answer),
-        silence: Box::pin(sleep(call.admitted.answer.idle_timeout)),
+        silence: Box::pin(sleep(call.admitted.response.idle_timeout)),
         silent: false,
         source: Source::Chunks(Box::pin(answer.bytes_stream())),
         call,
