--- a/crates/hawthornmill-net/src/api/call.rs
+++ b/crates/hawthornmill-net/src/api/call.rs
@@ -72,7 +72,7 @@
         Err((code, words)) => return turn_away(code, words),
     };
     if let Err(code) = room(fleet, request, &admitted) {
-        let problem = Problem::not_run(code, &id).retry(come_back(fleet, &admitted));
+        let problem = Problem::not_run(code, &id).with_retry_after(come_back(fleet, &admitted));
         return refuse(fleet, &of_key(fleet, request, problem));
     }
     let body = match body::read(body, fleet.settings.limits.body).await {
@@ -137,7 +137,7 @@
 /// Writes a refusal and counts it.
 pub fn refuse(fleet: &Fleet, problem: &Problem) -> Response {
     count(fleet, problem.code.number());
-    problem.answer()
+    problem.to_response()
 }
 
 /// Counts a call by its result.
@@ -151,7 +151,7 @@
     problem.detail = words;
     if code == Code::NotReady {
         problem.addresses = addresses::others(fleet);
-        problem.retry = Some(Duration::from_millis(200));
+        problem.retry_after = Some(Duration::from_millis(200));
     }
     problem
 }
@@ -163,7 +163,7 @@
 fn of_key(fleet: &Fleet, request: &Request, mut problem: Problem) -> Problem {
     if request.headers().contains_key(idempotency::KEY_HEADER) {
         problem.outcome = Outcome::Unknown;
-        problem.prefix = Some(fresh_prefix(fleet));
+        problem.key_prefix = Some(fresh_prefix(fleet));
     }
     problem
 }
@@ -201,8 +201,8 @@
         accounting::begin(fleet, call);
     }
     result.map_err(|code| {
-        let problem =
-            Problem::not_run(code, &call.outbound.id).retry(come_back(fleet, &call.admitted));
+        let problem = Problem::not_run(code, &call.outbound.id)
+            .with_retry_after(come_back(fleet, &call.admitted));
         accounting::record_refusal(fleet, call, &problem, since);
         problem
     })
--- a/crates/hawthornmill-net/src/api/idempotency.rs
+++ b/crates/hawthornmill-net/src/api/idempotency.rs
@@ -56,7 +56,7 @@
             if refused_early(&problem) {
                 accounting::record_refusal(fleet, &copy, &problem, copy.admitted.arrived);
             }
-            refuse(fleet, &problem.prefix(fresh_prefix(fleet)))
+            refuse(fleet, &problem.with_key_prefix(fresh_prefix(fleet)))
         }
     }
 }
@@ -106,7 +106,7 @@
             KeyError::Malformed => "malformed",
             KeyError::UnknownIssuer => "not made by this fleet",
         };
-        Problem::not_run(Code::BadKey, &id).detail(words)
+        Problem::not_run(Code::BadKey, &id).with_detail(words)
     })?;
     let me = InstanceId::of(&fleet.settings.contact.name);
     if prefix.home == me && prefix.incarnation == fleet.incarnation {
@@ -122,7 +122,7 @@
 
 /// Nothing is known of the key; this copy was passed to nobody.
 fn lost(id: &str) -> Problem {
-    Problem::new(Code::HomeUnreachable, Outcome::Unknown, id).attempt(Outcome::NotRun)
+    Problem::new(Code::HomeUnreachable, Outcome::Unknown, id).with_attempt(Outcome::NotRun)
 }
 
 async fn at_home(
@@ -135,8 +135,9 @@
     let id = call.outbound.id.clone();
     if undatable(fleet) {
         // Nothing of this copy has left; an earlier one may have run.
-        let problem = Problem::new(Code::NotReady, Outcome::Unknown, &id).attempt(Outcome::NotRun);
-        return Err(problem.retry(SOCKET_DRAIN_TIME));
+        let problem =
+            Problem::new(Code::NotReady, Outcome::Unknown, &id).with_attempt(Outcome::NotRun);
+        return Err(problem.with_retry_after(SOCKET_DRAIN_TIME));
     }
     let ttl = fleet.settings.discovery.keys;
     let own: AccountKey = (call.admitted.account, text.into());
@@ -150,7 +151,7 @@
         if prefix.is_expired(now.duration_since(fleet.started), ttl) {
             // The mark may be forgotten, so nothing is known of the key; this copy goes nowhere.
             let problem = Problem::new(Code::KeyExpired, Outcome::Unknown, &id);
-            return Err(problem.attempt(Outcome::NotRun));
+            return Err(problem.with_attempt(Outcome::NotRun));
         }
         let usage = KeyUse {
             issued_secs: prefix.issued_secs,
@@ -222,7 +223,7 @@
     match found {
         // The run was given up before a byte left, and its key never runs.
         Some(ClaimResult::Rejected(code)) => {
-            Err(Problem::not_run(code, id).retry(Duration::from_millis(500)))
+            Err(Problem::not_run(code, id).with_retry_after(Duration::from_millis(500)))
         }
         Some(other) => settled(other, id),
         // The mark was forgotten while this copy waited, which only a stopped process can meet.
@@ -237,12 +238,12 @@
         ClaimResult::Mismatch => {
             let problem = Problem::new(Code::BadKey, Outcome::Unknown, id);
             Err(problem
-                .attempt(Outcome::NotRun)
-                .detail("the key was used for a different request"))
+                .with_attempt(Outcome::NotRun)
+                .with_detail("the key was used for a different request"))
         }
         // No room to mark the key, so nothing was started, nor will be: the table refuses it on.
         ClaimResult::Full => {
-            Err(Problem::not_run(Code::KeyTableFull, id).retry(Duration::from_secs(1)))
+            Err(Problem::not_run(Code::KeyTableFull, id).with_retry_after(Duration::from_secs(1)))
         }
         ClaimResult::Run | ClaimResult::InProgress | ClaimResult::Rejected(_) => Err(Problem::new(
             Code::DeadlineWhileRunning,
--- a/crates/hawthornmill-net/src/api/problem.rs
+++ b/crates/hawthornmill-net/src/api/problem.rs
@@ -18,32 +18,32 @@
     /// What is known of this copy of the request.
     pub attempt: Outcome,
     /// Request id.
-    pub request: Box<str>,
+    pub request_id: Box<str>,
     /// When to come back.
-    pub retry: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// Fresh key prefix, for a call that may go on with a new key.
-    pub prefix: Option<Box<str>>,
+    pub key_prefix: Option<Box<str>>,
     /// Other addresses to use.
     pub addresses: Vec<Box<str>>,
-    /// More words.
+    /// More detail.
     pub detail: Option<Box<str>>,
 }
 
 impl Problem {
     /// A refusal of a request of which no byte can have reached a server.
-    pub fn not_run(code: Code, request: &str) -> Self {
-        Self::new(code, Outcome::NotRun, request)
+    pub fn not_run(code: Code, request_id: &str) -> Self {
+        Self::new(code, Outcome::NotRun, request_id)
     }
 
     /// A refusal with `outcome` for the request and this copy of it alike.
-    pub fn new(code: Code, outcome: Outcome, request: &str) -> Self {
+    pub fn new(code: Code, outcome: Outcome, request_id: &str) -> Self {
         Self {
             code,
             outcome,
             attempt: outcome,
-            request: request.into(),
-            retry: None,
-            prefix: None,
+            request_id: request_id.into(),
+            retry_after: None,
+            key_prefix: None,
             addresses: Vec::new(),
             detail: None,
         }
@@ -51,34 +51,34 @@
 
     /// Adds when to come back.
     #[must_use]
-    pub fn retry(mut self, after: Duration) -> Self {
-        self.retry = Some(after);
+    pub fn with_retry_after(mut self, delay: Duration) -> Self {
+        self.retry_after = Some(delay);
         self
     }
 
-    /// Adds words.
+    /// Adds detail.
     #[must_use]
-    pub fn detail(mut self, words: impl Into<Box<str>>) -> Self {
-        self.detail = Some(words.into());
+    pub fn with_detail(mut self, detail: impl Into<Box<str>>) -> Self {
+        self.detail = Some(detail.into());
         self
     }
 
     /// Sets what is known of this copy of the request.
     #[must_use]
-    pub fn attempt(mut self, attempt: Outcome) -> Self {
+    pub fn with_attempt(mut self, attempt: Outcome) -> Self {
         self.attempt = attempt;
         self
     }
 
     /// Adds a fresh key prefix.
     #[must_use]
-    pub fn prefix(mut self, prefix: Box<str>) -> Self {
-        self.prefix = Some(prefix);
+    pub fn with_key_prefix(mut self, key_prefix: Box<str>) -> Self {
+        self.key_prefix = Some(key_prefix);
         self
     }
 
     /// The HTTP answer.
-    pub fn answer(&self) -> Response {
+    pub fn to_response(&self) -> Response {
         let status =
             StatusCode::from_u16(self.code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let mut body = serde_json::json!({
@@ -88,10 +88,10 @@
             "code": self.code.number(),
             "outcome": self.outcome.name(),
             "attempt": self.attempt.name(),
-            "request_id": self.request,
+            "request_id": self.request_id,
         });
-        if let Some(prefix) = &self.prefix {
-            body["key_prefix"] = prefix.to_string().into();
+        if let Some(key_prefix) = &self.key_prefix {
+            body["key_prefix"] = key_prefix.to_string().into();
         }
         if let Some(detail) = &self.detail {
             body["detail"] = detail.to_string().into();
@@ -99,18 +99,18 @@
         if !self.addresses.is_empty() {
             body["addresses"] = self.addresses.iter().map(ToString::to_string).collect();
         }
-        let mut answer = Response::builder()
+        let mut response = Response::builder()
             .status(status)
-            .header(REQUEST_ID, &*self.request);
-        if let Some(after) = self.retry {
-            body["retry_after_ms"] = (after.as_millis() as u64).into();
+            .header(REQUEST_ID, &*self.request_id);
+        if let Some(delay) = self.retry_after {
+            body["retry_after_ms"] = (delay.as_millis() as u64).into();
             // The header counts whole seconds; the body says it to the millisecond.
-            answer = answer.header(
+            response = response.header(
                 "retry-after",
-                after.as_secs_f64().ceil().max(1.0).to_string(),
+                delay.as_secs_f64().ceil().max(1.0).to_string(),
             );
         }
-        answer
+        response
             .content_type("application/problem+json")
             .body(body.to_string())
     }
--- a/crates/hawthornmill-net/src/api/retries.rs
+++ b/crates/hawthornmill-net/src/api/retries.rs
@@ -137,7 +137,7 @@
                 outcome: problem.outcome,
             };
             call_result::finish(fleet, call, slot, None, result);
-            Err(problem.retry(come_back(fleet, &call.admitted)))
+            Err(problem.with_retry_after(come_back(fleet, &call.admitted)))
         }
     }
 }
--- a/crates/hawthornmill-net/src/api/routes.rs
+++ b/crates/hawthornmill-net/src/api/routes.rs
@@ -61,7 +61,7 @@
 
 #[handler]
 fn nothing(Data(fleet): Data<&Arc<Fleet>>) -> Response {
-    Problem::not_run(Code::NotFound, &fleet.request_id()).answer()
+    Problem::not_run(Code::NotFound, &fleet.request_id()).to_response()
 }
 
 fn json(value: &serde_json::Value) -> Response {
