--- a/crates/hawthornmill-net/src/api/accounting.rs
+++ b/crates/hawthornmill-net/src/api/accounting.rs
@@ -13,7 +13,7 @@
 use hawthornmill::fairness::CostKey;
 use hawthornmill::usage::{Reason, UsageRecord};
 
-use super::call::{Call, cost_of, count};
+use super::call::{Call, call_cost, count_call};
 use super::call_result::CallResult;
 use super::problem::Problem;
 use crate::fleet::{Fleet, SlotGuard};
@@ -69,7 +69,7 @@
 }
 
 /// Notes that `call` holds a slot, for the marks.
-pub fn begin(fleet: &Fleet, call: &Call) {
+pub fn start(fleet: &Fleet, call: &Call) {
     let estimate = estimate(fleet, call);
     let admitted = &call.admitted;
     let open = &fleet.telemetry.usage;
@@ -88,10 +88,10 @@
     let cost = if not_run {
         0.0
     } else {
-        cost_of(fleet, call, &slot, reported)
+        call_cost(fleet, call, &slot, reported)
     };
     slot.set_cost(cost);
-    count(fleet, result.code);
+    count_call(fleet, result.code);
     let waited = slot.taken.duration_since(slot.dispatch.arrived);
     let meters = &fleet.telemetry.meters;
     meters.waited.record(waited.as_secs_f64() * 1000.0, &[]);
--- a/crates/hawthornmill-net/src/api/addresses.rs
+++ b/crates/hawthornmill-net/src/api/addresses.rs
@@ -9,7 +9,7 @@
 use crate::fleet::Fleet;
 
 /// The answer of `GET /v1/addresses`.
-pub fn answer(fleet: &Fleet) -> serde_json::Value {
+pub fn to_json(fleet: &Fleet) -> serde_json::Value {
     let salt = rand::random();
     let addresses = fleet.view(|board| ranked(board, salt));
     let discovery = &fleet.settings.discovery;
@@ -33,7 +33,7 @@
 }
 
 /// Addresses of other instances that take new calls.
-pub fn others(fleet: &Fleet) -> Vec<Box<str>> {
+pub fn other_instances(fleet: &Fleet) -> Vec<Box<str>> {
     let salt = rand::random();
     fleet.view(|board| {
         let own = board.members.own().contact.http.clone();
--- a/crates/hawthornmill-net/src/api/admission.rs
+++ b/crates/hawthornmill-net/src/api/admission.rs
@@ -60,9 +60,9 @@
         return Err((Code::NotReady, None));
     }
     let (service_name, path) = split_path(request);
-    let asked = timeout(headers)?;
-    hint(headers)?;
-    let token = bearer(headers).ok_or((Code::BadToken, None))?;
+    let requested = parse_timeout(headers)?;
+    parse_cost_hint(headers)?;
+    let token = bearer_token(headers).ok_or((Code::BadToken, None))?;
     fleet.view(|board| {
         let config = &board.config;
         // The lookup compares hashes, so its timing tells nothing of a token.
@@ -88,7 +88,7 @@
             response: known.response,
             path,
             arrived: now,
-            deadline: now + asked.unwrap_or(known.timeout),
+            deadline: now + requested.unwrap_or(known.timeout),
         })
     })
 }
@@ -116,12 +116,12 @@
 }
 
 /// The bearer token of a request.
-pub fn bearer(headers: &HeaderMap) -> Option<&str> {
+pub fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get("authorization")?.to_str().ok()?;
     value.strip_prefix("Bearer ").map(str::trim)
 }
 
-fn timeout(headers: &HeaderMap) -> Result<Option<Duration>, Rejection> {
+fn parse_timeout(headers: &HeaderMap) -> Result<Option<Duration>, Rejection> {
     let Some(value) = headers.get(TIMEOUT_HEADER) else {
         return Ok(None);
     };
@@ -138,7 +138,7 @@
     Ok(Some(Duration::from_millis(millis).min(MAX_TIMEOUT)))
 }
 
-fn hint(headers: &HeaderMap) -> Result<Option<f64>, Rejection> {
+fn parse_cost_hint(headers: &HeaderMap) -> Result<Option<f64>, Rejection> {
     let Some(value) = headers.get(COST_HINT_HEADER) else {
         return Ok(None);
     };
--- a/crates/hawthornmill-net/src/api/call.rs
+++ b/crates/hawthornmill-net/src/api/call.rs
@@ -60,20 +60,20 @@
 }
 
 /// Answers one call.
-pub async fn run(fleet: &Arc<Fleet>, request: &Request, body: Body) -> Response {
+pub async fn handle(fleet: &Arc<Fleet>, request: &Request, body: Body) -> Response {
     let in_flight = InFlightGuard::new(fleet);
     let id = fleet.request_id();
     let turn_away = |code, words| {
         let problem = refusal(fleet, code, words, &id);
-        refuse(fleet, &of_key(fleet, request, problem))
+        reject(fleet, &of_key(fleet, request, problem))
     };
     let admitted = match admit(fleet, request) {
         Ok(admitted) => admitted,
         Err((code, words)) => return turn_away(code, words),
     };
     if let Err(code) = room(fleet, request, &admitted) {
-        let problem = Problem::not_run(code, &id).with_retry_after(come_back(fleet, &admitted));
-        return refuse(fleet, &of_key(fleet, request, problem));
+        let problem = Problem::not_run(code, &id).with_retry_after(retry_delay(fleet, &admitted));
+        return reject(fleet, &of_key(fleet, request, problem));
     }
     let body = match body::read(body, fleet.settings.limits.body).await {
         Ok(body) => body,
@@ -81,19 +81,19 @@
             let problem = of_key(fleet, request, Problem::not_run(code, &id));
             let call = prepare(fleet, request, admitted, Bytes::new(), id);
             accounting::record_refusal(fleet, &call, &problem, call.admitted.arrived);
-            return refuse(fleet, &problem);
+            return reject(fleet, &problem);
         }
     };
     let call = prepare(fleet, request, admitted, body, id);
     if call.admitted.retry == RetryPolicy::Never {
-        return idempotency::run(fleet, request, call, in_flight).await;
+        return idempotency::handle(fleet, request, call, in_flight).await;
     }
     match retries::run(fleet, &call).await {
         Ok((slot, answer)) => {
             let cutter = fleet.connections.cutter(request);
-            stream::answer(call, slot, answer, CallerConnection { in_flight, cutter })
+            stream::respond(call, slot, answer, CallerConnection { in_flight, cutter })
         }
-        Err(problem) => refuse(fleet, &problem),
+        Err(problem) => reject(fleet, &problem),
     }
 }
 
@@ -135,13 +135,13 @@
 }
 
 /// Writes a refusal and counts it.
-pub fn refuse(fleet: &Fleet, problem: &Problem) -> Response {
-    count(fleet, problem.code.number());
+pub fn reject(fleet: &Fleet, problem: &Problem) -> Response {
+    count_call(fleet, problem.code.number());
     problem.to_response()
 }
 
 /// Counts a call by its result.
-pub fn count(fleet: &Fleet, code: u16) {
+pub fn count_call(fleet: &Fleet, code: u16) {
     let attribute = opentelemetry::KeyValue::new("code", i64::from(code));
     fleet.telemetry.meters.calls.add(1, &[attribute]);
 }
@@ -150,7 +150,7 @@
     let mut problem = Problem::not_run(code, id);
     problem.detail = words;
     if code == Code::NotReady {
-        problem.addresses = addresses::others(fleet);
+        problem.addresses = addresses::other_instances(fleet);
         problem.retry_after = Some(Duration::from_millis(200));
     }
     problem
@@ -172,8 +172,8 @@
 ///
 /// # Errors
 /// The refusal, with when to come back; the request was not run.
-pub async fn slot(fleet: &Arc<Fleet>, call: &Call) -> Result<SlotGuard, Problem> {
-    wait(fleet, call, fleet.enqueue(arrival(call))).await
+pub async fn acquire_slot(fleet: &Arc<Fleet>, call: &Call) -> Result<SlotGuard, Problem> {
+    wait_for_slot(fleet, call, fleet.enqueue(arrival(call))).await
 }
 
 pub(super) fn arrival(call: &Call) -> entry::Arrival {
@@ -185,7 +185,7 @@
     }
 }
 
-pub(super) async fn wait(
+pub(super) async fn wait_for_slot(
     fleet: &Arc<Fleet>,
     call: &Call,
     ticket: Result<Ticket, Code>,
@@ -198,18 +198,18 @@
     };
     drop(span);
     if result.is_ok() {
-        accounting::begin(fleet, call);
+        accounting::start(fleet, call);
     }
     result.map_err(|code| {
         let problem = Problem::not_run(code, &call.outbound.id)
-            .with_retry_after(come_back(fleet, &call.admitted));
+            .with_retry_after(retry_delay(fleet, &call.admitted));
         accounting::record_refusal(fleet, call, &problem, since);
         problem
     })
 }
 
 /// When a caller that was refused may come back.
-pub(super) fn come_back(fleet: &Fleet, admitted: &Admitted) -> Duration {
+pub(super) fn retry_delay(fleet: &Fleet, admitted: &Admitted) -> Duration {
     let (draw, now) = (rand::random::<f64>(), fleet.clock.now());
     fleet.view(|board| entry::retry_after(board, admitted.service, admitted.account, draw, now))
 }
@@ -288,7 +288,7 @@
 }
 
 /// What a call that held `slot` until now costs.
-pub fn cost_of(fleet: &Fleet, call: &Call, slot: &SlotGuard, reported: Option<f64>) -> f64 {
+pub fn call_cost(fleet: &Fleet, call: &Call, slot: &SlotGuard, reported: Option<f64>) -> f64 {
     let held = fleet.clock.now().duration_since(slot.taken);
     match (call.admitted.cost, reported) {
         (CostKind::Reported, Some(cost)) => cost,
--- a/crates/hawthornmill-net/src/api/call_result.rs
+++ b/crates/hawthornmill-net/src/api/call_result.rs
@@ -15,7 +15,7 @@
 }
 
 /// The cost that the head of an answer reports.
-pub fn reported(answer: &reqwest::Response) -> Option<f64> {
+pub fn reported_cost(answer: &reqwest::Response) -> Option<f64> {
     let value = answer.headers().get(COST)?.to_str().ok()?;
     value
         .parse()
--- a/crates/hawthornmill-net/src/api/idempotency.rs
+++ b/crates/hawthornmill-net/src/api/idempotency.rs
@@ -21,7 +21,7 @@
 
 use super::accounting;
 use super::admission::TIMEOUT_HEADER;
-use super::call::{Call, InFlightGuard, attempt, refuse, slot};
+use super::call::{Call, InFlightGuard, acquire_slot, attempt, reject};
 use super::call_result::{self, CallResult};
 use super::key_store::fresh_prefix;
 use super::problem::Problem;
@@ -41,7 +41,7 @@
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// Answers one call of a service that must not repeat.
-pub async fn run(
+pub async fn handle(
     fleet: &Arc<Fleet>,
     request: &Request,
     call: Call,
@@ -56,7 +56,7 @@
             if refused_early(&problem) {
                 accounting::record_refusal(fleet, &copy, &problem, copy.admitted.arrived);
             }
-            refuse(fleet, &problem.with_key_prefix(fresh_prefix(fleet)))
+            reject(fleet, &problem.with_key_prefix(fresh_prefix(fleet)))
         }
     }
 }
@@ -291,7 +291,7 @@
 }
 
 async fn run_claimed(fleet: &Arc<Fleet>, call: &Call) -> Result<StoredResponse, Problem> {
-    let mut slot = slot(fleet, call).await?;
+    let mut slot = acquire_slot(fleet, call).await?;
     match attempt(fleet, call, &mut slot, true).await {
         Ok(answer) => collect(fleet, call, slot, answer).await,
         Err(problem) => {
@@ -311,7 +311,7 @@
     slot: SlotGuard,
     mut answer: reqwest::Response,
 ) -> Result<StoredResponse, Problem> {
-    let reported = call_result::reported(&answer);
+    let reported = call_result::reported_cost(&answer);
     let rule = call.admitted.response;
     let mut body = Vec::new();
     let ended = loop {
@@ -325,7 +325,8 @@
             break false;
         }
     };
-    let whole = ended && (!answer_stream::needs_done(call, answer.status()) || says_done(&body));
+    let whole =
+        ended && (!answer_stream::requires_last_line(call, answer.status()) || says_done(&body));
     let code = if whole {
         0
     } else {
--- a/crates/hawthornmill-net/src/api/retries.rs
+++ b/crates/hawthornmill-net/src/api/retries.rs
@@ -10,7 +10,7 @@
 use smallvec::SmallVec;
 
 use super::accounting::AttemptGuard;
-use super::call::{Call, arrival, attempt, come_back, slot, wait};
+use super::call::{Call, acquire_slot, arrival, attempt, retry_delay, wait_for_slot};
 use super::call_result::{self, CallResult};
 use super::problem::Problem;
 use crate::fleet::{Fleet, SlotGuard};
@@ -50,7 +50,7 @@
     call: &Call,
     sent: &mut bool,
 ) -> Result<(SlotGuard, reqwest::Response), Problem> {
-    let mut held = AttemptGuard::new(fleet, call, slot(fleet, call).await?);
+    let mut held = AttemptGuard::new(fleet, call, acquire_slot(fleet, call).await?);
     let mut avoid: SmallVec<[ServerId; 2]> = SmallVec::new();
     for number in 1.. {
         let tried = attempt(fleet, call, held.slot(), false).await;
@@ -73,7 +73,7 @@
         }
         tokio::time::sleep(pause).await;
         let ticket = fleet.requeue(arrival(call), call.admitted.arrived, avoid.clone());
-        held = AttemptGuard::new(fleet, call, wait(fleet, call, ticket).await?);
+        held = AttemptGuard::new(fleet, call, wait_for_slot(fleet, call, ticket).await?);
     }
     unreachable!("the number of tries is bounded by the decision")
 }
@@ -137,7 +137,7 @@
                 outcome: problem.outcome,
             };
             call_result::finish(fleet, call, slot, None, result);
-            Err(problem.with_retry_after(come_back(fleet, &call.admitted)))
+            Err(problem.with_retry_after(retry_delay(fleet, &call.admitted)))
         }
     }
 }
@@ -147,7 +147,7 @@
     let (reported, result) = match tried {
         // A server that could not serve the call is believed to have done nothing for it.
         Ok(answer) => (
-            Some(call_result::reported(answer).unwrap_or(0.0)),
+            Some(call_result::reported_cost(answer).unwrap_or(0.0)),
             CallResult {
                 code: Code::UpstreamFailed.number(),
                 outcome: Outcome::Unknown,
--- a/crates/hawthornmill-net/src/api/routes.rs
+++ b/crates/hawthornmill-net/src/api/routes.rs
@@ -20,23 +20,23 @@
         .at("/v1/health", health)
         .at("/v1/ready", ready)
         .at("/v1/status", show_status)
-        .at("/*rest", nothing)
+        .at("/*rest", not_found)
         .data(Arc::clone(fleet))
 }
 
 #[handler]
 async fn run_call(request: &Request, body: Body, Data(fleet): Data<&Arc<Fleet>>) -> Response {
-    call::run(fleet, request, body).await
+    call::handle(fleet, request, body).await
 }
 
 #[handler]
 fn list_addresses(Data(fleet): Data<&Arc<Fleet>>) -> Response {
-    json(&addresses::answer(fleet))
+    json(&addresses::to_json(fleet))
 }
 
 #[handler]
 fn show_status(request: &Request, Data(fleet): Data<&Arc<Fleet>>) -> Response {
-    json(&status::answer(fleet, request.headers()))
+    json(&status::to_json(fleet, request.headers()))
 }
 
 #[handler]
@@ -60,7 +60,7 @@
 }
 
 #[handler]
-fn nothing(Data(fleet): Data<&Arc<Fleet>>) -> Response {
+fn not_found(Data(fleet): Data<&Arc<Fleet>>) -> Response {
     Problem::not_run(Code::NotFound, &fleet.request_id()).to_response()
 }
 
--- a/crates/hawthornmill-net/src/api/status.rs
+++ b/crates/hawthornmill-net/src/api/status.rs
@@ -14,13 +14,13 @@
 /// Any caller reaches this page, and an account must not learn what others use. Hashes are compared,
 /// by the library in constant time, so the time that it takes tells nothing of the token.
 fn is_operator(fleet: &Fleet, headers: &HeaderMap) -> bool {
-    let token = super::admission::bearer(headers).map(|t| blake3::hash(t.as_bytes()));
+    let token = super::admission::bearer_token(headers).map(|t| blake3::hash(t.as_bytes()));
     let known = fleet.settings.operators.map(blake3::Hash::from_bytes);
     token.is_some() && token == known
 }
 
 /// The answer of `GET /v1/status`; it holds no tokens, and accounts only for operators.
-pub fn answer(fleet: &Fleet, headers: &HeaderMap) -> serde_json::Value {
+pub fn to_json(fleet: &Fleet, headers: &HeaderMap) -> serde_json::Value {
     let mut status = fleet.view(|board| {
         serde_json::json!({
             "instance": fleet.settings.contact.name,
--- a/crates/hawthornmill-net/src/api/stream.rs
+++ b/crates/hawthornmill-net/src/api/stream.rs
@@ -20,8 +20,8 @@
 use tokio::time::{Instant, Sleep, sleep};
 
 use super::accounting::AttemptGuard;
-use super::call::{Call, InFlightGuard, attempt, slot};
-use super::call_result::{CallResult, finish, reported};
+use super::call::{Call, InFlightGuard, acquire_slot, attempt};
+use super::call_result::{CallResult, finish, reported_cost};
 use super::problem::Problem;
 use crate::connections::Cutter;
 use crate::fleet::{Fleet, SlotGuard};
@@ -127,7 +127,7 @@
     }
 
     fn take_up(&mut self, slot: SlotGuard, answer: reqwest::Response) {
-        self.reported = reported(&answer);
+        self.reported = reported_cost(&answer);
         self.tail = Tail::default();
         self.slot = Some(slot);
         self.silent = false;
@@ -235,7 +235,7 @@
 
 /// Asks for the rest of an answer, in a slot of its own.
 async fn resume(fleet: Arc<Fleet>, call: Call) -> Resumed {
-    let mut tried = AttemptGuard::new(&fleet, &call, slot(&fleet, &call).await?);
+    let mut tried = AttemptGuard::new(&fleet, &call, acquire_slot(&fleet, &call).await?);
     let problem = match attempt(&fleet, &call, tried.slot(), false).await {
         Ok(answer) if answer.status().is_success() => return Ok((tried.into_slot(), answer)),
         Ok(_) => Problem::new(Code::UpstreamFailed, Outcome::Unknown, &call.outbound.id),
@@ -250,7 +250,7 @@
 }
 
 /// Tells whether an answer with `status` is whole only with its last line.
-pub fn needs_done(call: &Call, status: StatusCode) -> bool {
+pub fn requires_last_line(call: &Call, status: StatusCode) -> bool {
     call.admitted.response.completion == Completion::DoneLine
         && status.is_success()
         && status != StatusCode::NO_CONTENT
@@ -258,7 +258,7 @@
 }
 
 /// The caller's answer: the server's, streamed.
-pub fn answer(
+pub fn respond(
     call: Call,
     slot: SlotGuard,
     answer: reqwest::Response,
@@ -273,7 +273,7 @@
     if let Some(length) = length {
         response.headers_mut().insert("content-length", length);
     }
-    let done = needs_done(&call, answer.status());
+    let done = requires_last_line(&call, answer.status());
     let resume = call.admitted.response.resume && answer.status().is_success();
     let relayed = ResponseStream {
         fleet: Arc::clone(connection.in_flight.fleet()),
@@ -283,7 +283,7 @@
         splice: ResumeFilter::default(),
         resumes: 0,
         tail: Tail::default(),
-        reported: reported(&answer),
+        reported: reported_cost(&answer),
         silence: Box::pin(sleep(call.admitted.response.idle_timeout)),
         silent: false,
         source: Source::Chunks(Box::pin(answer.bytes_stream())),
