--- a/crates/hawthornmill-net/src/api/addresses.rs
+++ b/crates/hawthornmill-net/src/api/addresses.rs
@@ -1,4 +1,4 @@
-//! Discovery: which instances a caller may use.
+//! Service discovery: the instances that a caller can use.
 
 use std::time::Duration;
 
@@ -8,50 +8,56 @@
 use super::key_store::fresh_prefix;
 use crate::fleet::Fleet;
 
-/// The answer of `GET /v1/addresses`.
+/// The response body of `GET /v1/addresses`.
 pub fn to_json(fleet: &Fleet) -> serde_json::Value {
     let salt = rand::random();
-    let addresses = fleet.view(|board| ranked(board, salt));
+    let addresses = fleet.view(|board| ranked_addresses(board, salt));
     let discovery = &fleet.settings.discovery;
     serde_json::json!({
         "addresses": addresses,
-        "ttl_ms": lasting(fleet, discovery.ttl),
+        "ttl_ms": remaining_ttl_ms(fleet, discovery.ttl),
         "key_prefix": fresh_prefix(fleet),
-        "key_ttl_ms": lasting(fleet, discovery.keys),
+        "key_ttl_ms": remaining_ttl_ms(fleet, discovery.keys),
     })
 }
 
-/// Milliseconds of `ttl`, or what is left until this instance takes no more calls.
+/// Milliseconds of `ttl`, limited to the time until this instance stops accepting calls.
 ///
-/// A leaving instance is the home of the prefix that it hands out, so the answer lasts no longer.
-fn lasting(fleet: &Fleet, ttl: Duration) -> u64 {
-    let left = fleet
+/// An instance is the home of the key prefixes that it issues, so while it shuts down, neither the
+/// prefix nor the addresses may outlast it.
+fn remaining_ttl_ms(fleet: &Fleet, ttl: Duration) -> u64 {
+    let remaining = fleet
         .closing
         .get()
         .map(|at| at.saturating_duration_since(fleet.clock.now()));
-    left.unwrap_or(ttl).min(ttl).as_millis() as u64
+    remaining.unwrap_or(ttl).min(ttl).as_millis() as u64
 }
 
-/// Addresses of other instances that take new calls.
+/// Addresses of the other instances that accept new calls.
 pub fn other_instances(fleet: &Fleet) -> Vec<Box<str>> {
     let salt = rand::random();
     fleet.view(|board| {
         let own = board.members.own().contact.http.clone();
-        let mut list = ranked(board, salt);
-        list.retain(|a| *a != own);
-        list
+        let mut addresses = ranked_addresses(board, salt);
+        addresses.retain(|a| *a != own);
+        addresses
     })
 }
 
-/// Usable instances: this region first, in an order that `salt` decides, so that callers spread.
-fn ranked(board: &Blackboard, salt: u64) -> Vec<Box<str>> {
-    let home = board.members.own().region;
-    let mut list: Vec<_> = board
+/// Addresses of the instances that accept new calls, those of the local region first.
+///
+/// `salt` decides the order within a region, which spreads callers over the instances.
+fn ranked_addresses(board: &Blackboard, salt: u64) -> Vec<Box<str>> {
+    let region = board.members.own().region;
+    let mut addresses: Vec<_> = board
         .members
         .live()
         .filter(|(_, m)| !m.leaving)
-        .map(|(id, m)| (m.region != home, mix(id.0 ^ salt), m.contact.http.clone()))
+        .map(|(id, m)| (m.region != region, mix(id.0 ^ salt), m.contact.http.clone()))
         .collect();
-    list.sort_unstable();
-    list.into_iter().map(|(_, _, address)| address).collect()
+    addresses.sort_unstable();
+    addresses
+        .into_iter()
+        .map(|(_, _, address)| address)
+        .collect()
 }
--- a/crates/hawthornmill-net/src/api/body.rs
+++ b/crates/hawthornmill-net/src/api/body.rs
@@ -1,38 +1,38 @@
-//! Reads request bodies within a bound.
+//! Reads request bodies up to a size limit.
 
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
 use hawthornmill::codes::Code;
 use poem::Body;
 
-/// Bytes over the bound that are still taken in before the refusal, and thrown away.
+/// Bytes over the limit that are read and discarded before the request is rejected.
 ///
-/// A server that answers and closes while the caller still sends makes the caller's machine drop the
-/// answer with the connection: the caller would see a broken connection and not the refusal.
+/// If the connection were closed while the caller is still sending, the caller's TCP stack would reset
+/// it and discard the response: the caller would see a connection error instead of the rejection.
 const MAX_DISCARD_BYTES: usize = 16 << 20;
 
 /// Reads a body of at most `limit` bytes.
 ///
 /// # Errors
-/// [`Code::BodyTooLarge`], or [`Code::BadHeader`] for a body that breaks off or is framed wrongly.
+/// [`Code::BodyTooLarge`], or [`Code::BadHeader`] for a truncated body or one with invalid framing.
 pub async fn read(body: Body, limit: usize) -> Result<Bytes, Code> {
     let mut chunks = Box::pin(body.into_bytes_stream());
-    let mut whole = BytesMut::new();
-    let mut over = 0;
+    let mut buffer = BytesMut::new();
+    let mut excess = 0;
     while let Some(chunk) = chunks.next().await {
-        let chunk = chunk.map_err(|_broken| Code::BadHeader)?;
-        if over == 0 && whole.len() + chunk.len() <= limit {
-            whole.extend_from_slice(&chunk);
+        let chunk = chunk.map_err(|_error| Code::BadHeader)?;
+        if excess == 0 && buffer.len() + chunk.len() <= limit {
+            buffer.extend_from_slice(&chunk);
             continue;
         }
-        over += chunk.len();
-        whole.clear();
-        if over > MAX_DISCARD_BYTES {
+        excess += chunk.len();
+        buffer.clear();
+        if excess > MAX_DISCARD_BYTES {
             break;
         }
     }
-    if over > 0 {
+    if excess > 0 {
         return Err(Code::BodyTooLarge);
     }
-    Ok(whole.freeze())
+    Ok(buffer.freeze())
 }
--- a/crates/hawthornmill-net/src/api/call_result.rs
+++ b/crates/hawthornmill-net/src/api/call_result.rs
@@ -1,22 +1,22 @@
-//! How a call ended, and what the head of its answer says of its cost.
+//! The result of a call, and the cost that a response's headers report.
 
 use hawthornmill::codes::Outcome;
 
 pub use super::accounting::finish;
 use crate::upstream::COST;
 
-/// How a call ended.
+/// The result of a call.
 #[derive(Debug, Clone, Copy)]
 pub struct CallResult {
-    /// Numbered code; 0 for a whole answer.
+    /// Numbered code; 0 for a complete response.
     pub code: u16,
-    /// What is known of the request.
+    /// Whether the request was run, as far as is known.
     pub outcome: Outcome,
 }
 
-/// The cost that the head of an answer reports.
-pub fn reported_cost(answer: &reqwest::Response) -> Option<f64> {
-    let value = answer.headers().get(COST)?.to_str().ok()?;
+/// Returns the cost that a response's headers report.
+pub fn reported_cost(response: &reqwest::Response) -> Option<f64> {
+    let value = response.headers().get(COST)?.to_str().ok()?;
     value
         .parse()
         .ok()
--- a/crates/hawthornmill-net/src/api/key_store.rs
+++ b/crates/hawthornmill-net/src/api/key_store.rs
@@ -1,4 +1,4 @@
-//! The home's keys: prefixes it made, calls that run, answers that are kept.
+//! Idempotency keys of which this instance is the home: running calls and stored responses.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -10,39 +10,39 @@
 use crate::fleet::Fleet;
 use crate::settings::Limits;
 
-/// Keys of one home.
+/// Idempotency keys of which this instance is the home.
 #[derive(Debug)]
 pub struct KeyStore {
-    inner: Mutex<KeyState>,
+    state: Mutex<KeyState>,
 }
 
-/// What is behind the home's lock.
+/// The state that the lock of [`KeyStore`] guards.
 #[derive(Debug)]
 pub struct KeyState {
-    /// Marks and kept answers.
+    /// State and stored response of every key.
     pub table: KeyTable,
-    /// Calls that run now; the sender is dropped when the call ends.
+    /// Calls in progress; the sender is dropped when the call ends.
     pub running: BTreeMap<AccountKey, watch::Receiver<()>>,
 }
 
 impl KeyStore {
-    /// An empty home within `limits`.
+    /// Creates an empty store bounded by `limits`.
     pub fn new(limits: &Limits) -> Self {
         Self {
-            inner: Mutex::new(KeyState {
+            state: Mutex::new(KeyState {
                 table: KeyTable::new(limits.keys, limits.kept),
                 running: BTreeMap::new(),
             }),
         }
     }
 
-    /// Locks the keys.
+    /// Locks the state of the keys.
     pub fn lock(&self) -> MutexGuard<'_, KeyState> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A fresh prefix of this process run.
+/// Issues a key prefix for this run of the process, dated now.
 pub fn fresh_prefix(fleet: &Fleet) -> Box<str> {
     let age = fleet.clock.now().duration_since(fleet.started);
     let prefix = KeyPrefix {
--- a/crates/hawthornmill-net/src/api/mod.rs
+++ b/crates/hawthornmill-net/src/api/mod.rs
@@ -1,9 +1,9 @@
-//! What callers see.
+//! The HTTP API of an instance.
 //!
-//! [`routes`] lists the calls. [`admission`] checks a request before it costs anything, [`call`] takes
-//! it through queue, slot and server, [`stream`] passes the answer on as it comes, [`accounting`]
-//! charges it and writes its usage record, [`idempotency`] keeps calls that must not repeat, and
-//! [`problem`] writes every refusal.
+//! [`routes`] lists the endpoints. [`admission`] validates a request before it uses any resources,
+//! [`call`] takes it through queue, slot and server, [`stream`] forwards the response as it arrives,
+//! [`accounting`] charges the call and writes its usage record, [`idempotency`] runs calls of services
+//! without retries at most once per key, and [`problem`] writes every error response.
 
 pub mod accounting;
 pub mod addresses;
--- a/crates/hawthornmill-net/src/api/problem.rs
+++ b/crates/hawthornmill-net/src/api/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as `application/problem+json` (RFC 9457).
+//! Error responses as `application/problem+json` (RFC 9457).
 
 use std::time::Duration;
 
@@ -8,34 +8,34 @@
 
 use crate::upstream::REQUEST_ID;
 
-/// A refusal.
+/// An error response.
 #[derive(Debug, Clone)]
 pub struct Problem {
-    /// Numbered result.
+    /// Numbered code of the error.
     pub code: Code,
-    /// What is known of the request, or of its key where it has one.
+    /// Whether the request, or the call of its idempotency key if it has one, was run.
     pub outcome: Outcome,
-    /// What is known of this copy of the request.
+    /// Whether this copy of the request was run.
     pub attempt: Outcome,
-    /// Request id.
+    /// Request ID.
     pub request_id: Box<str>,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Option<Duration>,
-    /// Fresh key prefix, for a call that may go on with a new key.
+    /// New key prefix, with which the caller can make a new idempotency key.
     pub key_prefix: Option<Box<str>>,
-    /// Other addresses to use.
+    /// Addresses of other instances that accept calls.
     pub addresses: Vec<Box<str>>,
-    /// More detail.
+    /// Explanation of this occurrence of the error.
     pub detail: Option<Box<str>>,
 }
 
 impl Problem {
-    /// A refusal of a request of which no byte can have reached a server.
+    /// An error for a request of which no byte can have reached a server.
     pub fn not_run(code: Code, request_id: &str) -> Self {
         Self::new(code, Outcome::NotRun, request_id)
     }
 
-    /// A refusal with `outcome` for the request and this copy of it alike.
+    /// An error with the same `outcome` for the request and for this copy of it.
     pub fn new(code: Code, outcome: Outcome, request_id: &str) -> Self {
         Self {
             code,
@@ -49,35 +49,35 @@
         }
     }
 
-    /// Adds when to come back.
+    /// Adds the delay after which the caller may retry.
     #[must_use]
     pub fn with_retry_after(mut self, delay: Duration) -> Self {
         self.retry_after = Some(delay);
         self
     }
 
-    /// Adds detail.
+    /// Adds an explanation.
     #[must_use]
     pub fn with_detail(mut self, detail: impl Into<Box<str>>) -> Self {
         self.detail = Some(detail.into());
         self
     }
 
-    /// Sets what is known of this copy of the request.
+    /// Sets whether this copy of the request was run.
     #[must_use]
     pub fn with_attempt(mut self, attempt: Outcome) -> Self {
         self.attempt = attempt;
         self
     }
 
-    /// Adds a fresh key prefix.
+    /// Adds a new key prefix.
     #[must_use]
     pub fn with_key_prefix(mut self, key_prefix: Box<str>) -> Self {
         self.key_prefix = Some(key_prefix);
         self
     }
 
-    /// The HTTP answer.
+    /// Builds the HTTP response.
     pub fn to_response(&self) -> Response {
         let status =
             StatusCode::from_u16(self.code.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -104,7 +104,7 @@
             .header(REQUEST_ID, &*self.request_id);
         if let Some(delay) = self.retry_after {
             body["retry_after_ms"] = (delay.as_millis() as u64).into();
-            // The header counts whole seconds; the body says it to the millisecond.
+            // The header holds whole seconds; the body has the delay in milliseconds.
             response = response.header(
                 "retry-after",
                 delay.as_secs_f64().ceil().max(1.0).to_string(),
--- a/crates/hawthornmill-net/src/api/routes.rs
+++ b/crates/hawthornmill-net/src/api/routes.rs
@@ -1,4 +1,4 @@
-//! The HTTP calls of an instance.
+//! The HTTP endpoints of an instance.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,7 +12,7 @@
 use crate::fleet::Fleet;
 use hawthornmill::codes::Code;
 
-/// Every call of an instance.
+/// All endpoints of an instance.
 pub fn routes(fleet: &Arc<Fleet>) -> impl Endpoint + use<> {
     Route::new()
         .at("/v1/addresses", list_addresses)
@@ -54,7 +54,7 @@
         .body("not ready\n")
 }
 
-/// Tells whether this instance takes new calls.
+/// Returns whether this instance accepts new calls.
 pub fn is_ready(fleet: &Fleet) -> bool {
     fleet.ready.load(Ordering::Relaxed) && !fleet.closed.load(Ordering::Relaxed)
 }
--- a/crates/hawthornmill-net/src/api/status.rs
+++ b/crates/hawthornmill-net/src/api/status.rs
@@ -1,4 +1,4 @@
-//! This instance's view, for operators.
+//! The status page, which shows operators this instance's view of the fleet.
 
 use std::sync::atomic::Ordering;
 
@@ -9,17 +9,17 @@
 
 use crate::fleet::Fleet;
 
-/// Tells whether the request carries the operators' token.
+/// Returns whether the request carries the operators' token.
 ///
-/// Any caller reaches this page, and an account must not learn what others use. Hashes are compared,
-/// by the library in constant time, so the time that it takes tells nothing of the token.
+/// Any caller can request this page, and no account may see the usage of others. The hashes are
+/// compared in constant time, so the comparison leaks nothing about the token.
 fn is_operator(fleet: &Fleet, headers: &HeaderMap) -> bool {
     let token = super::admission::bearer_token(headers).map(|t| blake3::hash(t.as_bytes()));
-    let known = fleet.settings.operators.map(blake3::Hash::from_bytes);
-    token.is_some() && token == known
+    let expected = fleet.settings.operators.map(blake3::Hash::from_bytes);
+    token.is_some() && token == expected
 }
 
-/// The answer of `GET /v1/status`; it holds no tokens, and accounts only for operators.
+/// The response body of `GET /v1/status`, which lists accounts for operators only and never tokens.
 pub fn to_json(fleet: &Fleet, headers: &HeaderMap) -> serde_json::Value {
     let mut status = fleet.view(|board| {
         serde_json::json!({
@@ -38,21 +38,21 @@
     if is_operator(fleet, headers) {
         status["accounts"] = fleet.view(accounts);
     }
-    let out = &fleet.outgoing;
+    let outgoing = &fleet.outgoing;
     status["ready"] = super::routes::is_ready(fleet).into();
     status["flying"] = fleet.flying.load(Ordering::Relaxed).into();
-    status["peer_bytes"] = out.sent.load(Ordering::Relaxed).into();
-    status["peer_bytes_far"] = out.sent_far.load(Ordering::Relaxed).into();
-    status["peer_dropped"] = out.dropped.load(Ordering::Relaxed).into();
-    status["peer_refused"] = out.refused.load(Ordering::Relaxed).into();
+    status["peer_bytes"] = outgoing.sent.load(Ordering::Relaxed).into();
+    status["peer_bytes_far"] = outgoing.sent_far.load(Ordering::Relaxed).into();
+    status["peer_dropped"] = outgoing.dropped.load(Ordering::Relaxed).into();
+    status["peer_refused"] = outgoing.refused.load(Ordering::Relaxed).into();
     status["keys"] = fleet.home.lock().table.len().into();
     status
 }
 
-/// One digest over those of all values in force, to compare instances by.
+/// Digest over the digests of all values in force, by which instances can be compared.
 fn digest(manifest: &Manifest) -> Box<str> {
-    let all: String = manifest.values.iter().map(|v| &*v.digest).collect();
-    accept::digest(&all)
+    let digests: String = manifest.values.iter().map(|v| &*v.digest).collect();
+    accept::digest(&digests)
 }
 
 fn members(board: &Blackboard) -> serde_json::Value {
@@ -82,14 +82,14 @@
         .pools
         .iter()
         .map(|(id, pool)| {
-            let owner = board.sessions.get(id).and_then(|l| l.owner);
+            let owner = board.sessions.get(id).and_then(|session| session.owner);
             let mine = board.owned_pools.get(id).filter(|o| o.active);
             serde_json::json!({
                 "service": board.config.services[&pool.service].name,
                 "domain": board.config.domain_names.get(&pool.domain),
                 "owner": owner.and_then(|(o, _)| board.members.map.get(&o)).map(|m| m.contact.name.clone()),
                 "mine": mine.is_some(),
-                "held_here": board.sessions.get(id).map(|l| l.held.len()),
+                "held_here": board.sessions.get(id).map(|session| session.held.len()),
                 "granted": mine.map(|o| o.held.len()),
                 "idle": mine.map(|o| o.idle_slots(now)),
             })
