--- a/crates/hawthornmill-net/src/api/call.rs
+++ b/crates/hawthornmill-net/src/api/call.rs
@@ -1,4 +1,4 @@
-//! One call from its arrival to the head of its answer.
+//! A call from its arrival to the headers of its response.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,21 +20,21 @@
 use crate::fleet::{Fleet, SlotGuard, Ticket};
 use crate::upstream::{Outbound, SendError, passed_on};
 
-/// Answer header with which a server says that it is about to go.
+/// Response header with which a server announces that it is shutting down.
 const LEAVING_HEADER: &str = "hawthornmill-leaving";
 
-/// Counts a call as in flight until it is dropped.
+/// Counts a call as in flight until this is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard(Arc<Fleet>);
 
 impl InFlightGuard {
-    /// Counts one more call.
+    /// Counts one more call as in flight.
     pub fn new(fleet: &Arc<Fleet>) -> Self {
         fleet.flying.fetch_add(1, Ordering::SeqCst);
         Self(Arc::clone(fleet))
     }
 
-    /// The process in which the call is in flight.
+    /// The instance in which the call is in flight.
     pub fn fleet(&self) -> &Arc<Fleet> {
         &self.0
     }
@@ -46,71 +46,71 @@
     }
 }
 
-/// A call that was let in, with what it sends.
+/// An admitted call and the request that it sends.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// What was let in.
+    /// The admitted request.
     pub admitted: Admitted,
-    /// What goes to the server.
+    /// The request to the server.
     pub outbound: Outbound,
-    /// Span of the call.
+    /// Tracing span of the call.
     pub span: Context,
-    /// The caller's `Authorization`, for the home of a key; no server sees it.
+    /// The caller's `Authorization` header, sent to the home of a key but never to a server.
     pub authorization: Box<str>,
 }
 
-/// Answers one call.
+/// Handles one call.
 pub async fn handle(fleet: &Arc<Fleet>, request: &Request, body: Body) -> Response {
     let in_flight = InFlightGuard::new(fleet);
     let id = fleet.request_id();
-    let turn_away = |code, words| {
-        let problem = refusal(fleet, code, words, &id);
-        reject(fleet, &of_key(fleet, request, problem))
+    let reject_early = |code, detail| {
+        let problem = rejection(fleet, code, detail, &id);
+        reject(fleet, &with_key_outcome(fleet, request, problem))
     };
     let admitted = match admit(fleet, request) {
         Ok(admitted) => admitted,
-        Err((code, words)) => return turn_away(code, words),
+        Err((code, detail)) => return reject_early(code, detail),
     };
-    if let Err(code) = room(fleet, request, &admitted) {
+    if let Err(code) = check_queue_limits(fleet, request, &admitted) {
         let problem = Problem::not_run(code, &id).with_retry_after(retry_delay(fleet, &admitted));
-        return reject(fleet, &of_key(fleet, request, problem));
+        return reject(fleet, &with_key_outcome(fleet, request, problem));
     }
     let body = match body::read(body, fleet.settings.limits.body).await {
         Ok(body) => body,
         Err(code) => {
-            let problem = of_key(fleet, request, Problem::not_run(code, &id));
-            let call = prepare(fleet, request, admitted, Bytes::new(), id);
+            let problem = with_key_outcome(fleet, request, Problem::not_run(code, &id));
+            let call = build_call(fleet, request, admitted, Bytes::new(), id);
             accounting::record_refusal(fleet, &call, &problem, call.admitted.arrived);
             return reject(fleet, &problem);
         }
     };
-    let call = prepare(fleet, request, admitted, body, id);
+    let call = build_call(fleet, request, admitted, body, id);
     if call.admitted.retry == RetryPolicy::Never {
         return idempotency::handle(fleet, request, call, in_flight).await;
     }
     match retries::run(fleet, &call).await {
-        Ok((slot, answer)) => {
+        Ok((slot, response)) => {
             let cutter = fleet.connections.cutter(request);
-            stream::respond(call, slot, answer, CallerConnection { in_flight, cutter })
+            stream::respond(call, slot, response, CallerConnection { in_flight, cutter })
         }
         Err(problem) => reject(fleet, &problem),
     }
 }
 
-/// Looks for room in the account's queue before the body is read, so that what is refused for want
-/// of room takes no memory for its body.
-fn room(fleet: &Fleet, request: &Request, admitted: &Admitted) -> Result<(), Code> {
+/// Checks the limits of the account's queue before the body is read, so that the body of a call which
+/// the queue has no room for takes no memory.
+fn check_queue_limits(fleet: &Fleet, request: &Request, admitted: &Admitted) -> Result<(), Code> {
     let length = request.header("content-length");
     let arrival = entry::Arrival {
         service: admitted.service,
         account: admitted.account,
-        bytes: length.and_then(|l| l.parse().ok()).unwrap_or(0),
+        bytes: length.and_then(|length| length.parse().ok()).unwrap_or(0),
         deadline: admitted.deadline,
     };
     fleet.view(|board| entry::check_account_limits(board, &arrival))
 }
 
-fn prepare(
+fn build_call(
     fleet: &Arc<Fleet>,
     request: &Request,
     admitted: Admitted,
@@ -134,21 +134,21 @@
     }
 }
 
-/// Writes a refusal and counts it.
+/// Counts a rejected call and builds its response.
 pub fn reject(fleet: &Fleet, problem: &Problem) -> Response {
     count_call(fleet, problem.code.number());
     problem.to_response()
 }
 
-/// Counts a call by its result.
+/// Counts a call by its code.
 pub fn count_call(fleet: &Fleet, code: u16) {
     let attribute = opentelemetry::KeyValue::new("code", i64::from(code));
     fleet.telemetry.meters.calls.add(1, &[attribute]);
 }
 
-fn refusal(fleet: &Fleet, code: Code, words: Option<Box<str>>, id: &str) -> Problem {
+fn rejection(fleet: &Fleet, code: Code, detail: Option<Box<str>>, id: &str) -> Problem {
     let mut problem = Problem::not_run(code, id);
-    problem.detail = words;
+    problem.detail = detail;
     if code == Code::NotReady {
         problem.addresses = addresses::other_instances(fleet);
         problem.retry_after = Some(Duration::from_millis(200));
@@ -156,11 +156,11 @@
     problem
 }
 
-/// A refusal on arrival, before anything was sent or passed on.
+/// Adjusts a rejection on arrival, before anything was sent or forwarded, if the call has a key.
 ///
-/// A call with a key may be the second copy of one that ran: only the key's home knows, and it was
-/// not asked. So no more than this copy is said not to have run.
-fn of_key(fleet: &Fleet, request: &Request, mut problem: Problem) -> Problem {
+/// The call may be a duplicate of one that ran. Only the home of the key knows, and it was not asked,
+/// so the response reports that this copy was not run and leaves the outcome of the key unknown.
+fn with_key_outcome(fleet: &Fleet, request: &Request, mut problem: Problem) -> Problem {
     if request.headers().contains_key(idempotency::KEY_HEADER) {
         problem.outcome = Outcome::Unknown;
         problem.key_prefix = Some(fresh_prefix(fleet));
@@ -168,10 +168,10 @@
     problem
 }
 
-/// Waits for a slot.
+/// Queues the call and waits for a slot.
 ///
 /// # Errors
-/// The refusal, with when to come back; the request was not run.
+/// The rejection, with the delay before a retry; the request was not run.
 pub async fn acquire_slot(fleet: &Arc<Fleet>, call: &Call) -> Result<SlotGuard, Problem> {
     wait_for_slot(fleet, call, fleet.enqueue(arrival(call))).await
 }
@@ -191,7 +191,7 @@
     ticket: Result<Ticket, Code>,
 ) -> Result<SlotGuard, Problem> {
     let span = fleet.telemetry.spans.child(&call.span, "wait");
-    let since = fleet.clock.now();
+    let started = fleet.clock.now();
     let result = match ticket {
         Ok(ticket) => ticket.wait().await,
         Err(code) => Err(code),
@@ -203,21 +203,21 @@
     result.map_err(|code| {
         let problem = Problem::not_run(code, &call.outbound.id)
             .with_retry_after(retry_delay(fleet, &call.admitted));
-        accounting::record_refusal(fleet, call, &problem, since);
+        accounting::record_refusal(fleet, call, &problem, started);
         problem
     })
 }
 
-/// When a caller that was refused may come back.
+/// Delay after which a rejected caller may retry.
 pub(super) fn retry_delay(fleet: &Fleet, admitted: &Admitted) -> Duration {
     let (draw, now) = (rand::random::<f64>(), fleet.clock.now());
     fleet.view(|board| entry::retry_after(board, admitted.service, admitted.account, draw, now))
 }
 
-/// Sends the call once and waits for the head of the answer.
+/// Sends the call once and waits for the headers of the response.
 ///
 /// # Errors
-/// The refusal. It says `not_run` only where no connection was made, so that no byte has left.
+/// The error. Its outcome is `not_run` only if no connection was made, so that no byte was sent.
 pub async fn attempt(
     fleet: &Arc<Fleet>,
     call: &Call,
@@ -229,31 +229,34 @@
         Some(server.address.clone())
     });
     let Some(address) = address else {
-        // The server left the configuration between grant and send; there is nothing to connect to.
+        // The server was removed from the configuration after the slot was granted.
         slot.set_failed();
         return Err(Problem::not_run(
             Code::UpstreamUnreachable,
             &call.outbound.id,
         ));
     };
-    let left = call
+    let remaining = call
         .admitted
         .deadline
         .saturating_duration_since(fleet.clock.now());
-    if left.is_zero() {
-        // The process was stopped between the grant and here, and the caller has given up. The
-        // connection is made below, so no byte has left.
+    if remaining.is_zero() {
+        // The process was paused after the slot was granted, and the caller stopped waiting. The
+        // connection is made below, so no byte was sent.
         return Err(Problem::not_run(Code::DeadlinePassed, &call.outbound.id));
     }
     let span = fleet.telemetry.spans.child(&call.span, "server");
     let mut outbound = call.outbound.clone();
     fleet.telemetry.spans.carry(&span, &mut outbound.headers);
-    let sent =
-        tokio::time::timeout(left, fleet.upstream.send(&address, &outbound, at_most_once)).await;
-    match sent {
-        Ok(Ok(answer)) => {
-            note_leaving(fleet, slot.dispatch.server, &answer);
-            Ok(answer)
+    let result = tokio::time::timeout(
+        remaining,
+        fleet.upstream.send(&address, &outbound, at_most_once),
+    )
+    .await;
+    match result {
+        Ok(Ok(response)) => {
+            check_leaving(fleet, slot.dispatch.server, &response);
+            Ok(response)
         }
         Ok(Err(SendError::Unreachable)) => {
             slot.set_failed();
@@ -273,12 +276,12 @@
     }
 }
 
-/// Takes a server's own word, with an answer, that it is leaving.
+/// Stops using a server whose response announces that it is shutting down.
 ///
-/// A pool's owner learns it from the load report as well, but one that can't reach the server, or
-/// is itself silent, would keep sending work there.
-fn note_leaving(fleet: &Fleet, server: ServerId, answer: &reqwest::Response) {
-    if answer
+/// The owner of the pool also learns this from the server's load report, but an owner that can't
+/// reach the server, or is itself unresponsive, would keep sending work there.
+fn check_leaving(fleet: &Fleet, server: ServerId, response: &reqwest::Response) {
+    if response
         .headers()
         .get(LEAVING_HEADER)
         .is_some_and(|v| v == "yes")
@@ -287,13 +290,13 @@
     }
 }
 
-/// What a call that held `slot` until now costs.
+/// Cost of a call that held `slot` until now.
 pub fn call_cost(fleet: &Fleet, call: &Call, slot: &SlotGuard, reported: Option<f64>) -> f64 {
     let held = fleet.clock.now().duration_since(slot.taken);
     match (call.admitted.cost, reported) {
         (CostKind::Reported, Some(cost)) => cost,
         (CostKind::Time, _) => held.as_secs_f64() * 1000.0,
-        // A server that broke off reported nothing; the account's average stands in.
+        // An interrupted response reports no cost, so the account's average is charged.
         (CostKind::Reported, None) => fleet.view(|board| {
             let key = hawthornmill::fairness::CostKey {
                 service: call.admitted.service,
--- a/crates/hawthornmill-net/src/api/retries.rs
+++ b/crates/hawthornmill-net/src/api/retries.rs
@@ -1,4 +1,4 @@
-//! Tries of a call that may be repeated, until an answer begins.
+//! Attempts of a call that may be retried, until a response begins.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,25 +15,27 @@
 use super::problem::Problem;
 use crate::fleet::{Fleet, SlotGuard};
 
-/// What one try came to.
-type TryResult = Result<reqwest::Response, Problem>;
+/// Result of one attempt.
+type AttemptResult = Result<reqwest::Response, Problem>;
 
-/// Runs `call` until an answer begins that is passed on.
+/// Attempts `call` until a response begins that is forwarded to the caller.
 ///
 /// # Errors
-/// The refusal, when no try is left or the deadline has passed.
+/// The error of the last attempt, once no retry is left or the deadline has passed.
 pub async fn run(
     fleet: &Arc<Fleet>,
     call: &Call,
 ) -> Result<(SlotGuard, reqwest::Response), Problem> {
     let mut sent = false;
-    let result = tries(fleet, call, &mut sent).await;
-    result.map_err(|problem| honest(problem, sent))
+    let result = run_attempts(fleet, call, &mut sent).await;
+    result.map_err(|problem| correct_outcome(problem, sent))
 }
 
-/// The last try may say `not_run` of itself: no slot, no connection. If the bytes of an earlier try
-/// left, a server may have run that one, and the call as a whole is not known to have been left.
-fn honest(mut problem: Problem, sent: bool) -> Problem {
+/// Corrects the outcome of the last attempt where an earlier one may have reached a server.
+///
+/// The last attempt is `not_run` if it got no slot or no connection. If an earlier attempt sent any
+/// bytes, a server may have run that one, so the outcome of the call is unknown.
+fn correct_outcome(mut problem: Problem, sent: bool) -> Problem {
     if sent && problem.outcome == Outcome::NotRun {
         problem.outcome = Outcome::Unknown;
         problem.attempt = Outcome::Unknown;
@@ -44,49 +46,49 @@
     problem
 }
 
-/// Sets `sent` once a byte of some try may have reached a server.
-async fn tries(
+/// Attempts the call; sets `sent` once a byte of an attempt may have reached a server.
+async fn run_attempts(
     fleet: &Arc<Fleet>,
     call: &Call,
     sent: &mut bool,
 ) -> Result<(SlotGuard, reqwest::Response), Problem> {
-    let mut held = AttemptGuard::new(fleet, call, acquire_slot(fleet, call).await?);
-    let mut avoid: SmallVec<[ServerId; 2]> = SmallVec::new();
-    for number in 1.. {
-        let tried = attempt(fleet, call, held.slot(), false).await;
-        let server = held.slot().dispatch.server;
-        let Some(failure) = failure(&tried) else {
-            if tried.is_ok() {
+    let mut guard = AttemptGuard::new(fleet, call, acquire_slot(fleet, call).await?);
+    let mut avoided: SmallVec<[ServerId; 2]> = SmallVec::new();
+    for attempt_number in 1.. {
+        let result = attempt(fleet, call, guard.slot(), false).await;
+        let server = guard.slot().dispatch.server;
+        let Some(failure) = classify_failure(&result) else {
+            if result.is_ok() {
                 let mut retries = fleet.retries();
-                retries.record_success(call.admitted.service, server, &avoid);
+                retries.record_success(call.admitted.service, server, &avoided);
             }
-            return give(fleet, call, held.into_slot(), tried);
+            return return_result(fleet, call, guard.into_slot(), result);
         };
-        let Some(pause) = decide(fleet, call, held.slot(), failure, number) else {
-            return give(fleet, call, held.into_slot(), tried);
+        let Some(pause) = retry_pause(fleet, call, guard.slot(), failure, attempt_number) else {
+            return return_result(fleet, call, guard.into_slot(), result);
         };
-        *sent |= !matches!(&tried, Err(problem) if problem.outcome == Outcome::NotRun);
-        settle(fleet, call, held.into_slot(), &tried);
-        drop(tried);
-        if !avoid.contains(&server) {
-            avoid.push(server);
+        *sent |= !matches!(&result, Err(problem) if problem.outcome == Outcome::NotRun);
+        release_slot(fleet, call, guard.into_slot(), &result);
+        drop(result);
+        if !avoided.contains(&server) {
+            avoided.push(server);
         }
         tokio::time::sleep(pause).await;
-        let ticket = fleet.requeue(arrival(call), call.admitted.arrived, avoid.clone());
-        held = AttemptGuard::new(fleet, call, wait_for_slot(fleet, call, ticket).await?);
+        let ticket = fleet.requeue(arrival(call), call.admitted.arrived, avoided.clone());
+        guard = AttemptGuard::new(fleet, call, wait_for_slot(fleet, call, ticket).await?);
     }
-    unreachable!("the number of tries is bounded by the decision")
+    unreachable!("the retry policy limits the number of attempts")
 }
 
-/// How a try failed; none when its result goes to the caller.
+/// Returns how an attempt failed, or `None` if its result is final.
 ///
-/// A server that answers 502, 503 or 504 says that it, or what stands behind it, can't serve the
-/// call now, and another may. Any other answer, 500 and 429 among them, is the service's own word
-/// to its caller: the call itself may be at fault, so it is passed on.
-fn failure(tried: &TryResult) -> Option<Failure> {
-    match tried {
-        Ok(answer) => matches!(
-            answer.status(),
+/// The statuses 502, 503 and 504 mean that the server, or one behind it, can't handle the call now;
+/// another server may. Any other status, 500 and 429 included, is the service's response to this
+/// caller: the call itself may be the cause, so the response is forwarded.
+fn classify_failure(result: &AttemptResult) -> Option<Failure> {
+    match result {
+        Ok(response) => matches!(
+            response.status(),
             StatusCode::BAD_GATEWAY | StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
         )
         .then_some(Failure::Unavailable),
@@ -98,39 +100,39 @@
     }
 }
 
-fn decide(
+fn retry_pause(
     fleet: &Fleet,
     call: &Call,
     slot: &mut SlotGuard,
     failure: Failure,
-    number: u32,
+    attempt_number: u32,
 ) -> Option<Duration> {
-    let failed = FailedAttempt {
+    let failed_attempt = FailedAttempt {
         service: call.admitted.service,
         account: call.admitted.account,
         server: slot.dispatch.server,
         failure,
-        attempt: number,
+        attempt: attempt_number,
         deadline: call.admitted.deadline,
     };
     let draw = rand::random();
     let now = fleet.clock.now();
     let mut retries = fleet.retries();
-    if retries.record_failure(&failed) {
+    if retries.record_failure(&failed_attempt) {
         slot.set_failed();
     }
-    retries.retry_delay(&failed, draw, now)
+    retries.retry_delay(&failed_attempt, draw, now)
 }
 
-/// Hands the last result to the caller; a server's own answer as it is.
-fn give(
+/// Returns the last result to the caller; a server's response is forwarded unchanged.
+fn return_result(
     fleet: &Arc<Fleet>,
     call: &Call,
     slot: SlotGuard,
-    tried: TryResult,
+    result: AttemptResult,
 ) -> Result<(SlotGuard, reqwest::Response), Problem> {
-    match tried {
-        Ok(answer) => Ok((slot, answer)),
+    match result {
+        Ok(response) => Ok((slot, response)),
         Err(problem) => {
             let result = CallResult {
                 code: problem.code.number(),
@@ -142,12 +144,12 @@
     }
 }
 
-/// Gives the slot of a try back that will be repeated.
-fn settle(fleet: &Arc<Fleet>, call: &Call, slot: SlotGuard, tried: &TryResult) {
-    let (reported, result) = match tried {
-        // A server that could not serve the call is believed to have done nothing for it.
-        Ok(answer) => (
-            Some(call_result::reported_cost(answer).unwrap_or(0.0)),
+/// Releases the slot of an attempt that will be retried.
+fn release_slot(fleet: &Arc<Fleet>, call: &Call, slot: SlotGuard, result: &AttemptResult) {
+    let (reported, call_result) = match result {
+        // A server that could not handle the call is assumed to have done no work for it.
+        Ok(response) => (
+            Some(call_result::reported_cost(response).unwrap_or(0.0)),
             CallResult {
                 code: Code::UpstreamFailed.number(),
                 outcome: Outcome::Unknown,
@@ -161,5 +163,5 @@
             },
         ),
     };
-    call_result::finish(fleet, call, slot, reported, result);
+    call_result::finish(fleet, call, slot, reported, call_result);
 }
