--- a/crates/hawthornmill-net/src/api/accounting.rs
+++ b/crates/hawthornmill-net/src/api/accounting.rs
@@ -1,9 +1,9 @@
-//! Settles calls: the charge for a slot and the usage record.
+//! Charges calls and writes their usage records.
 //!
-//! Every attempt that held a slot leaves a record, also when its caller goes away meanwhile, and so
-//! does every admitted call that is refused without a slot. Calls that are not admitted (unknown
-//! token or service, no grant, bad headers, an instance that takes none) belong to no account's
-//! use of a service; they are counted by code only.
+//! A record is written for every attempt that held a slot, even if its caller disconnected, and for
+//! every admitted call that was rejected without a slot. Calls that are not admitted (unknown token
+//! or service, no grant, invalid headers, an instance that accepts no calls) belong to no account's
+//! usage of a service, so they are only counted by code.
 
 use std::sync::Arc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -18,10 +18,10 @@
 use super::problem::Problem;
 use crate::fleet::{Fleet, SlotGuard};
 
-/// A slot whose call is being tried.
+/// The slot of an attempt in progress.
 ///
-/// A caller that goes away drops the attempt wherever it stands, perhaps after bytes have left. The
-/// drop then settles the slot, so that the server's work is charged and its record is not missing.
+/// If the caller disconnects, the attempt is dropped at any point, possibly after bytes were sent.
+/// The drop then charges the slot and writes its record, so that the server's work is accounted for.
 #[derive(Debug)]
 pub struct AttemptGuard<'a> {
     fleet: &'a Arc<Fleet>,
@@ -30,7 +30,7 @@
 }
 
 impl<'a> AttemptGuard<'a> {
-    /// Watches over `slot`.
+    /// Guards `slot` until the attempt ends.
     pub fn new(fleet: &'a Arc<Fleet>, call: &'a Call, slot: SlotGuard) -> Self {
         Self {
             fleet,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The slot.
+    /// The guarded slot.
     ///
     /// # Panics
     /// Never: the slot is taken out only by [`Self::into_slot`], which ends this value.
@@ -47,10 +47,10 @@
         self.slot.as_mut().expect("the slot is there until the end")
     }
 
-    /// Hands the slot over to whoever settles it.
+    /// Returns the slot to a caller that calls [`finish`] with it.
     ///
     /// # Panics
-    /// Never, as [`Self::slot`].
+    /// Never, as for [`Self::slot`].
     pub fn into_slot(mut self) -> SlotGuard {
         self.slot.take().expect("the slot is there until the end")
     }
@@ -68,15 +68,15 @@
     }
 }
 
-/// Notes that `call` holds a slot, for the marks.
+/// Counts `call` as holding a slot, for the usage log's checkpoints.
 pub fn start(fleet: &Fleet, call: &Call) {
-    let estimate = estimate(fleet, call);
+    let estimate = estimated_cost(fleet, call);
     let admitted = &call.admitted;
-    let open = &fleet.telemetry.usage;
-    open.begin(&admitted.service_name, &admitted.account_name, estimate);
+    let usage = &fleet.telemetry.usage;
+    usage.begin(&admitted.service_name, &admitted.account_name, estimate);
 }
 
-/// Gives the slot back, charges the call and writes its usage record.
+/// Releases the slot, charges the call and writes its usage record.
 pub fn finish(
     fleet: &Arc<Fleet>,
     call: &Call,
@@ -96,21 +96,21 @@
     let meters = &fleet.telemetry.meters;
     meters.waited.record(waited.as_secs_f64() * 1000.0, &[]);
     meters.cost.record(cost, &[]);
-    let (server, owner) = names(fleet, &slot);
-    let mut record = blank(fleet, call);
+    let (server, owner) = server_and_owner(fleet, &slot);
+    let mut record = new_record(fleet, call);
     record.server = server;
     record.owner = owner;
     record.share = slot.dispatch.share;
     record.cost = cost;
     record.estimated = !not_run && reported.is_none() && call.admitted.cost == CostKind::Reported;
     record.waited_ms = waited.as_secs_f64() * 1000.0;
-    record.held_ms = millis(slot.taken, fleet.clock.now());
+    record.held_ms = millis_between(slot.taken, fleet.clock.now());
     record.outcome = result.outcome.name().into();
     record.code = result.code;
     record.reason = if not_run {
         Reason::ServerFailed
     } else {
-        waited_for(fleet, call, slot.dispatch.arrived, slot.taken)
+        wait_reason(fleet, call, slot.dispatch.arrived, slot.taken)
     };
     drop(slot);
     fleet
@@ -120,24 +120,24 @@
     fleet.telemetry.usage.write(record);
 }
 
-/// Writes the usage record of an admitted call that got no slot; `since` is when it began to wait.
-pub fn record_refusal(fleet: &Fleet, call: &Call, problem: &Problem, since: Instant) {
+/// Writes the usage record of an admitted call that got no slot and waited since `since`.
+pub fn record_rejection(fleet: &Fleet, call: &Call, problem: &Problem, since: Instant) {
     let now = fleet.clock.now();
-    let mut record = blank(fleet, call);
-    record.waited_ms = millis(since, now);
-    record.share = any_share(fleet, call);
+    let mut record = new_record(fleet, call);
+    record.waited_ms = millis_between(since, now);
+    record.share = first_share(fleet, call);
     record.outcome = problem.attempt.name().into();
     record.code = problem.code.number();
     record.reason =
-        Reason::from_code(problem.code).unwrap_or_else(|| waited_for(fleet, call, since, now));
+        Reason::from_code(problem.code).unwrap_or_else(|| wait_reason(fleet, call, since, now));
     fleet.telemetry.usage.write(record);
 }
 
-fn millis(from: Instant, to: Instant) -> f64 {
+fn millis_between(from: Instant, to: Instant) -> f64 {
     to.duration_since(from).as_secs_f64() * 1000.0
 }
 
-fn waited_for(fleet: &Fleet, call: &Call, since: Instant, until: Instant) -> Reason {
+fn wait_reason(fleet: &Fleet, call: &Call, since: Instant, until: Instant) -> Reason {
     let admitted = &call.admitted;
     fleet.view(|board| {
         let causes = fleet.telemetry.usage.causes();
@@ -145,7 +145,7 @@
     })
 }
 
-fn names(fleet: &Fleet, slot: &SlotGuard) -> (Box<str>, Box<str>) {
+fn server_and_owner(fleet: &Fleet, slot: &SlotGuard) -> (Box<str>, Box<str>) {
     fleet.view(|board| {
         let server = board.config.servers.get(&slot.dispatch.server);
         let owner = board.members.map.get(&slot.dispatch.owner);
@@ -156,8 +156,8 @@
     })
 }
 
-/// The account's share on the first server that is open to it.
-fn any_share(fleet: &Fleet, call: &Call) -> f64 {
+/// The account's share on the first of the service's servers that it may use.
+fn first_share(fleet: &Fleet, call: &Call) -> f64 {
     let admitted = &call.admitted;
     fleet.view(|board| {
         let config = &board.config;
@@ -173,18 +173,18 @@
     })
 }
 
-fn estimate(fleet: &Fleet, call: &Call) -> f64 {
+fn estimated_cost(fleet: &Fleet, call: &Call) -> f64 {
     let (service, account) = (call.admitted.service, call.admitted.account);
     fleet.view(|board| {
-        let known = board.config.services.get(&service);
-        let default = known.map_or(0.0, |s| s.estimate);
+        let service_config = board.config.services.get(&service);
+        let default = service_config.map_or(0.0, |s| s.estimate);
         board
             .ledger
             .estimated_cost(CostKey { service, account }, default)
     })
 }
 
-fn blank(fleet: &Fleet, call: &Call) -> UsageRecord {
+fn new_record(fleet: &Fleet, call: &Call) -> UsageRecord {
     UsageRecord {
         entry: fleet.settings.contact.name.clone(),
         incarnation: fleet.incarnation.0,
@@ -198,7 +198,7 @@
         server: "".into(),
         owner: "".into(),
         share: 0.0,
-        estimate: estimate(fleet, call),
+        estimate: estimated_cost(fleet, call),
         cost: 0.0,
         estimated: false,
         waited_ms: 0.0,
--- a/crates/hawthornmill-net/src/api/call.rs
+++ b/crates/hawthornmill-net/src/api/call.rs
@@ -80,7 +80,7 @@
         Err(code) => {
             let problem = with_key_outcome(fleet, request, Problem::not_run(code, &id));
             let call = build_call(fleet, request, admitted, Bytes::new(), id);
-            accounting::record_refusal(fleet, &call, &problem, call.admitted.arrived);
+            accounting::record_rejection(fleet, &call, &problem, call.admitted.arrived);
             return reject(fleet, &problem);
         }
     };
@@ -203,7 +203,7 @@
     result.map_err(|code| {
         let problem = Problem::not_run(code, &call.outbound.id)
             .with_retry_after(retry_delay(fleet, &call.admitted));
-        accounting::record_refusal(fleet, call, &problem, started);
+        accounting::record_rejection(fleet, call, &problem, started);
         problem
     })
 }
--- a/crates/hawthornmill-net/src/api/idempotency.rs
+++ b/crates/hawthornmill-net/src/api/idempotency.rs
@@ -1,8 +1,8 @@
-//! Calls that must not repeat.
+//! Calls that run at most once, identified by an idempotency key.
 //!
-//! Only the home of a key runs its call, once; every other instance passes the call on to it. The
-//! home records the key before the first byte can leave, and runs the call in a task of its own, so
-//! that a caller who breaks off does not change what happens.
+//! The home of a key is the instance that issued its prefix. Only the home runs the call of a key,
+//! once; every other instance forwards the call to it. The home records the key before the first byte
+//! can be sent, and runs the call in its own task, so that it goes on if the caller disconnects.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,59 +25,59 @@
 use super::call_result::{self, CallResult};
 use super::key_store::fresh_prefix;
 use super::problem::Problem;
-use super::stream as answer_stream;
+use super::stream as response_stream;
 use crate::fleet::{Fleet, SlotGuard};
 use crate::upstream::REQUEST_ID;
 
-/// Header with the caller's key.
+/// Header with the caller's idempotency key.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Header that marks a call passed on to its home; it is not passed on again.
+/// Header that marks a call as forwarded to its home; such a call is not forwarded again.
 const FORWARDED_HEADER: &str = "hawthornmill-passed";
-/// Time that a home is given beyond the deadline to say what became of a call.
+/// Time beyond the deadline for which the result of a call is awaited.
 const RESULT_GRACE: Duration = Duration::from_millis(250);
-/// Time after a pause within which every call that waited in a socket has been read.
+/// Time after a pause of the process in which all calls buffered in its sockets are read.
 const SOCKET_DRAIN_TIME: Duration = Duration::from_millis(250);
-/// Longest answer of a call that must not repeat.
+/// Longest response of a call with a key, which is held in memory.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Answers one call of a service that must not repeat.
+/// Handles one call of a service without retries.
 pub async fn handle(
     fleet: &Arc<Fleet>,
     request: &Request,
     call: Call,
     in_flight: InFlightGuard,
 ) -> Response {
-    // The run may end before its answer is written; this caller's call lasts until that is done.
+    // The run may end before its response is written; the call stays in flight until it is.
     let in_flight = Arc::new(in_flight);
-    let copy = call.clone();
+    let original = call.clone();
     match dispatch(fleet, request, call, Arc::clone(&in_flight)).await {
-        Ok(response) => until_written(response, in_flight).await,
+        Ok(response) => hold_until_written(response, in_flight).await,
         Err(problem) => {
-            if refused_early(&problem) {
-                accounting::record_refusal(fleet, &copy, &problem, copy.admitted.arrived);
+            if rejected_for_key(&problem) {
+                accounting::record_rejection(fleet, &original, &problem, original.admitted.arrived);
             }
             reject(fleet, &problem.with_key_prefix(fresh_prefix(fleet)))
         }
     }
 }
 
-/// Counts the call as in flight until its whole body was handed to the connection.
-async fn until_written(mut response: Response, in_flight: Arc<InFlightGuard>) -> Response {
+/// Keeps the call counted as in flight until the connection has taken the whole response body.
+async fn hold_until_written(mut response: Response, in_flight: Arc<InFlightGuard>) -> Response {
     let body = response.take_body().into_bytes().await.unwrap_or_default();
     response
         .headers_mut()
         .insert("content-length", body.len().into());
     let chunks = stream::iter([Ok::<_, std::io::Error>(body)]).inspect(move |_| {
-        // Owned by the stream, which is dropped when the connection has taken all of it.
-        let _held = &in_flight;
+        // Owned by the stream, which is dropped once the connection has taken all of it.
+        let _in_flight = &in_flight;
     });
     response.set_body(Body::from_bytes_stream(chunks));
     response
 }
 
-/// Tells whether the key itself was refused; any later refusal has left its record already.
-fn refused_early(problem: &Problem) -> bool {
-    let early = [
+/// Returns whether the call was rejected for its key, before anything wrote its usage record.
+fn rejected_for_key(problem: &Problem) -> bool {
+    let codes = [
         Code::KeyRequired,
         Code::BadKey,
         Code::KeyExpired,
@@ -85,7 +85,7 @@
         Code::KeyTableFull,
         Code::HomeUnreachable,
     ];
-    problem.attempt == Outcome::NotRun && early.contains(&problem.code)
+    problem.attempt == Outcome::NotRun && codes.contains(&problem.code)
 }
 
 async fn dispatch(
@@ -95,61 +95,61 @@
     in_flight: Arc<InFlightGuard>,
 ) -> Result<Response, Problem> {
     let id = call.outbound.id.clone();
-    let text = request
+    let key = request
         .headers()
         .get(KEY_HEADER)
         .ok_or_else(|| Problem::not_run(Code::KeyRequired, &id))?;
-    let text = text.to_str().unwrap_or_default();
-    let (prefix, _) = KeyPrefix::parse_key(&fleet.settings.key, text).map_err(|error| {
-        // A key that can't be read names no home, so this copy went nowhere.
-        let words = match error {
+    let key = key.to_str().unwrap_or_default();
+    let (prefix, _) = KeyPrefix::parse_key(&fleet.settings.key, key).map_err(|error| {
+        // A key that can't be parsed names no home, so this copy was sent to nobody.
+        let detail = match error {
             KeyError::Malformed => "malformed",
             KeyError::UnknownIssuer => "not made by this fleet",
         };
-        Problem::not_run(Code::BadKey, &id).with_detail(words)
+        Problem::not_run(Code::BadKey, &id).with_detail(detail)
     })?;
-    let me = InstanceId::of(&fleet.settings.contact.name);
-    if prefix.home == me && prefix.incarnation == fleet.incarnation {
-        return at_home(fleet, call, text, prefix, in_flight).await;
+    let own_id = InstanceId::of(&fleet.settings.contact.name);
+    if prefix.home == own_id && prefix.incarnation == fleet.incarnation {
+        return run_at_home(fleet, call, key, prefix, in_flight).await;
     }
-    let passed = request.headers().contains_key(FORWARDED_HEADER);
-    if prefix.home == me || passed {
-        // The home's earlier run took what it knew of the key with it.
-        return Err(lost(&id));
+    let forwarded = request.headers().contains_key(FORWARDED_HEADER);
+    if prefix.home == own_id || forwarded {
+        // The key was issued by an earlier run of the home, and its state was lost with that process.
+        return Err(home_unreachable(&id));
     }
-    pass(fleet, &call, text, prefix).await
+    forward(fleet, &call, key, prefix).await
 }
 
-/// Nothing is known of the key; this copy was passed to nobody.
-fn lost(id: &str) -> Problem {
+/// The error for a key whose state can't be reached; this copy was forwarded to nobody.
+fn home_unreachable(id: &str) -> Problem {
     Problem::new(Code::HomeUnreachable, Outcome::Unknown, id).with_attempt(Outcome::NotRun)
 }
 
-async fn at_home(
+async fn run_at_home(
     fleet: &Arc<Fleet>,
     call: Call,
-    text: &str,
+    key: &str,
     prefix: KeyPrefix,
     in_flight: Arc<InFlightGuard>,
 ) -> Result<Response, Problem> {
     let id = call.outbound.id.clone();
-    if undatable(fleet) {
-        // Nothing of this copy has left; an earlier one may have run.
+    if possibly_stale(fleet) {
+        // Nothing of this copy was sent; an earlier copy may have run.
         let problem =
             Problem::new(Code::NotReady, Outcome::Unknown, &id).with_attempt(Outcome::NotRun);
         return Err(problem.with_retry_after(SOCKET_DRAIN_TIME));
     }
     let ttl = fleet.settings.discovery.keys;
-    let own: AccountKey = (call.admitted.account, text.into());
+    let account_key: AccountKey = (call.admitted.account, key.into());
     let deadline = call.admitted.deadline;
-    let digest = digest(&call);
+    let digest = request_digest(&call);
     let ended = {
         let mut home = fleet.home.lock();
-        // Read under the lock. Were the process stopped between this check and the claim, the sweep
-        // could forget the key of an earlier copy in between, and this copy would run it again.
+        // Read under the lock. If the process were paused between this check and the claim, the
+        // cleanup could remove the key of an earlier copy meanwhile, and this copy would run again.
         let now = fleet.clock.now();
         if prefix.is_expired(now.duration_since(fleet.started), ttl) {
-            // The mark may be forgotten, so nothing is known of the key; this copy goes nowhere.
+            // The key may have been removed, so its outcome is unknown; this copy is not run.
             let problem = Problem::new(Code::KeyExpired, Outcome::Unknown, &id);
             return Err(problem.with_attempt(Outcome::NotRun));
         }
@@ -158,46 +158,45 @@
             digest,
             expires_at: now + retention(ttl, deadline.saturating_duration_since(now)),
         };
-        match home.table.claim(&own, usage) {
+        match home.table.claim(&account_key, usage) {
             ClaimResult::Run => {
                 let (sender, receiver) = watch::channel(());
-                home.running.insert(own.clone(), receiver.clone());
+                home.running.insert(account_key.clone(), receiver.clone());
                 tokio::spawn(run_once(
                     Arc::clone(fleet),
                     call,
-                    own.clone(),
+                    account_key.clone(),
                     sender,
                     in_flight,
                 ));
                 receiver
             }
-            ClaimResult::InProgress => home.running[&own].clone(),
-            // The refusal of another copy is final; the caller needs a new key.
+            ClaimResult::InProgress => home.running[&account_key].clone(),
+            // The rejection of another copy is final; the caller needs a new key.
             ClaimResult::Rejected(_) => return Err(Problem::not_run(Code::KeyRejected, &id)),
-            other => return settled(other, &id),
+            other => return claim_response(other, &id),
         }
     };
-    wait_end(fleet, ended, &own, digest, deadline, &id).await
+    wait_for_result(fleet, ended, &account_key, digest, deadline, &id).await
 }
 
-/// Tells whether it can't be known how long this copy has waited to be read.
+/// Returns whether this copy may have been buffered in a socket while the process was paused.
 ///
-/// A stopped process finds calls in its sockets when it goes on; the time left that such a call
-/// names began to run before the stop, so it would be run after its caller has given up. Until the
-/// sockets have been read empty after a pause, no such call is taken.
-fn undatable(fleet: &Fleet) -> bool {
+/// The timeout in such a call counts from before the pause, so the call would run after its caller
+/// stopped waiting. After a pause, no call with a key is accepted until the sockets are drained.
+fn possibly_stale(fleet: &Fleet) -> bool {
     fleet.feed(|board, now| {
-        // The first handler after a pause may run before the next tick.
+        // The first handler after a pause may run before the next tick detects it.
         tick::detect_pause(board, now);
-        let woke = board
+        let resumed_recently = board
             .resumed_at
             .is_some_and(|at| now.duration_since(at) < SOCKET_DRAIN_TIME);
-        woke || board.stale_since.is_some()
+        resumed_recently || board.stale_since.is_some()
     })
 }
 
-/// The same key must mean the same request.
-fn digest(call: &Call) -> [u8; 32] {
+/// Digest of the request, by which a key that is reused for another request is detected.
+fn request_digest(call: &Call) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new();
     hasher.update(call.outbound.method.as_str().as_bytes());
     hasher.update(&[0]);
@@ -208,32 +207,32 @@
     *hasher.finalize().as_bytes()
 }
 
-async fn wait_end(
+async fn wait_for_result(
     fleet: &Arc<Fleet>,
     mut ended: watch::Receiver<()>,
-    own: &AccountKey,
+    account_key: &AccountKey,
     digest: [u8; 32],
     deadline: std::time::Instant,
     id: &str,
 ) -> Result<Response, Problem> {
-    let until = tokio::time::Instant::from_std(deadline + RESULT_GRACE);
-    // The sender says nothing and is dropped at the end, so an error is the awaited event.
-    let _end = tokio::time::timeout_at(until, ended.changed()).await;
-    let found = fleet.home.lock().table.get(own, digest);
-    match found {
-        // The run was given up before a byte left, and its key never runs.
+    let wait_until = tokio::time::Instant::from_std(deadline + RESULT_GRACE);
+    // The sender sends nothing and is dropped when the call ends, so an error is the expected event.
+    let _end = tokio::time::timeout_at(wait_until, ended.changed()).await;
+    let claim = fleet.home.lock().table.get(account_key, digest);
+    match claim {
+        // The run was abandoned before a byte was sent, and its key is never run.
         Some(ClaimResult::Rejected(code)) => {
             Err(Problem::not_run(code, id).with_retry_after(Duration::from_millis(500)))
         }
-        Some(other) => settled(other, id),
-        // The mark was forgotten while this copy waited, which only a stopped process can meet.
+        Some(other) => claim_response(other, id),
+        // The key was removed while this copy waited, which happens only if the process was paused.
         None => Err(Problem::new(Code::KeyExpired, Outcome::Unknown, id)),
     }
 }
 
-fn settled(claim: ClaimResult, id: &str) -> Result<Response, Problem> {
+fn claim_response(claim: ClaimResult, id: &str) -> Result<Response, Problem> {
     match claim {
-        ClaimResult::Replay(answer) => Ok(kept(&answer)),
+        ClaimResult::Replay(response) => Ok(replay(&response)),
         ClaimResult::Discarded => Err(Problem::new(Code::ResponseDiscarded, Outcome::Ran, id)),
         ClaimResult::Mismatch => {
             let problem = Problem::new(Code::BadKey, Outcome::Unknown, id);
@@ -241,7 +240,7 @@
                 .with_attempt(Outcome::NotRun)
                 .with_detail("the key was used for a different request"))
         }
-        // No room to mark the key, so nothing was started, nor will be: the table refuses it on.
+        // The table had no room for the key, so nothing was started, and it keeps rejecting the key.
         ClaimResult::Full => {
             Err(Problem::not_run(Code::KeyTableFull, id).with_retry_after(Duration::from_secs(1)))
         }
@@ -254,37 +253,37 @@
     }
 }
 
-fn kept(answer: &StoredResponse) -> Response {
-    let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
+fn replay(stored: &StoredResponse) -> Response {
+    let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
     let mut response = Response::builder()
         .status(status)
-        .header(REQUEST_ID, &*answer.request_id);
-    if let Some(kind) = &answer.content_type {
+        .header(REQUEST_ID, &*stored.request_id);
+    if let Some(kind) = &stored.content_type {
         response = response.content_type(kind);
     }
-    response.body(Bytes::copy_from_slice(&answer.body))
+    response.body(Bytes::copy_from_slice(&stored.body))
 }
 
-/// Runs a claimed call; the caller may go away meanwhile.
+/// Runs a claimed call to its end, even if the caller disconnects.
 async fn run_once(
     fleet: Arc<Fleet>,
     call: Call,
-    own: AccountKey,
+    account_key: AccountKey,
     ended: watch::Sender<()>,
     in_flight: Arc<InFlightGuard>,
 ) {
     let result = run_claimed(&fleet, &call).await;
     let mut home = fleet.home.lock();
     match result {
-        Ok(answer) => home.table.complete(&own, Some(answer)),
-        // Nothing was sent. The key stays refused, so that a copy which is still on its way can't
-        // run after its caller was told `not_run` and went on with a new key.
+        Ok(response) => home.table.complete(&account_key, Some(response)),
+        // Nothing was sent. The key stays rejected, so that a copy still in transit can't run after
+        // the caller received `not_run` and retried with a new key.
         Err(problem) if problem.outcome == Outcome::NotRun => {
-            home.table.reject(&own, problem.code);
+            home.table.reject(&account_key, problem.code);
         }
-        Err(_) => home.table.set_unknown(&own),
+        Err(_) => home.table.set_unknown(&account_key),
     }
-    home.running.remove(&own);
+    home.running.remove(&account_key);
     drop(home);
     drop(ended);
     drop(in_flight);
@@ -293,7 +292,7 @@
 async fn run_claimed(fleet: &Arc<Fleet>, call: &Call) -> Result<StoredResponse, Problem> {
     let mut slot = acquire_slot(fleet, call).await?;
     match attempt(fleet, call, &mut slot, true).await {
-        Ok(answer) => collect(fleet, call, slot, answer).await,
+        Ok(response) => read_response(fleet, call, slot, response).await,
         Err(problem) => {
             let result = CallResult {
                 code: problem.code.number(),
@@ -305,18 +304,18 @@
     }
 }
 
-async fn collect(
+async fn read_response(
     fleet: &Arc<Fleet>,
     call: &Call,
     slot: SlotGuard,
-    mut answer: reqwest::Response,
+    mut response: reqwest::Response,
 ) -> Result<StoredResponse, Problem> {
-    let reported = call_result::reported_cost(&answer);
-    let rule = call.admitted.response;
+    let reported = call_result::reported_cost(&response);
+    let rules = call.admitted.response;
     let mut body = Vec::new();
     let ended = loop {
-        // A server that falls silent must not hold its slot for ever.
-        match tokio::time::timeout(rule.idle_timeout, answer.chunk()).await {
+        // A server that stops sending must not hold its slot forever.
+        match tokio::time::timeout(rules.idle_timeout, response.chunk()).await {
             Ok(Ok(Some(chunk))) => body.extend_from_slice(&chunk),
             Ok(Ok(None)) => break true,
             Ok(Err(_)) | Err(_) => break false,
@@ -325,46 +324,46 @@
             break false;
         }
     };
-    let whole =
-        ended && (!answer_stream::requires_last_line(call, answer.status()) || says_done(&body));
-    let code = if whole {
+    let complete = ended
+        && (!response_stream::requires_last_line(call, response.status()) || has_last_line(&body));
+    let code = if complete {
         0
     } else {
         Code::UpstreamFailed.number()
     };
-    let outcome = if whole {
+    let outcome = if complete {
         Outcome::Ran
     } else {
         Outcome::Unknown
     };
     call_result::finish(fleet, call, slot, reported, CallResult { code, outcome });
-    if !whole {
+    if !complete {
         return Err(Problem::new(
             Code::UpstreamFailed,
             Outcome::Unknown,
             &call.outbound.id,
         ));
     }
-    let kind = answer.headers().get("content-type");
+    let kind = response.headers().get("content-type");
     Ok(StoredResponse {
-        status: answer.status().as_u16(),
+        status: response.status().as_u16(),
         content_type: kind.and_then(|k| k.to_str().ok()).map(Into::into),
         body: body.into(),
         request_id: call.outbound.id.clone(),
     })
 }
 
-fn says_done(body: &[u8]) -> bool {
+fn has_last_line(body: &[u8]) -> bool {
     let mut lines = ResponseLines::default();
     lines.push(body);
     lines.is_complete()
 }
 
-/// Passes the call on to the home of its key.
-async fn pass(
+/// Forwards the call to the home of its key.
+async fn forward(
     fleet: &Arc<Fleet>,
     call: &Call,
-    text: &str,
+    key: &str,
     prefix: KeyPrefix,
 ) -> Result<Response, Problem> {
     let id = &call.outbound.id;
@@ -373,9 +372,9 @@
         (member.incarnation <= prefix.incarnation).then(|| member.contact.http.clone())
     });
     let Some(address) = address else {
-        return Err(lost(id));
+        return Err(home_unreachable(id));
     };
-    let left = call
+    let remaining = call
         .admitted
         .deadline
         .saturating_duration_since(fleet.clock.now());
@@ -383,39 +382,39 @@
         "http://{address}/v1/call/{}{}",
         call.admitted.service_name, call.outbound.path
     );
-    let sent = fleet
+    let result = fleet
         .upstream
         .client()
         .request(call.outbound.method.clone(), url)
         .headers(call.outbound.headers.clone())
-        .header(KEY_HEADER, text)
+        .header(KEY_HEADER, key)
         .header(FORWARDED_HEADER, "1")
-        .header(TIMEOUT_HEADER, (left.as_millis() as u64).max(1))
+        .header(TIMEOUT_HEADER, (remaining.as_millis() as u64).max(1))
         .header("authorization", &*call.authorization)
         .body(call.outbound.body.clone())
-        .timeout(left + RESULT_GRACE)
+        .timeout(remaining + RESULT_GRACE)
         .send()
         .await;
-    let answer = sent.map_err(|error| {
-        // Only the making of a connection fails as `is_connect`, and a call is written after that.
+    let response = result.map_err(|error| {
+        // `is_connect` errors occur only before the connection is made, and nothing is sent before.
         if error.is_connect() {
-            // No connection, so this copy reached nobody; an earlier copy may have run.
-            lost(id)
+            // Without a connection this copy reached nobody; an earlier copy may have run.
+            home_unreachable(id)
         } else {
             Problem::new(Code::HomeUnreachable, Outcome::Unknown, id)
         }
     })?;
-    let status = answer.status();
-    let headers = crate::upstream::passed_on(answer.headers());
-    let named = answer.headers().get(REQUEST_ID).cloned();
-    let body = answer
+    let status = response.status();
+    let headers = crate::upstream::passed_on(response.headers());
+    let request_id = response.headers().get(REQUEST_ID).cloned();
+    let body = response
         .bytes()
         .await
-        .map_err(|_cut| Problem::new(Code::HomeUnreachable, Outcome::Unknown, id))?;
+        .map_err(|_error| Problem::new(Code::HomeUnreachable, Outcome::Unknown, id))?;
     let mut response = Response::builder().status(status).body(body);
     response.headers_mut().extend(headers);
-    if let Some(named) = named {
-        response.headers_mut().insert(REQUEST_ID, named);
+    if let Some(request_id) = request_id {
+        response.headers_mut().insert(REQUEST_ID, request_id);
     }
     Ok(response)
 }
--- a/crates/hawthornmill-net/src/api/stream.rs
+++ b/crates/hawthornmill-net/src/api/stream.rs
@@ -1,8 +1,8 @@
-//! Passes an answer on as it comes, and sees to it that a cut shows.
+//! Streams a response to the caller, and makes sure that the caller notices a truncated one.
 //!
-//! An answer that breaks off, falls silent, or ends without what its service calls whole is resumed
-//! where the service allows it; otherwise the caller's stream is broken off too, so that no caller
-//! takes a part for the whole.
+//! A response that is interrupted, stalls, or ends before it is complete by the service's rules is
+//! resumed if the service allows it. Otherwise the caller's connection is aborted too, so that no
+//! caller mistakes a truncated response for a complete one.
 
 use std::io;
 use std::pin::Pin;
@@ -27,16 +27,16 @@
 use crate::fleet::{Fleet, SlotGuard};
 use crate::upstream::{REQUEST_ID, Tail, passed_on};
 
-/// Times that one answer is resumed at most.
+/// Maximum number of times that one response is resumed.
 const MAX_RESUMES: u32 = 3;
 
-type Chunks = Pin<Box<dyn Stream<Item = reqwest::Result<Bytes>> + Send>>;
-type Resumed = Result<(SlotGuard, reqwest::Response), Problem>;
+type ByteStream = Pin<Box<dyn Stream<Item = reqwest::Result<Bytes>> + Send>>;
+type ResumeResult = Result<(SlotGuard, reqwest::Response), Problem>;
 
 enum Source {
-    Chunks(Chunks),
-    Resuming(BoxFuture<'static, Resumed>),
-    Over,
+    Chunks(ByteStream),
+    Resuming(BoxFuture<'static, ResumeResult>),
+    Finished,
 }
 
 struct ResponseStream {
@@ -44,29 +44,29 @@
     call: Call,
     slot: Option<SlotGuard>,
     source: Source,
-    /// Followed where a whole answer or a resumption depends on lines.
+    /// Tracked if the service's rules of completeness or resumption depend on lines.
     lines: Option<ResponseLines>,
-    done: bool,
-    splice: ResumeFilter,
+    requires_last_line: bool,
+    resume_filter: ResumeFilter,
     resumes: u32,
     tail: Tail,
     reported: Option<f64>,
-    silence: Pin<Box<Sleep>>,
-    silent: bool,
+    idle_timer: Pin<Box<Sleep>>,
+    is_idle: bool,
     connection: CallerConnection,
 }
 
-/// The caller's end of an answer.
+/// The caller's side of a streamed response.
 #[derive(Debug)]
 pub struct CallerConnection {
     /// Counts the call as in flight.
     pub in_flight: InFlightGuard,
-    /// Breaks the caller's connection off.
+    /// Aborts the caller's connection.
     pub cutter: Cutter,
 }
 
 impl ResponseStream {
-    fn settle(&mut self, code: u16, outcome: Outcome) {
+    fn finish_attempt(&mut self, code: u16, outcome: Outcome) {
         if let Some(slot) = self.slot.take() {
             let reported = self.reported.or_else(|| self.tail.cost());
             finish(
@@ -79,65 +79,66 @@
         }
     }
 
-    fn whole(&self) -> bool {
-        let said = !self.done || self.lines.as_ref().is_some_and(ResponseLines::is_complete);
-        said && self.splice.is_done()
+    fn is_complete(&self) -> bool {
+        let lines_complete =
+            !self.requires_last_line || self.lines.as_ref().is_some_and(ResponseLines::is_complete);
+        lines_complete && self.resume_filter.is_done()
     }
 
-    /// The answer broke: it is resumed, or the error with which the caller's stream breaks too.
-    fn broken(&mut self, why: &str) -> Result<(), io::Error> {
-        if let Some(call) = self.continued() {
-            // The server reports the cost of the whole call with the part that is still to come.
+    /// Resumes an interrupted response, or returns the error that aborts the caller's stream.
+    fn interrupted(&mut self, reason: &str) -> Result<(), io::Error> {
+        if let Some(call) = self.resume_call() {
+            // The resumed response reports the cost of the whole call.
             self.reported = Some(0.0);
-            self.settle(Code::UpstreamFailed.number(), Outcome::Unknown);
+            self.finish_attempt(Code::UpstreamFailed.number(), Outcome::Unknown);
             self.resumes += 1;
             let fleet = Arc::clone(&self.fleet);
             self.source = Source::Resuming(Box::pin(resume(fleet, call)));
             return Ok(());
         }
-        self.settle(Code::UpstreamFailed.number(), Outcome::Unknown);
-        Err(self.cut(why))
+        self.finish_attempt(Code::UpstreamFailed.number(), Outcome::Unknown);
+        Err(self.abort(reason))
     }
 
-    /// Ends the caller's stream so that the cut shows.
-    fn cut(&mut self, why: &str) -> io::Error {
-        self.source = Source::Over;
+    /// Aborts the caller's connection so that the truncation is visible, and ends the stream.
+    fn abort(&mut self, reason: &str) -> io::Error {
+        self.source = Source::Finished;
         self.connection.cutter.cut();
-        io::Error::other(why)
+        io::Error::other(reason)
     }
 
-    /// The call that asks for the rest of the answer; none where that can't be had.
-    fn continued(&mut self) -> Option<Call> {
-        let rule = self.call.admitted.response;
-        if !rule.resume || self.resumes >= MAX_RESUMES {
+    /// Builds the call that requests the rest of the response; `None` if it can't be resumed.
+    fn resume_call(&mut self) -> Option<Call> {
+        let rules = self.call.admitted.response;
+        if !rules.resume || self.resumes >= MAX_RESUMES {
             return None;
         }
         let (count, partial) = self.lines.as_ref()?.resume_point()?;
         let mut body: serde_json::Value = serde_json::from_slice(&self.call.outbound.body).ok()?;
-        let from = body
+        let first_line = body
             .as_object()?
             .get("from")
             .and_then(serde_json::Value::as_u64);
-        body["from"] = (from.unwrap_or(0) + count).into();
-        self.splice = ResumeFilter::new(partial);
+        body["from"] = (first_line.unwrap_or(0) + count).into();
+        self.resume_filter = ResumeFilter::new(partial);
         let mut call = self.call.clone();
         call.outbound.body = body.to_string().into();
-        call.admitted.deadline = self.fleet.clock.now() + rule.idle_timeout;
+        call.admitted.deadline = self.fleet.clock.now() + rules.idle_timeout;
         Some(call)
     }
 
-    fn take_up(&mut self, slot: SlotGuard, answer: reqwest::Response) {
-        self.reported = reported_cost(&answer);
+    fn continue_with(&mut self, slot: SlotGuard, response: reqwest::Response) {
+        self.reported = reported_cost(&response);
         self.tail = Tail::default();
         self.slot = Some(slot);
-        self.silent = false;
-        self.source = Source::Chunks(Box::pin(answer.bytes_stream()));
+        self.is_idle = false;
+        self.source = Source::Chunks(Box::pin(response.bytes_stream()));
     }
 
-    /// What of `chunk` the caller has not had.
-    fn pass(&mut self, mut chunk: Bytes) -> Result<Bytes, &'static str> {
-        let skip = self.splice.skip(&chunk);
-        chunk.advance(skip.ok_or("the resumed answer is another one")?);
+    /// Returns the part of `chunk` that the caller has not received yet.
+    fn filter_chunk(&mut self, mut chunk: Bytes) -> Result<Bytes, &'static str> {
+        let skip = self.resume_filter.skip(&chunk);
+        chunk.advance(skip.ok_or("the resumed response differs from the original")?);
         self.tail.push(&chunk);
         if let Some(slot) = &mut self.slot {
             slot.add_bytes(chunk.len());
@@ -148,39 +149,41 @@
         Ok(chunk)
     }
 
-    /// Waits for the answer's next part, for as long as the service's silence may last.
-    fn next_part(&mut self, cx: &mut Context<'_>) -> Poll<Part> {
+    /// Polls for the next chunk of the response, up to the service's idle timeout.
+    fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<NextChunk> {
         let Source::Chunks(chunks) = &mut self.source else {
-            return Poll::Ready(Part::End);
+            return Poll::Ready(NextChunk::End);
         };
         match chunks.as_mut().poll_next(cx) {
-            Poll::Ready(part) => {
-                self.silent = false;
-                Poll::Ready(match part {
-                    Some(Ok(chunk)) => Part::Chunk(chunk),
-                    Some(Err(_)) => Part::Broken("the answer was broken off"),
-                    None => Part::End,
+            Poll::Ready(next) => {
+                self.is_idle = false;
+                Poll::Ready(match next {
+                    Some(Ok(chunk)) => NextChunk::Chunk(chunk),
+                    Some(Err(_)) => NextChunk::Failed("the response was interrupted"),
+                    None => NextChunk::End,
                 })
             }
             Poll::Pending => {
-                if !self.silent {
-                    // Counted from the moment that the caller is ready for more: a slow reader
-                    // is not the server's silence.
-                    self.silent = true;
-                    let until = Instant::now() + self.call.admitted.response.idle_timeout;
-                    self.silence.as_mut().reset(until);
+                if !self.is_idle {
+                    // The timeout starts when the caller is ready for more data, so a slow
+                    // reader doesn't count as an idle server.
+                    self.is_idle = true;
+                    let timeout_at = Instant::now() + self.call.admitted.response.idle_timeout;
+                    self.idle_timer.as_mut().reset(timeout_at);
                 }
-                ready!(self.silence.as_mut().poll(cx));
-                Poll::Ready(Part::Broken("the server fell silent"))
+                ready!(self.idle_timer.as_mut().poll(cx));
+                Poll::Ready(NextChunk::Failed(
+                    "the server sent no data within the idle timeout",
+                ))
             }
         }
     }
 }
 
-enum Part {
+enum NextChunk {
     Chunk(Bytes),
     End,
-    Broken(&'static str),
+    Failed(&'static str),
 }
 
 impl Stream for ResponseStream {
@@ -190,33 +193,33 @@
         let this = &mut *self;
         loop {
             let result = match &mut this.source {
-                Source::Over => return Poll::Ready(None),
-                Source::Resuming(resumed) => match ready!(resumed.as_mut().poll(cx)) {
-                    Ok((slot, answer)) => {
-                        this.take_up(slot, answer);
+                Source::Finished => return Poll::Ready(None),
+                Source::Resuming(future) => match ready!(future.as_mut().poll(cx)) {
+                    Ok((slot, response)) => {
+                        this.continue_with(slot, response);
                         Ok(())
                     }
-                    Err(problem) => Err(this.cut(problem.code.title())),
+                    Err(problem) => Err(this.abort(problem.code.title())),
                 },
-                Source::Chunks(_) => match ready!(this.next_part(cx)) {
-                    Part::Chunk(chunk) => match this.pass(chunk) {
+                Source::Chunks(_) => match ready!(this.poll_chunk(cx)) {
+                    NextChunk::Chunk(chunk) => match this.filter_chunk(chunk) {
                         Ok(chunk) if chunk.is_empty() => Ok(()),
                         Ok(chunk) => return Poll::Ready(Some(Ok(chunk))),
-                        Err(why) => this.broken(why),
+                        Err(reason) => this.interrupted(reason),
                     },
-                    Part::End if this.whole() => {
-                        this.settle(0, Outcome::Ran);
-                        this.source = Source::Over;
+                    NextChunk::End if this.is_complete() => {
+                        this.finish_attempt(0, Outcome::Ran);
+                        this.source = Source::Finished;
                         Ok(())
                     }
-                    // The server said all and then broke the connection.
-                    Part::Broken(_) if this.done && this.whole() => {
-                        this.settle(0, Outcome::Ran);
-                        this.source = Source::Over;
+                    // The response was complete before the connection failed.
+                    NextChunk::Failed(_) if this.requires_last_line && this.is_complete() => {
+                        this.finish_attempt(0, Outcome::Ran);
+                        this.source = Source::Finished;
                         Ok(())
                     }
-                    Part::End => this.broken("the answer ended without its last line"),
-                    Part::Broken(why) => this.broken(why),
+                    NextChunk::End => this.interrupted("the response ended without its last line"),
+                    NextChunk::Failed(reason) => this.interrupted(reason),
                 },
             };
             if let Err(error) = result {
@@ -228,16 +231,17 @@
 
 impl Drop for ResponseStream {
     fn drop(&mut self) {
-        // The caller went away; dropping the source closes the connection, which cancels the call.
-        self.settle(Code::UpstreamFailed.number(), Outcome::Unknown);
+        // The caller disconnected. Dropping the source closes the server's connection, which cancels
+        // the call.
+        self.finish_attempt(Code::UpstreamFailed.number(), Outcome::Unknown);
     }
 }
 
-/// Asks for the rest of an answer, in a slot of its own.
-async fn resume(fleet: Arc<Fleet>, call: Call) -> Resumed {
-    let mut tried = AttemptGuard::new(&fleet, &call, acquire_slot(&fleet, &call).await?);
-    let problem = match attempt(&fleet, &call, tried.slot(), false).await {
-        Ok(answer) if answer.status().is_success() => return Ok((tried.into_slot(), answer)),
+/// Requests the rest of a response, in a new slot.
+async fn resume(fleet: Arc<Fleet>, call: Call) -> ResumeResult {
+    let mut guard = AttemptGuard::new(&fleet, &call, acquire_slot(&fleet, &call).await?);
+    let problem = match attempt(&fleet, &call, guard.slot(), false).await {
+        Ok(response) if response.status().is_success() => return Ok((guard.into_slot(), response)),
         Ok(_) => Problem::new(Code::UpstreamFailed, Outcome::Unknown, &call.outbound.id),
         Err(problem) => problem,
     };
@@ -245,11 +249,11 @@
         code: problem.code.number(),
         outcome: problem.outcome,
     };
-    finish(&fleet, &call, tried.into_slot(), None, result);
+    finish(&fleet, &call, guard.into_slot(), None, result);
     Err(problem)
 }
 
-/// Tells whether an answer with `status` is whole only with its last line.
+/// Returns whether a response with `status` is complete only with its last line.
 pub fn requires_last_line(call: &Call, status: StatusCode) -> bool {
     call.admitted.response.completion == Completion::DoneLine
         && status.is_success()
@@ -257,39 +261,39 @@
         && call.outbound.method != Method::HEAD
 }
 
-/// The caller's answer: the server's, streamed.
+/// Builds the caller's response, which streams the server's.
 pub fn respond(
     call: Call,
     slot: SlotGuard,
-    answer: reqwest::Response,
+    upstream: reqwest::Response,
     connection: CallerConnection,
 ) -> Response {
     let mut response = Response::builder()
-        .status(answer.status())
+        .status(upstream.status())
         .header(REQUEST_ID, &*call.outbound.id)
         .finish();
-    response.headers_mut().extend(passed_on(answer.headers()));
-    let length = answer.headers().get("content-length").cloned();
+    response.headers_mut().extend(passed_on(upstream.headers()));
+    let length = upstream.headers().get("content-length").cloned();
     if let Some(length) = length {
         response.headers_mut().insert("content-length", length);
     }
-    let done = requires_last_line(&call, answer.status());
-    let resume = call.admitted.response.resume && answer.status().is_success();
-    let relayed = ResponseStream {
+    let requires_last_line = requires_last_line(&call, upstream.status());
+    let resume = call.admitted.response.resume && upstream.status().is_success();
+    let stream = ResponseStream {
         fleet: Arc::clone(connection.in_flight.fleet()),
         slot: Some(slot),
-        lines: (done || resume).then(ResponseLines::default),
-        done,
-        splice: ResumeFilter::default(),
+        lines: (requires_last_line || resume).then(ResponseLines::default),
+        requires_last_line,
+        resume_filter: ResumeFilter::default(),
         resumes: 0,
         tail: Tail::default(),
-        reported: reported_cost(&answer),
-        silence: Box::pin(sleep(call.admitted.response.idle_timeout)),
-        silent: false,
-        source: Source::Chunks(Box::pin(answer.bytes_stream())),
+        reported: reported_cost(&upstream),
+        idle_timer: Box::pin(sleep(call.admitted.response.idle_timeout)),
+        is_idle: false,
+        source: Source::Chunks(Box::pin(upstream.bytes_stream())),
         call,
         connection,
     };
-    response.set_body(Body::from_bytes_stream(relayed));
+    response.set_body(Body::from_bytes_stream(stream));
     response
 }
