--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -76,7 +76,7 @@
         return 1;
     }
     let telemetry = Telemetry::new(&settings.telemetry, &settings.contact.name);
-    let drain = settings.discovery.drain;
+    let drain = settings.discovery.drain_timeout;
     let fleet = Fleet::new(
         settings,
         Clock::system(),
@@ -166,7 +166,7 @@
 
 /// Reads the load of every server of the pools owned here.
 async fn loads(fleet: Arc<Fleet>) {
-    let mut timer = tokio::time::interval(fleet.settings.load);
+    let mut timer = tokio::time::interval(fleet.settings.load_interval);
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         timer.tick().await;
--- a/crates/hawthornmill-net/src/entry/addresses.rs
+++ b/crates/hawthornmill-net/src/entry/addresses.rs
@@ -17,7 +17,7 @@
         "addresses": addresses,
         "ttl_ms": lasting(fleet, discovery.ttl),
         "key_prefix": fresh_prefix(fleet),
-        "key_ttl_ms": lasting(fleet, discovery.keys),
+        "key_ttl_ms": lasting(fleet, discovery.key_ttl),
     })
 }
 
--- a/crates/hawthornmill-net/src/entry/admit.rs
+++ b/crates/hawthornmill-net/src/entry/admit.rs
@@ -53,7 +53,7 @@
 pub fn admit(fleet: &Fleet, request: &Request) -> Result<Admitted, Refused> {
     let now = fleet.clock.now();
     let headers = request.headers();
-    if header_bytes(headers) > fleet.settings.limits.headers {
+    if header_bytes(headers) > fleet.settings.limits.header_bytes {
         return Err((Code::HeadersTooLarge, None));
     }
     if !is_ready(fleet) {
--- a/crates/hawthornmill-net/src/entry/call.rs
+++ b/crates/hawthornmill-net/src/entry/call.rs
@@ -75,7 +75,7 @@
         let problem = Problem::not_run(code, &id).retry(come_back(fleet, &admitted));
         return refuse(fleet, &of_key(fleet, request, problem));
     }
-    let body = match body::read(body, fleet.settings.limits.body).await {
+    let body = match body::read(body, fleet.settings.limits.body_bytes).await {
         Ok(body) => body,
         Err(code) => {
             let problem = of_key(fleet, request, Problem::not_run(code, &id));
--- a/crates/hawthornmill-net/src/entry/home.rs
+++ b/crates/hawthornmill-net/src/entry/home.rs
@@ -30,7 +30,7 @@
     pub fn new(limits: &Limits) -> Self {
         Self {
             inner: Mutex::new(Inner {
-                table: KeyTable::new(limits.keys, limits.kept),
+                table: KeyTable::new(limits.max_keys, limits.kept_bytes),
                 running: BTreeMap::new(),
             }),
         }
--- a/crates/hawthornmill-net/src/entry/keyed.rs
+++ b/crates/hawthornmill-net/src/entry/keyed.rs
@@ -133,7 +133,7 @@
         let problem = Problem::new(Code::NotReady, Outcome::Unknown, &id).attempt(Outcome::NotRun);
         return Err(problem.retry(SETTLE));
     }
-    let ttl = fleet.settings.discovery.keys;
+    let ttl = fleet.settings.discovery.key_ttl;
     let own: AccountKey = (call.admitted.account, text.into());
     let deadline = call.admitted.deadline;
     let digest = digest(&call);
--- a/crates/hawthornmill-net/src/entry/status.rs
+++ b/crates/hawthornmill-net/src/entry/status.rs
@@ -15,7 +15,7 @@
 /// by the library in constant time, so the time that it takes tells nothing of the token.
 fn is_operator(fleet: &Fleet, headers: &HeaderMap) -> bool {
     let token = super::admit::bearer(headers).map(|t| blake3::hash(t.as_bytes()));
-    let known = fleet.settings.operators.map(blake3::Hash::from_bytes);
+    let known = fleet.settings.token_hash.map(blake3::Hash::from_bytes);
     token.is_some() && token == known
 }
 
--- a/crates/hawthornmill-net/src/peers/udp.rs
+++ b/crates/hawthornmill-net/src/peers/udp.rs
@@ -128,7 +128,7 @@
         };
         partners.insert(id, fresh);
     }
-    let interval = heartbeat_interval(fleet.settings.heartbeat, partners.len());
+    let interval = heartbeat_interval(fleet.settings.heartbeat_interval, partners.len());
     let (beat, silent) = fleet.view(|board| {
         let silent = |id: &&InstanceId| !board.members.is_live(**id);
         let silent: BTreeSet<InstanceId> = partners.keys().filter(silent).copied().collect();
--- a/crates/hawthornmill-net/src/settings.rs
+++ b/crates/hawthornmill-net/src/settings.rs
@@ -23,13 +23,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
     /// Bytes of a request body.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Bytes of all request headers.
-    pub headers: usize,
+    pub header_bytes: usize,
     /// Keys of calls that must not repeat.
-    pub keys: usize,
+    pub max_keys: usize,
     /// Bytes of answers kept for repeated keys.
-    pub kept: usize,
+    pub kept_bytes: usize,
 }
 
 /// What discovery promises.
@@ -38,9 +38,9 @@
     /// Time for which callers may use an answer.
     pub ttl: Duration,
     /// Time for which callers may use a key prefix.
-    pub keys: Duration,
+    pub key_ttl: Duration,
     /// Longest time that a leaving process waits for calls in flight.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
 }
 
 /// Logs, spans and metrics.
@@ -49,9 +49,9 @@
     /// Least severe level that is logged.
     pub level: log::LevelFilter,
     /// Part of the traces that begin here which is recorded.
-    pub spans: f64,
+    pub sample_ratio: f64,
     /// Time between two lines of the same metric.
-    pub metrics: Duration,
+    pub metrics_interval: Duration,
 }
 
 /// Settings of one router process.
@@ -64,9 +64,9 @@
     /// Key of the peers' frames and of key prefixes.
     pub key: [u8; 32],
     /// Time between heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Time between load readings of a server.
-    pub load: Duration,
+    pub load_interval: Duration,
     /// Durations and bounds of the decisions.
     pub tuning: Tuning,
     /// Bounds for callers.
@@ -76,7 +76,7 @@
     /// Logs, spans and metrics.
     pub telemetry: TelemetrySettings,
     /// BLAKE3 hash of the operators' token; without one the status page shows no accounts.
-    pub operators: Option<[u8; 32]>,
+    pub token_hash: Option<[u8; 32]>,
 }
 
 impl Settings {
@@ -99,13 +99,13 @@
             contact: contact(&mut reader, &pick("instance")),
             platform: platform(&mut reader, &pick("platform")),
             key: key(&mut reader, &pick("peers")),
-            heartbeat: heartbeat(&mut reader, &pick("peers")),
-            load: reader.millis(&pick("scheduling"), "load_ms", 250.0),
+            heartbeat_interval: heartbeat(&mut reader, &pick("peers")),
+            load_interval: reader.millis(&pick("scheduling"), "load_ms", 250.0),
             tuning: tuning(&mut reader, &pick("scheduling"), &pick("limits")),
             limits: limits(&mut reader, &pick("limits")),
             discovery: discovery(&mut reader, &pick("discovery")),
             telemetry: telemetry(&mut reader, &pick("telemetry")),
-            operators: operators(&mut reader, &pick("status")),
+            token_hash: operators(&mut reader, &pick("status")),
         };
         reader.finish(settings)
     }
@@ -202,10 +202,10 @@
     ];
     reader.reject_unknown_keys(section, &known);
     Limits {
-        body: count(reader, section, "body_bytes", 4_194_304.0),
-        headers: count(reader, section, "header_bytes", 16_384.0),
-        keys: count(reader, section, "keys", 200_000.0),
-        kept: count(reader, section, "kept_bytes", 67_108_864.0),
+        body_bytes: count(reader, section, "body_bytes", 4_194_304.0),
+        header_bytes: count(reader, section, "header_bytes", 16_384.0),
+        max_keys: count(reader, section, "keys", 200_000.0),
+        kept_bytes: count(reader, section, "kept_bytes", 67_108_864.0),
     }
 }
 
@@ -213,8 +213,8 @@
     reader.reject_unknown_keys(section, &["ttl_ms", "key_ttl_ms", "drain_ms"]);
     Discovery {
         ttl: reader.millis(section, "ttl_ms", 3000.0),
-        keys: reader.millis(section, "key_ttl_ms", 120_000.0),
-        drain: reader.millis(section, "drain_ms", 60_000.0),
+        key_ttl: reader.millis(section, "key_ttl_ms", 120_000.0),
+        drain_timeout: reader.millis(section, "drain_ms", 60_000.0),
     }
 }
 
@@ -222,7 +222,7 @@
     reader.reject_unknown_keys(section, &["level", "spans", "metrics_ms"]);
     TelemetrySettings {
         level: reader.parse_or(section, "level", log::LevelFilter::Info),
-        spans: reader.number_in(section, "spans", 0.0, 0.0..=1.0),
-        metrics: reader.millis(section, "metrics_ms", 10_000.0),
+        sample_ratio: reader.number_in(section, "spans", 0.0, 0.0..=1.0),
+        metrics_interval: reader.millis(section, "metrics_ms", 10_000.0),
     }
 }
--- a/crates/hawthornmill-net/src/telemetry/mod.rs
+++ b/crates/hawthornmill-net/src/telemetry/mod.rs
@@ -26,8 +26,8 @@
     /// Starts spans and metrics; logs are started by [`logs::start`].
     pub fn new(settings: &TelemetrySettings, instance: &str) -> Self {
         Self {
-            spans: Spans::new(settings.spans, instance),
-            meters: Meters::new(settings.metrics, instance),
+            spans: Spans::new(settings.sample_ratio, instance),
+            meters: Meters::new(settings.metrics_interval, instance),
             usage: Usage::default(),
         }
     }
