--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -111,7 +111,7 @@
 }
 
 fn ended(fleet: &Fleet, result: std::io::Result<()>) -> u8 {
-    let cut = fleet.flying.load(Ordering::SeqCst);
+    let cut = fleet.in_flight.load(Ordering::SeqCst);
     if cut > 0 {
         log::warn!(target: "daemon", "{cut} calls cut");
     }
@@ -132,7 +132,7 @@
             fleet.telemetry.usage.causes().observe(board, now);
             tick::tick(board, now);
         });
-        fleet.find_ready();
+        fleet.update_readiness();
     }
 }
 
@@ -220,7 +220,7 @@
         _ = int.recv() => "a second signal",
         () = tokio::time::sleep(bound) => "the longest wait is over",
     };
-    let cut = fleet.flying.load(Ordering::SeqCst);
+    let cut = fleet.in_flight.load(Ordering::SeqCst);
     log::warn!(target: "daemon", "{cut} calls cut: {why}");
     u8::from(cut > 0)
 }
@@ -228,12 +228,12 @@
 fn announce(fleet: &Fleet) {
     log::info!(target: "daemon", "instance {} leaves", fleet.settings.contact.name);
     let until = fleet.clock.now() + fleet.settings.discovery.ttl + SPREAD;
-    let _first = fleet.closing.set(until);
+    let _first = fleet.closes_at.set(until);
     fleet.feed(|board, _| {
         let me = board.me();
         board.members.set_leaving(me);
     });
-    fleet.hurry.notify_one();
+    fleet.heartbeat_now.notify_one();
 }
 
 /// Serves callers that hold old addresses for as long as discovery allowed, then refuses new calls
@@ -246,7 +246,7 @@
     // Refusals with other addresses for callers that come in the last moment: a connection that
     // waits unaccepted when the listener closes is reset, and its caller can't tell what was run.
     tokio::time::sleep(SPREAD).await;
-    while fleet.flying.load(Ordering::SeqCst) > 0 {
+    while fleet.in_flight.load(Ordering::SeqCst) > 0 {
         tokio::time::sleep(TICK).await;
     }
 }
--- a/crates/hawthornmill-net/src/entry/addresses.rs
+++ b/crates/hawthornmill-net/src/entry/addresses.rs
@@ -26,7 +26,7 @@
 /// A leaving instance is the home of the prefix that it hands out, so the answer lasts no longer.
 fn lasting(fleet: &Fleet, ttl: Duration) -> u64 {
     let left = fleet
-        .closing
+        .closes_at
         .get()
         .map(|at| at.saturating_duration_since(fleet.clock.now()));
     left.unwrap_or(ttl).min(ttl).as_millis() as u64
--- a/crates/hawthornmill-net/src/entry/call.rs
+++ b/crates/hawthornmill-net/src/entry/call.rs
@@ -30,7 +30,7 @@
 impl Flying {
     /// Counts one more call.
     pub fn new(fleet: &Arc<Fleet>) -> Self {
-        fleet.flying.fetch_add(1, Ordering::SeqCst);
+        fleet.in_flight.fetch_add(1, Ordering::SeqCst);
         Self(Arc::clone(fleet))
     }
 
@@ -42,7 +42,7 @@
 
 impl Drop for Flying {
     fn drop(&mut self) {
-        self.0.flying.fetch_sub(1, Ordering::SeqCst);
+        self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
--- a/crates/hawthornmill-net/src/entry/status.rs
+++ b/crates/hawthornmill-net/src/entry/status.rs
@@ -40,7 +40,7 @@
     }
     let out = &fleet.outgoing;
     status["ready"] = super::routes::is_ready(fleet).into();
-    status["flying"] = fleet.flying.load(Ordering::Relaxed).into();
+    status["flying"] = fleet.in_flight.load(Ordering::Relaxed).into();
     status["peer_bytes"] = out.sent.load(Ordering::Relaxed).into();
     status["peer_bytes_far"] = out.sent_far.load(Ordering::Relaxed).into();
     status["peer_dropped"] = out.dropped.load(Ordering::Relaxed).into();
--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -29,14 +29,14 @@
 const ASK_EVERY: Duration = Duration::from_millis(200);
 
 /// What a waiting request is told.
-pub type Verdict = Result<Dispatch, Code>;
+pub type DispatchResult = Result<Dispatch, Code>;
 
 /// The board and the requests that wait on it.
 #[derive(Debug)]
 pub struct Core {
     /// The blackboard.
     pub board: Blackboard,
-    waiters: BTreeMap<RequestKey, oneshot::Sender<Verdict>>,
+    waiters: BTreeMap<RequestKey, oneshot::Sender<DispatchResult>>,
 }
 
 /// Everything that one router process shares between its tasks.
@@ -69,13 +69,13 @@
     /// New calls are refused; set some time after the process began to leave.
     pub closed: AtomicBool,
     /// When new calls will be refused; set when the process begins to leave.
-    pub closing: OnceLock<Instant>,
+    pub closes_at: OnceLock<Instant>,
     /// Calls that are in flight.
-    pub flying: AtomicUsize,
+    pub in_flight: AtomicUsize,
     /// Something about this instance changed that peers should hear at once.
-    pub hurry: Notify,
+    pub heartbeat_now: Notify,
     requests: AtomicU64,
-    asked: AtomicU32,
+    probe_rounds: AtomicU32,
 }
 
 impl Fleet {
@@ -113,11 +113,11 @@
             platform: platform::Answers::default(),
             ready: AtomicBool::new(false),
             closed: AtomicBool::new(false),
-            closing: OnceLock::new(),
-            flying: AtomicUsize::new(0),
-            hurry: Notify::new(),
+            closes_at: OnceLock::new(),
+            in_flight: AtomicUsize::new(0),
+            heartbeat_now: Notify::new(),
             requests: AtomicU64::new(0),
-            asked: AtomicU32::new(0),
+            probe_rounds: AtomicU32::new(0),
         })
     }
 
@@ -212,7 +212,7 @@
     /// Finds out whether enough is known to serve; once that is so, it stays so.
     ///
     /// Until then it asks peers for their revision; [`startup::is_ready`] has the rule.
-    pub fn find_ready(&self) {
+    pub fn update_readiness(&self) {
         if self.ready.load(Ordering::Relaxed) {
             return;
         }
@@ -228,7 +228,7 @@
         }
         let round = now.duration_since(self.started).as_millis() / ASK_EVERY.as_millis();
         let round = round as u32 + 1;
-        if self.asked.fetch_max(round, Ordering::Relaxed) < round {
+        if self.probe_rounds.fetch_max(round, Ordering::Relaxed) < round {
             for peer in self.view(|board| startup::probe_targets(board, round)) {
                 self.outgoing.send(peer, Message::Probe(0));
             }
@@ -303,7 +303,7 @@
 pub struct Ticket {
     fleet: Arc<Fleet>,
     key: RequestKey,
-    receiver: oneshot::Receiver<Verdict>,
+    receiver: oneshot::Receiver<DispatchResult>,
     settled: bool,
 }
 
--- a/crates/hawthornmill-net/src/peers/inbox.rs
+++ b/crates/hawthornmill-net/src/peers/inbox.rs
@@ -178,7 +178,7 @@
             let taken = fleet.feed(|board, _| board.install(config, manifest.clone(), values));
             if taken {
                 log::info!(target: "config", "revision {revision} in force");
-                fleet.hurry.notify_one();
+                fleet.heartbeat_now.notify_one();
             }
             taken
         }
--- a/crates/hawthornmill-net/src/peers/udp.rs
+++ b/crates/hawthornmill-net/src/peers/udp.rs
@@ -109,7 +109,7 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep_until(due) => {}
-            () = fleet.hurry.notified() => {}
+            () = fleet.heartbeat_now.notified() => {}
         }
         due = tokio::time::Instant::now() + beat_all(&fleet, &mut partners, count);
         count += 1;
--- a/crates/hawthornmill-net/src/telemetry/gauges.rs
+++ b/crates/hawthornmill-net/src/telemetry/gauges.rs
@@ -17,7 +17,7 @@
         o.observe(f.view(|b| b.config.revision), &[]);
     });
     gauge(fleet, "in_flight", |f, o| {
-        o.observe(f.flying.load(Ordering::Relaxed) as u64, &[]);
+        o.observe(f.in_flight.load(Ordering::Relaxed) as u64, &[]);
     });
     gauge(fleet, "stale", |f, o| {
         o.observe(f.view(|b| u64::from(b.stale_since.is_some())), &[]);
