--- a/crates/hawthornmill-net/src/entry/status.rs
+++ b/crates/hawthornmill-net/src/entry/status.rs
@@ -41,10 +41,10 @@
     let out = &fleet.outgoing;
     status["ready"] = super::routes::is_ready(fleet).into();
     status["flying"] = fleet.in_flight.load(Ordering::Relaxed).into();
-    status["peer_bytes"] = out.sent.load(Ordering::Relaxed).into();
-    status["peer_bytes_far"] = out.sent_far.load(Ordering::Relaxed).into();
-    status["peer_dropped"] = out.dropped.load(Ordering::Relaxed).into();
-    status["peer_refused"] = out.refused.load(Ordering::Relaxed).into();
+    status["peer_bytes"] = out.sent_bytes.load(Ordering::Relaxed).into();
+    status["peer_bytes_far"] = out.cross_region_bytes.load(Ordering::Relaxed).into();
+    status["peer_dropped"] = out.dropped_messages.load(Ordering::Relaxed).into();
+    status["peer_refused"] = out.rejected_frames.load(Ordering::Relaxed).into();
     status["keys"] = fleet.home.lock().table.len().into();
     status
 }
--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -63,7 +63,7 @@
     /// Logs, spans and metrics.
     pub telemetry: Telemetry,
     /// What is known of the platform's answers.
-    pub platform: platform::Answers,
+    pub platform: platform::PlatformStatus,
     /// Enough is known to serve.
     pub ready: AtomicBool,
     /// New calls are refused; set some time after the process began to leave.
@@ -110,7 +110,7 @@
             connections: Connections::default(),
             home,
             telemetry,
-            platform: platform::Answers::default(),
+            platform: platform::PlatformStatus::default(),
             ready: AtomicBool::new(false),
             closed: AtomicBool::new(false),
             closes_at: OnceLock::new(),
--- a/crates/hawthornmill-net/src/peers/inbox.rs
+++ b/crates/hawthornmill-net/src/peers/handler.rs
@@ -19,8 +19,12 @@
 /// Counts a refused frame and logs it, the more seldom the more there are.
 ///
 /// Anybody who reaches the port can send garbage; a line for each frame would fill the logs.
-pub fn refuse(fleet: &Fleet, error: FrameError) {
-    let count = fleet.outgoing.refused.fetch_add(1, Ordering::Relaxed) + 1;
+pub fn reject_frame(fleet: &Fleet, error: FrameError) {
+    let count = fleet
+        .outgoing
+        .rejected_frames
+        .fetch_add(1, Ordering::Relaxed)
+        + 1;
     if count.is_power_of_two() {
         let code = error.code().number();
         log::warn!(target: "peers", "frame dropped, {count} so far: code {code} {error}");
@@ -28,7 +32,7 @@
 }
 
 /// Takes one authenticated frame.
-pub fn take(fleet: &Arc<Fleet>, frame: Frame) {
+pub fn handle_frame(fleet: &Arc<Fleet>, frame: Frame) {
     let (from, incarnation) = (frame.sender, frame.incarnation);
     match frame.message {
         Message::Heartbeat(heartbeat) => hear(fleet, from, incarnation, heartbeat),
@@ -76,7 +80,7 @@
         (follows, follows || !board.roster.is_known())
     });
     if follows {
-        fleet.platform.set_mate_read(fleet.clock.now());
+        fleet.platform.record_reader_contact(fleet.clock.now());
     }
     if list {
         let have = fleet.view(|board| board.roster.digest());
--- a/crates/hawthornmill-net/src/peers/mod.rs
+++ b/crates/hawthornmill-net/src/peers/mod.rs
@@ -4,7 +4,7 @@
 //! interval. Demand, grants, holdings and configuration go over TCP ([`tcp`]), one connection from
 //! each sender to each receiver, opened at need. All frames carry a keyed MAC.
 
-pub mod inbox;
+pub mod handler;
 pub mod tcp;
 pub mod udp;
 
@@ -22,19 +22,19 @@
 /// Where messages to peers go out.
 #[derive(Debug, Default)]
 pub struct Outgoing {
-    links: Mutex<BTreeMap<InstanceId, mpsc::Sender<Message>>>,
-    wishes: Mutex<Vec<(InstanceId, mpsc::Receiver<Message>)>>,
+    connections: Mutex<BTreeMap<InstanceId, mpsc::Sender<Message>>>,
+    unopened: Mutex<Vec<(InstanceId, mpsc::Receiver<Message>)>>,
     /// Wakes the task that opens connections.
-    pub opened: tokio::sync::Notify,
+    pub connect_requested: tokio::sync::Notify,
     datagrams: Mutex<Option<mpsc::Sender<(InstanceId, Message)>>>,
     /// Bytes sent to peers, UDP and TCP.
-    pub sent: AtomicU64,
+    pub sent_bytes: AtomicU64,
     /// Bytes sent to peers in other regions.
-    pub sent_far: AtomicU64,
+    pub cross_region_bytes: AtomicU64,
     /// Messages dropped for want of room.
-    pub dropped: AtomicU64,
+    pub dropped_messages: AtomicU64,
     /// Frames of peers that were refused.
-    pub refused: AtomicU64,
+    pub rejected_frames: AtomicU64,
 }
 
 impl Outgoing {
@@ -46,7 +46,7 @@
             self.send_stream(to, message)
         };
         if !sent {
-            self.dropped.fetch_add(1, Ordering::Relaxed);
+            self.dropped_messages.fetch_add(1, Ordering::Relaxed);
         }
     }
 
@@ -58,19 +58,19 @@
     }
 
     fn send_stream(&self, to: InstanceId, message: Message) -> bool {
-        let mut links = lock(&self.links);
-        let link = links.entry(to).or_insert_with(|| {
+        let mut connections = lock(&self.connections);
+        let connection = connections.entry(to).or_insert_with(|| {
             let (sender, receiver) = mpsc::channel(QUEUE);
-            lock(&self.wishes).push((to, receiver));
-            self.opened.notify_one();
+            lock(&self.unopened).push((to, receiver));
+            self.connect_requested.notify_one();
             sender
         });
-        link.try_send(message).is_ok()
+        connection.try_send(message).is_ok()
     }
 
     /// Connections that were asked for and not opened yet.
-    pub fn take_wishes(&self) -> Vec<(InstanceId, mpsc::Receiver<Message>)> {
-        std::mem::take(&mut lock(&self.wishes))
+    pub fn take_unopened(&self) -> Vec<(InstanceId, mpsc::Receiver<Message>)> {
+        std::mem::take(&mut lock(&self.unopened))
     }
 
     /// Sets where datagrams go.
@@ -80,14 +80,15 @@
 
     /// Forgets the connection to an instance that is gone for good.
     pub fn close(&self, to: InstanceId) {
-        lock(&self.links).remove(&to);
+        lock(&self.connections).remove(&to);
     }
 
     /// Counts bytes that left.
-    pub fn count(&self, bytes: usize, far: bool) {
-        self.sent.fetch_add(bytes as u64, Ordering::Relaxed);
-        if far {
-            self.sent_far.fetch_add(bytes as u64, Ordering::Relaxed);
+    pub fn add_sent_bytes(&self, bytes: usize, cross_region: bool) {
+        self.sent_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
+        if cross_region {
+            self.cross_region_bytes
+                .fetch_add(bytes as u64, Ordering::Relaxed);
         }
     }
 }
--- a/crates/hawthornmill-net/src/peers/tcp.rs
+++ b/crates/hawthornmill-net/src/peers/tcp.rs
@@ -15,7 +15,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-use super::inbox;
+use super::handler;
 use crate::fleet::Fleet;
 
 const FIRST_WAIT: Duration = Duration::from_millis(20);
@@ -57,14 +57,14 @@
             Ok(Some(frame)) => frame,
             Ok(None) => return,
             Err(error) => {
-                inbox::refuse(&fleet, error);
+                handler::reject_frame(&fleet, error);
                 return;
             }
         };
         match opener.open(&frame) {
-            Ok(frame) => inbox::take(&fleet, frame),
+            Ok(frame) => handler::handle_frame(&fleet, frame),
             Err(error) => {
-                inbox::refuse(&fleet, error);
+                handler::reject_frame(&fleet, error);
                 return;
             }
         }
@@ -73,10 +73,10 @@
 
 async fn open(fleet: Arc<Fleet>) {
     loop {
-        for (to, queue) in fleet.outgoing.take_wishes() {
+        for (to, queue) in fleet.outgoing.take_unopened() {
             tokio::spawn(keep(Arc::clone(&fleet), to, queue));
         }
-        fleet.outgoing.opened.notified().await;
+        fleet.outgoing.connect_requested.notified().await;
     }
 }
 
@@ -135,7 +135,7 @@
     nonce: u64,
 ) {
     let me = fleet.view(hawthornmill::blackboard::Blackboard::me);
-    let far = fleet.view(|board| {
+    let cross_region = fleet.view(|board| {
         let there = board.members.map.get(&to).map(|m| m.region);
         there != Some(board.members.own().region)
     });
@@ -158,7 +158,7 @@
         if writer.write_all(&bytes).await.is_err() {
             return;
         }
-        fleet.outgoing.count(bytes.len(), far);
+        fleet.outgoing.add_sent_bytes(bytes.len(), cross_region);
     }
 }
 
--- a/crates/hawthornmill-net/src/peers/udp.rs
+++ b/crates/hawthornmill-net/src/peers/udp.rs
@@ -14,7 +14,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-use super::inbox;
+use super::handler;
 use crate::fleet::Fleet;
 
 /// Heartbeats between two that carry the sender's contact to everybody.
@@ -44,7 +44,7 @@
     let me = fleet.view(hawthornmill::blackboard::Blackboard::me);
     let mut sealer = Sealer::new(fleet.settings.key, me, fleet.incarnation, 0);
     while let Some((to, message)) = queue.recv().await {
-        let Some((address, far)) = address(&fleet, to) else {
+        let Some((address, cross_region)) = address(&fleet, to) else {
             continue;
         };
         let Ok(frame) = sealer.seal_on(to.0, &message) else {
@@ -54,7 +54,7 @@
             log::warn!(target: "peers", "datagram of {} bytes over one packet", frame.len());
         }
         if socket.send_to(&frame, address).await.is_ok() {
-            fleet.outgoing.count(frame.len(), far);
+            fleet.outgoing.add_sent_bytes(frame.len(), cross_region);
         }
     }
 }
@@ -62,8 +62,8 @@
 fn address(fleet: &Fleet, to: InstanceId) -> Option<(SocketAddr, bool)> {
     fleet.view(|board| {
         let member = board.members.map.get(&to)?;
-        let far = member.region != board.members.own().region;
-        Some((member.contact.peer.parse().ok()?, far))
+        let cross_region = member.region != board.members.own().region;
+        Some((member.contact.peer.parse().ok()?, cross_region))
     })
 }
 
@@ -78,8 +78,8 @@
             continue;
         };
         match opener.open(&buffer[..length]) {
-            Ok(frame) => inbox::take(&fleet, frame),
-            Err(error) => inbox::refuse(&fleet, error),
+            Ok(frame) => handler::handle_frame(&fleet, frame),
+            Err(error) => handler::reject_frame(&fleet, error),
         }
     }
 }
@@ -119,7 +119,7 @@
 /// Sends one heartbeat to everybody who needs one and returns the time until the next.
 fn beat_all(fleet: &Fleet, partners: &mut Partners, count: u64) -> Duration {
     let now = fleet.clock.now();
-    let platform = fleet.platform.is_answered(now);
+    let platform = fleet.platform.is_reachable(now);
     let needed = fleet.view(|board| heartbeat_targets(board, count as u32));
     for id in needed {
         let fresh = Partner {
--- a/crates/hawthornmill-net/src/platform.rs
+++ b/crates/hawthornmill-net/src/platform.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 
 use crate::fleet::Fleet;
-use crate::peers::inbox::install;
+use crate::peers::handler::install;
 
 /// Time for which a watch may wait at the platform.
 const WATCH: Duration = Duration::from_secs(10);
@@ -33,7 +33,7 @@
 
 /// What is known of the platform's answers.
 #[derive(Debug, Default)]
-pub struct Answers(Mutex<Known>);
+pub struct PlatformStatus(Mutex<Known>);
 
 #[derive(Debug, Default)]
 struct Known {
@@ -42,23 +42,23 @@
     newest: u64,
 }
 
-impl Answers {
+impl PlatformStatus {
     fn lock(&self) -> MutexGuard<'_, Known> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The reader that this instance follows was answered by the platform.
-    pub fn set_mate_read(&self, now: Instant) {
+    pub fn record_reader_contact(&self, now: Instant) {
         self.lock().mate = Some(now);
     }
 
     /// Tells whether the platform answered this instance in the last seconds.
-    pub fn is_answered(&self, now: Instant) -> bool {
+    pub fn is_reachable(&self, now: Instant) -> bool {
         let own = self.lock().own;
         own.is_some_and(|at| now.duration_since(at) < ANSWERED)
     }
 
-    fn is_mate_silent(&self, now: Instant) -> bool {
+    fn is_reader_silent(&self, now: Instant) -> bool {
         let mate = self.lock().mate;
         mate.is_none_or(|at| now.duration_since(at) > FALLBACK)
     }
@@ -130,7 +130,7 @@
 }
 
 fn role(fleet: &Fleet, knows: impl Fn(&Blackboard) -> bool) -> Role {
-    let silent = fleet.platform.is_mate_silent(fleet.clock.now());
+    let silent = fleet.platform.is_reader_silent(fleet.clock.now());
     fleet.view(|board| {
         let readers = placement::readers(&board.members, board.members.own().domain);
         if readers.contains(&board.me()) {
--- a/crates/hawthornmill-net/src/telemetry/gauges.rs
+++ b/crates/hawthornmill-net/src/telemetry/gauges.rs
@@ -31,10 +31,14 @@
     gauge(fleet, "waiting", |f, o| f.view(|b| waiting(b, o)));
     gauge(fleet, "slots_granted", |f, o| slots(f, o, false));
     gauge(fleet, "slots_idle", |f, o| slots(f, o, true));
-    counter(fleet, "peer_bytes", |f| &f.outgoing.sent);
-    counter(fleet, "peer_bytes_far", |f| &f.outgoing.sent_far);
-    counter(fleet, "peer_messages_dropped", |f| &f.outgoing.dropped);
-    counter(fleet, "peer_frames_refused", |f| &f.outgoing.refused);
+    counter(fleet, "peer_bytes", |f| &f.outgoing.sent_bytes);
+    counter(fleet, "peer_bytes_far", |f| &f.outgoing.cross_region_bytes);
+    counter(fleet, "peer_messages_dropped", |f| {
+        &f.outgoing.dropped_messages
+    });
+    counter(fleet, "peer_frames_refused", |f| {
+        &f.outgoing.rejected_frames
+    });
 }
 
 fn gauge(
