--- a/crates/hawthornmill-net/src/entry/call.rs
+++ b/crates/hawthornmill-net/src/entry/call.rs
@@ -17,7 +17,7 @@
 use super::problem::Problem;
 use super::stream::{self, Delivery};
 use super::{addresses, body, keyed, record, retries};
-use crate::fleet::{Fleet, SlotGuard, Ticket};
+use crate::fleet::{Fleet, QueuedRequest, SlotGuard};
 use crate::upstream::{Outbound, SendError, passed_on};
 
 /// Answer header with which a server says that it is about to go.
@@ -188,12 +188,12 @@
 pub(super) async fn wait(
     fleet: &Arc<Fleet>,
     call: &Call,
-    ticket: Result<Ticket, Code>,
+    queued: Result<QueuedRequest, Code>,
 ) -> Result<SlotGuard, Problem> {
     let span = fleet.telemetry.spans.child(&call.span, "wait");
     let since = fleet.clock.now();
-    let result = match ticket {
-        Ok(ticket) => ticket.wait().await,
+    let result = match queued {
+        Ok(queued) => queued.wait().await,
         Err(code) => Err(code),
     };
     drop(span);
@@ -275,7 +275,7 @@
 
 /// What a call that held `slot` until now costs.
 pub fn cost_of(fleet: &Fleet, call: &Call, slot: &SlotGuard, reported: Option<f64>) -> f64 {
-    let held = fleet.clock.now().duration_since(slot.taken);
+    let held = fleet.clock.now().duration_since(slot.acquired_at);
     match (call.admitted.cost, reported) {
         (CostKind::Reported, Some(cost)) => cost,
         (CostKind::Time, _) => held.as_secs_f64() * 1000.0,
--- a/crates/hawthornmill-net/src/entry/record.rs
+++ b/crates/hawthornmill-net/src/entry/record.rs
@@ -92,7 +92,7 @@
     };
     slot.set_cost(cost);
     count(fleet, finished.code);
-    let waited = slot.taken.duration_since(slot.dispatch.arrived);
+    let waited = slot.acquired_at.duration_since(slot.dispatch.arrived);
     let meters = &fleet.telemetry.meters;
     meters.waited.record(waited.as_secs_f64() * 1000.0, &[]);
     meters.cost.record(cost, &[]);
@@ -104,13 +104,13 @@
     record.cost = cost;
     record.estimated = !not_run && reported.is_none() && call.admitted.cost == CostKind::Reported;
     record.waited_ms = waited.as_secs_f64() * 1000.0;
-    record.held_ms = millis(slot.taken, fleet.clock.now());
+    record.held_ms = millis(slot.acquired_at, fleet.clock.now());
     record.outcome = finished.outcome.name().into();
     record.code = finished.code;
     record.reason = if not_run {
         Reason::ServerFailed
     } else {
-        waited_for(fleet, call, slot.dispatch.arrived, slot.taken)
+        waited_for(fleet, call, slot.dispatch.arrived, slot.acquired_at)
     };
     drop(slot);
     fleet
--- a/crates/hawthornmill-net/src/entry/retries.rs
+++ b/crates/hawthornmill-net/src/entry/retries.rs
@@ -72,8 +72,8 @@
             avoid.push(server);
         }
         tokio::time::sleep(pause).await;
-        let ticket = fleet.requeue(arrival(call), call.admitted.arrived, avoid.clone());
-        held = Tried::new(fleet, call, wait(fleet, call, ticket).await?);
+        let queued = fleet.requeue(arrival(call), call.admitted.arrived, avoid.clone());
+        held = Tried::new(fleet, call, wait(fleet, call, queued).await?);
     }
     unreachable!("the number of tries is bounded by the decision")
 }
--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -33,7 +33,7 @@
 
 /// The board and the requests that wait on it.
 #[derive(Debug)]
-pub struct Core {
+pub struct SharedState {
     /// The blackboard.
     pub board: Blackboard,
     waiters: BTreeMap<RequestKey, oneshot::Sender<DispatchResult>>,
@@ -50,7 +50,7 @@
     pub started: Instant,
     /// This process run.
     pub incarnation: Incarnation,
-    core: Mutex<Core>,
+    state: Mutex<SharedState>,
     retries: Mutex<Retries>,
     /// Messages to peers.
     pub outgoing: Outgoing,
@@ -74,7 +74,7 @@
     pub in_flight: AtomicUsize,
     /// Something about this instance changed that peers should hear at once.
     pub heartbeat_now: Notify,
-    requests: AtomicU64,
+    next_request: AtomicU64,
     probe_rounds: AtomicU32,
 }
 
@@ -100,7 +100,7 @@
             clock,
             started: now,
             incarnation,
-            core: Mutex::new(Core {
+            state: Mutex::new(SharedState {
                 board,
                 waiters: BTreeMap::new(),
             }),
@@ -116,15 +116,15 @@
             closes_at: OnceLock::new(),
             in_flight: AtomicUsize::new(0),
             heartbeat_now: Notify::new(),
-            requests: AtomicU64::new(0),
+            next_request: AtomicU64::new(0),
             probe_rounds: AtomicU32::new(0),
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Core> {
+    fn lock(&self) -> MutexGuard<'_, SharedState> {
         // A panic under the lock leaves a board whose invariants hold per field; serving on is
         // better for callers than refusing everything.
-        self.core.lock().unwrap_or_else(PoisonError::into_inner)
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Reads the board.
@@ -135,25 +135,25 @@
     /// Feeds an event to the board, runs a turn and hands out what it left.
     pub fn feed<T>(&self, event: impl FnOnce(&mut Blackboard, Instant) -> T) -> T {
         let now = self.clock.now();
-        let mut core = self.lock();
+        let mut state = self.lock();
         // After a pause, a message may be taken before the next tick.
-        tick::detect_pause(&mut core.board, now);
-        let result = event(&mut core.board, now);
-        self.run(&mut core, now);
+        tick::detect_pause(&mut state.board, now);
+        let result = event(&mut state.board, now);
+        self.run_turn(&mut state, now);
         result
     }
 
-    fn run(&self, core: &mut Core, now: Instant) {
-        pools::run_due(&mut core.board, now);
+    fn run_turn(&self, state: &mut SharedState, now: Instant) {
+        pools::run_due(&mut state.board, now);
         // A dispatch whose caller is gone gives its slot back, which may lead to another.
-        while !core.board.dispatches.is_empty() || !core.board.rejections.is_empty() {
-            hand_out(core, now);
-            pools::run_due(&mut core.board, now);
+        while !state.board.dispatches.is_empty() || !state.board.rejections.is_empty() {
+            notify_waiters(state, now);
+            pools::run_due(&mut state.board, now);
         }
-        for event in std::mem::take(&mut core.board.events) {
-            log_event(&core.board, event);
+        for event in std::mem::take(&mut state.board.events) {
+            log_event(&state.board, event);
         }
-        for (to, message) in core.board.outbox.drain(..) {
+        for (to, message) in state.board.outbox.drain(..) {
             self.outgoing.send(to, message);
         }
     }
@@ -168,7 +168,7 @@
     ///
     /// # Errors
     /// A code when there is no room; the request was not run.
-    pub fn enqueue(self: &Arc<Self>, arrival: entry::Arrival) -> Result<Ticket, Code> {
+    pub fn enqueue(self: &Arc<Self>, arrival: entry::Arrival) -> Result<QueuedRequest, Code> {
         self.queue(|board, now| entry::enqueue(board, arrival, now))
     }
 
@@ -181,22 +181,22 @@
         arrival: entry::Arrival,
         arrived: Instant,
         avoid: SmallVec<[ServerId; 2]>,
-    ) -> Result<Ticket, Code> {
+    ) -> Result<QueuedRequest, Code> {
         self.queue(|board, _| Ok(entry::requeue(board, arrival, arrived, avoid)))
     }
 
     fn queue(
         self: &Arc<Self>,
         put: impl FnOnce(&mut Blackboard, Instant) -> Result<RequestKey, Code>,
-    ) -> Result<Ticket, Code> {
+    ) -> Result<QueuedRequest, Code> {
         let now = self.clock.now();
-        let mut core = self.lock();
-        tick::detect_pause(&mut core.board, now);
-        let key = put(&mut core.board, now)?;
+        let mut state = self.lock();
+        tick::detect_pause(&mut state.board, now);
+        let key = put(&mut state.board, now)?;
         let (sender, receiver) = oneshot::channel();
-        core.waiters.insert(key, sender);
-        self.run(&mut core, now);
-        Ok(Ticket {
+        state.waiters.insert(key, sender);
+        self.run_turn(&mut state, now);
+        Ok(QueuedRequest {
             fleet: Arc::clone(self),
             key,
             receiver,
@@ -237,16 +237,16 @@
 
     /// A fresh request id, unique over all process runs.
     pub fn request_id(&self) -> Box<str> {
-        let number = self.requests.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         format!(
             "{:x}-{:x}-{number:x}",
-            self.settings_id(),
+            self.instance_prefix(),
             self.incarnation.0
         )
         .into()
     }
 
-    fn settings_id(&self) -> u64 {
+    fn instance_prefix(&self) -> u64 {
         InstanceId::of(&self.settings.contact.name).0 >> 40
     }
 }
@@ -279,19 +279,19 @@
     names.unwrap_or_default()
 }
 
-fn hand_out(core: &mut Core, now: Instant) {
-    for dispatch in std::mem::take(&mut core.board.dispatches) {
+fn notify_waiters(state: &mut SharedState, now: Instant) {
+    for dispatch in std::mem::take(&mut state.board.dispatches) {
         let (pool, grant) = (dispatch.pool, dispatch.grant);
-        let taken = core
+        let taken = state
             .waiters
             .remove(&dispatch.request)
             .is_some_and(|w| w.send(Ok(dispatch)).is_ok());
         if !taken {
-            entry::finish(&mut core.board, pool, grant, 0.0, false, now);
+            entry::finish(&mut state.board, pool, grant, 0.0, false, now);
         }
     }
-    for (request, code) in std::mem::take(&mut core.board.rejections) {
-        if let Some(waiter) = core.waiters.remove(&request) {
+    for (request, code) in std::mem::take(&mut state.board.rejections) {
+        if let Some(waiter) = state.waiters.remove(&request) {
             // The caller may have gone away; then nobody needs the answer.
             let _gone = waiter.send(Err(code));
         }
@@ -300,14 +300,14 @@
 
 /// A request's place in its queue; dropping it takes the request out.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct QueuedRequest {
     fleet: Arc<Fleet>,
     key: RequestKey,
     receiver: oneshot::Receiver<DispatchResult>,
     settled: bool,
 }
 
-impl Ticket {
+impl QueuedRequest {
     /// Waits for a slot.
     ///
     /// # Errors
@@ -320,7 +320,7 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         if self.settled {
             return;
@@ -345,7 +345,7 @@
     /// What was dispatched.
     pub dispatch: Dispatch,
     /// When the slot was taken.
-    pub taken: Instant,
+    pub acquired_at: Instant,
     cost: f64,
     failed: bool,
     bytes: usize,
@@ -355,7 +355,7 @@
     fn new(fleet: &Arc<Fleet>, dispatch: Dispatch) -> Self {
         Self {
             fleet: Arc::clone(fleet),
-            taken: fleet.clock.now(),
+            acquired_at: fleet.clock.now(),
             dispatch,
             cost: 0.0,
             failed: false,
@@ -385,14 +385,14 @@
     }
 
     /// Pool and grant of the slot.
-    pub fn place(&self) -> (PoolId, GrantId) {
+    pub fn pool_and_grant(&self) -> (PoolId, GrantId) {
         (self.dispatch.pool, self.dispatch.grant)
     }
 }
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        let (pool, grant) = self.place();
+        let (pool, grant) = self.pool_and_grant();
         let (cost, failed, bytes) = (self.cost, self.failed, self.bytes);
         self.fleet.feed(|board, now| {
             cross_region::spend(board, pool, bytes);
