--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Joins the parts of a router into one process.
+//! Startup, periodic tasks and graceful shutdown of a router process.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -25,12 +25,12 @@
 use crate::telemetry::usage::MARK;
 use crate::telemetry::{Telemetry, gauges, logs};
 
-const TICK: Duration = Duration::from_millis(20);
-/// Time in which every instance hears that this one leaves.
-const SPREAD: Duration = Duration::from_millis(500);
-const SWEEP: Duration = Duration::from_secs(1);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time within which every instance learns that this one is leaving.
+const LEAVE_PROPAGATION: Duration = Duration::from_millis(500);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs a router until it is told to leave; the result is the process's exit code.
+/// Runs a router until a signal stops it; returns the exit code of the process.
 pub fn main(config: &Path) -> u8 {
     let settings = match Settings::load(config) {
         Ok(settings) => settings,
@@ -43,7 +43,7 @@
     match runtime {
         Ok(runtime) => runtime.block_on(run(settings)),
         Err(error) => {
-            eprintln!("the runtime can't start: {error}");
+            eprintln!("cannot start the async runtime: {error}");
             1
         }
     }
@@ -72,11 +72,11 @@
         Err(faults) => return report(&faults),
     };
     if logs::start(settings.telemetry.level).is_err() {
-        eprintln!("logging can't start");
+        eprintln!("cannot start logging");
         return 1;
     }
     let telemetry = Telemetry::new(&settings.telemetry, &settings.contact.name);
-    let drain = settings.discovery.drain_timeout;
+    let drain_timeout = settings.discovery.drain_timeout;
     let fleet = Fleet::new(
         settings,
         Clock::system(),
@@ -89,46 +89,46 @@
     udp::start(&fleet, sockets.udp);
     tcp::start(&fleet, sockets.tcp);
     platform::start(&fleet);
-    tokio::spawn(ticks(Arc::clone(&fleet)));
-    tokio::spawn(loads(Arc::clone(&fleet)));
-    tokio::spawn(sweep(Arc::clone(&fleet)));
-    tokio::spawn(marks(Arc::clone(&fleet)));
+    tokio::spawn(run_ticks(Arc::clone(&fleet)));
+    tokio::spawn(poll_loads(Arc::clone(&fleet)));
+    tokio::spawn(remove_expired(Arc::clone(&fleet)));
+    tokio::spawn(write_checkpoints(Arc::clone(&fleet)));
     let stop = Arc::new(Notify::new());
-    let leave = leave(Arc::clone(&fleet), Arc::clone(&stop), drain);
+    let shutdown = shut_down(Arc::clone(&fleet), Arc::clone(&stop), drain_timeout);
     let server = Server::new_with_acceptor(fleet.connections.acceptor(sockets.http));
     let stopped = async move { stop.notified().await };
-    // The last bytes of an answer may still be in the process when its call is settled, and a slow
-    // reader takes them in its own time. So connections get the whole bound to end, not a moment.
-    let served = server.run_with_graceful_shutdown(routes(&fleet), stopped, Some(drain));
+    // When a call finishes, the last bytes of its response may still be buffered, and a slow caller
+    // takes long to read them. Connections therefore get the whole drain_timeout timeout to close.
+    let served = server.run_with_graceful_shutdown(routes(&fleet), stopped, Some(drain_timeout));
     let code = tokio::select! {
-        code = leave => code,
-        result = served => ended(&fleet, result),
+        code = shutdown => code,
+        result = served => exit_code(&fleet, result),
     };
     log::info!(target: "daemon", "instance {} ends", fleet.settings.contact.name);
-    mark(&fleet, true);
+    write_checkpoint(&fleet, true);
     fleet.telemetry.flush();
     code
 }
 
-fn ended(fleet: &Fleet, result: std::io::Result<()>) -> u8 {
+fn exit_code(fleet: &Fleet, result: std::io::Result<()>) -> u8 {
     let cut = fleet.in_flight.load(Ordering::SeqCst);
     if cut > 0 {
         log::warn!(target: "daemon", "{cut} calls cut");
     }
     if let Err(error) = result {
-        log::error!(target: "daemon", "HTTP server ended: {error}");
+        log::error!(target: "daemon", "HTTP server failed: {error}");
         return 1;
     }
     u8::from(cut > 0)
 }
 
-async fn ticks(fleet: Arc<Fleet>) {
-    let mut timer = tokio::time::interval(TICK);
+async fn run_ticks(fleet: Arc<Fleet>) {
+    let mut timer = tokio::time::interval(TICK_INTERVAL);
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         timer.tick().await;
         fleet.feed(|board, now| {
-            // Before the tick, which forgets what it settles.
+            // This must come first, since the tick removes the state of what it completes.
             fleet.telemetry.usage.causes().observe(board, now);
             tick::tick(board, now);
         });
@@ -136,22 +136,22 @@
     }
 }
 
-async fn marks(fleet: Arc<Fleet>) {
+async fn write_checkpoints(fleet: Arc<Fleet>) {
     let mut timer = tokio::time::interval(MARK);
     loop {
         timer.tick().await;
-        mark(&fleet, false);
+        write_checkpoint(&fleet, false);
     }
 }
 
-fn mark(fleet: &Fleet, end: bool) {
+fn write_checkpoint(fleet: &Fleet, end: bool) {
     let name = &fleet.settings.contact.name;
     fleet.telemetry.usage.mark(name, fleet.incarnation.0, end);
 }
 
-/// Forgets what nobody can ask for any more.
-async fn sweep(fleet: Arc<Fleet>) {
-    let mut timer = tokio::time::interval(SWEEP);
+/// Removes expired keys, and retry budgets of services and servers that are no longer configured.
+async fn remove_expired(fleet: Arc<Fleet>) {
+    let mut timer = tokio::time::interval(CLEANUP_INTERVAL);
     loop {
         timer.tick().await;
         let now = fleet.clock.now();
@@ -164,8 +164,8 @@
     }
 }
 
-/// Reads the load of every server of the pools owned here.
-async fn loads(fleet: Arc<Fleet>) {
+/// Polls the load of every server in the pools that this instance owns.
+async fn poll_loads(fleet: Arc<Fleet>) {
     let mut timer = tokio::time::interval(fleet.settings.load_interval);
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -175,8 +175,8 @@
             board
                 .owned_pools
                 .iter()
-                .filter(|(_, o)| o.active)
-                .flat_map(|(pool, o)| o.servers.keys().map(move |s| (*pool, *s)))
+                .filter(|(_, owned)| owned.active)
+                .flat_map(|(pool, owned)| owned.servers.keys().map(move |s| (*pool, *s)))
                 .filter_map(|(p, s)| Some((p, s, config.servers.get(&s)?.address.clone())))
                 .collect()
         });
@@ -194,10 +194,11 @@
     }
 }
 
-/// Waits for the signal to leave, then for the calls in flight; ends only when it cuts something.
+/// Waits for a signal, then drains calls in flight; returns only if it aborts some of them.
 ///
-/// Once nothing is in flight it tells the server to close its connections, which ends the process.
-async fn leave(fleet: Arc<Fleet>, stop: Arc<Notify>, bound: Duration) -> u8 {
+/// Once no call is in flight it tells the HTTP server to close its connections, which ends the
+/// process.
+async fn shut_down(fleet: Arc<Fleet>, stop: Arc<Notify>, timeout: Duration) -> u8 {
     let Ok(mut term) = signal(SignalKind::terminate()) else {
         return 1;
     };
@@ -208,9 +209,9 @@
         _ = term.recv() => {}
         _ = int.recv() => {}
     }
-    announce(&fleet);
+    announce_leaving(&fleet);
     let closing = async {
-        drained(&fleet).await;
+        drain(&fleet).await;
         stop.notify_one();
         std::future::pending::<()>().await;
     };
@@ -218,17 +219,17 @@
         () = closing => "",
         _ = term.recv() => "a second signal",
         _ = int.recv() => "a second signal",
-        () = tokio::time::sleep(bound) => "the longest wait is over",
+        () = tokio::time::sleep(timeout) => "drain timeout expired",
     };
     let cut = fleet.in_flight.load(Ordering::SeqCst);
     log::warn!(target: "daemon", "{cut} calls cut: {why}");
     u8::from(cut > 0)
 }
 
-fn announce(fleet: &Fleet) {
+fn announce_leaving(fleet: &Fleet) {
     log::info!(target: "daemon", "instance {} leaves", fleet.settings.contact.name);
-    let until = fleet.clock.now() + fleet.settings.discovery.ttl + SPREAD;
-    let _first = fleet.closes_at.set(until);
+    let closes_at = fleet.clock.now() + fleet.settings.discovery.ttl + LEAVE_PROPAGATION;
+    let _first = fleet.closes_at.set(closes_at);
     fleet.feed(|board, _| {
         let me = board.me();
         board.members.set_leaving(me);
@@ -236,17 +237,17 @@
     fleet.heartbeat_now.notify_one();
 }
 
-/// Serves callers that hold old addresses for as long as discovery allowed, then refuses new calls
-/// and waits for the last one in flight.
-async fn drained(fleet: &Fleet) {
-    // Other instances list this one until they hear that it leaves, so the last old list may be
-    // that much younger.
-    tokio::time::sleep(fleet.settings.discovery.ttl + SPREAD).await;
+/// Serves callers with cached addresses until the discovery TTL expires, then refuses new calls and
+/// waits for those in flight.
+async fn drain(fleet: &Fleet) {
+    // Other instances list this one until they learn that it is leaving, so the TTL of the last list
+    // that names it starts up to that much later.
+    tokio::time::sleep(fleet.settings.discovery.ttl + LEAVE_PROPAGATION).await;
     fleet.closed.store(true, Ordering::SeqCst);
-    // Refusals with other addresses for callers that come in the last moment: a connection that
-    // waits unaccepted when the listener closes is reset, and its caller can't tell what was run.
-    tokio::time::sleep(SPREAD).await;
+    // Late callers get a rejection that names other addresses. If the listener closed now, a
+    // connection not yet accepted would be reset, and its caller couldn't tell whether its call ran.
+    tokio::time::sleep(LEAVE_PROPAGATION).await;
     while fleet.in_flight.load(Ordering::SeqCst) > 0 {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
--- a/crates/hawthornmill-net/src/lib.rs
+++ b/crates/hawthornmill-net/src/lib.rs
@@ -1,18 +1,18 @@
-//! Sockets, HTTP and telemetry around the decisions of [`hawthornmill`].
+//! Sockets, HTTP and telemetry around the decision logic of [`hawthornmill`].
 //!
-//! One [`fleet::Fleet`] per process holds the board behind a lock. Adapters take the lock for
-//! microseconds, feed an event, run a turn, and hand out what the turn left: requests that may go
-//! to a server, refusals, messages for peers.
+//! Each process has one [`fleet::Fleet`], which holds the blackboard behind a lock. Adapters hold the
+//! lock for microseconds: they apply an event, run the controllers and pass on the results, which are
+//! requests dispatched to a server, rejections, and messages for peers.
 //!
-//! | module | speaks with |
+//! | module | communicates with |
 //! |---|---|
 //! | [`entry`] | callers, over HTTP |
 //! | [`upstream`] | backend servers, over HTTP |
 //! | [`peers`] | other instances, over UDP and TCP |
 //! | [`platform`] | the platform's configuration service and instance list |
 //! | [`telemetry`] | operators: logs, spans, metrics, usage records |
-//! | [`settings`], [`sockets`], [`connections`] | the process's own files and ports |
-//! | [`daemon`] | nobody: it joins the others into one process |
+//! | [`settings`], [`sockets`], [`connections`] | the local system: settings file and ports |
+//! | [`daemon`] | none: it starts and stops the other modules |
 
 pub mod connections;
 pub mod daemon;
