--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -98,7 +98,7 @@
     let server = Server::new_with_acceptor(fleet.connections.acceptor(sockets.http));
     let stopped = async move { stop.notified().await };
     // When a call finishes, the last bytes of its response may still be buffered, and a slow caller
-    // takes long to read them. Connections therefore get the whole drain_timeout timeout to close.
+    // takes long to read them. Connections therefore get the whole drain timeout to close.
     let served = server.run_with_graceful_shutdown(routes(&fleet), stopped, Some(drain_timeout));
     let code = tokio::select! {
         code = shutdown => code,
@@ -194,7 +194,8 @@
     }
 }
 
-/// Waits for a signal, then drains calls in flight; returns only if it aborts some of them.
+/// Waits for a signal, then drains calls in flight; returns only if a second signal or the timeout
+/// ends the drain.
 ///
 /// Once no call is in flight it tells the HTTP server to close its connections, which ends the
 /// process.
--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The board behind its lock, and what adapters need around it.
+//! The state that the tasks of a router process share, with the blackboard behind a lock.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, AtomicUsize, Ordering};
@@ -25,13 +25,13 @@
 use crate::telemetry::Telemetry;
 use crate::upstream::Upstream;
 
-/// Time between two rounds of questions of a starting process.
-const ASK_EVERY: Duration = Duration::from_millis(200);
+/// Time between two rounds of probes while the process starts.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a waiting request is told.
+/// Outcome of waiting for a slot: the dispatch, or the code of the rejection.
 pub type DispatchResult = Result<Dispatch, Code>;
 
-/// The board and the requests that wait on it.
+/// The blackboard and the channels of the requests that wait for a slot.
 #[derive(Debug)]
 pub struct SharedState {
     /// The blackboard.
@@ -39,16 +39,16 @@
     waiters: BTreeMap<RequestKey, oneshot::Sender<DispatchResult>>,
 }
 
-/// Everything that one router process shares between its tasks.
+/// State that the tasks of one router process share.
 #[derive(Debug)]
 pub struct Fleet {
-    /// Settings of the process.
+    /// Settings, read at startup.
     pub settings: Settings,
-    /// Monotonic time.
+    /// Monotonic clock.
     pub clock: Clock,
-    /// When the process started.
+    /// Start of the process.
     pub started: Instant,
-    /// This process run.
+    /// Tells this run of the process from earlier ones.
     pub incarnation: Incarnation,
     state: Mutex<SharedState>,
     retries: Mutex<Retries>,
@@ -58,28 +58,28 @@
     pub upstream: Upstream,
     /// Connections of callers.
     pub connections: Connections,
-    /// Keys of calls that must not repeat.
+    /// Idempotency keys whose home is this instance.
     pub home: Home,
     /// Logs, spans and metrics.
     pub telemetry: Telemetry,
-    /// What is known of the platform's answers.
+    /// When the platform was last reached.
     pub platform: platform::PlatformStatus,
-    /// Enough is known to serve.
+    /// Set once this instance knows enough to serve.
     pub ready: AtomicBool,
-    /// New calls are refused; set some time after the process began to leave.
+    /// New calls are refused; set a while after the process starts to leave.
     pub closed: AtomicBool,
-    /// When new calls will be refused; set when the process begins to leave.
+    /// When new calls will be refused; set when the process starts to leave.
     pub closes_at: OnceLock<Instant>,
-    /// Calls that are in flight.
+    /// Number of calls in flight.
     pub in_flight: AtomicUsize,
-    /// Something about this instance changed that peers should hear at once.
+    /// Triggers a heartbeat at once, after a change that peers should know of.
     pub heartbeat_now: Notify,
     next_request: AtomicU64,
     probe_rounds: AtomicU32,
 }
 
 impl Fleet {
-    /// Joins the parts of a process.
+    /// Creates the state of a process that knows no peers or configuration yet.
     pub fn new(
         settings: Settings,
         clock: Clock,
@@ -122,21 +122,21 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, SharedState> {
-        // A panic under the lock leaves a board whose invariants hold per field; serving on is
-        // better for callers than refusing everything.
+        // After a panic under the lock each field of the blackboard is still valid by itself, and
+        // continuing to serve is better for callers than refusing every request.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads the board.
+    /// Reads the blackboard under the lock.
     pub fn view<T>(&self, read: impl FnOnce(&Blackboard) -> T) -> T {
         read(&self.lock().board)
     }
 
-    /// Feeds an event to the board, runs a turn and hands out what it left.
+    /// Applies an event to the blackboard, runs the controllers and passes on their results.
     pub fn feed<T>(&self, event: impl FnOnce(&mut Blackboard, Instant) -> T) -> T {
         let now = self.clock.now();
         let mut state = self.lock();
-        // After a pause, a message may be taken before the next tick.
+        // After a pause of the process, a message may be handled before the next tick.
         tick::detect_pause(&mut state.board, now);
         let result = event(&mut state.board, now);
         self.run_turn(&mut state, now);
@@ -145,7 +145,7 @@
 
     fn run_turn(&self, state: &mut SharedState, now: Instant) {
         pools::run_due(&mut state.board, now);
-        // A dispatch whose caller is gone gives its slot back, which may lead to another.
+        // A dispatch whose caller is gone returns its slot, which may cause another dispatch.
         while !state.board.dispatches.is_empty() || !state.board.rejections.is_empty() {
             notify_waiters(state, now);
             pools::run_due(&mut state.board, now);
@@ -160,39 +160,39 @@
 
     /// Retry budgets of this instance.
     pub fn retries(&self) -> MutexGuard<'_, Retries> {
-        // Counters that a panic left halfway make a budget a little wrong, which does no harm.
+        // A panic between two counter updates leaves a budget slightly wrong, which is harmless.
         self.retries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts a request into its queue.
+    /// Adds a request to its queue.
     ///
     /// # Errors
-    /// A code when there is no room; the request was not run.
+    /// The code of the rejection when the queue is full; the request did not run.
     pub fn enqueue(self: &Arc<Self>, arrival: entry::Arrival) -> Result<QueuedRequest, Code> {
-        self.queue(|board, now| entry::enqueue(board, arrival, now))
+        self.add_to_queue(|board, now| entry::enqueue(board, arrival, now))
     }
 
-    /// Puts a request that failed at the servers `avoid` back to its place in the queue.
+    /// Returns a request that failed at the servers `avoid` to its earlier position in the queue.
     ///
     /// # Errors
-    /// Never; the type is that of [`Self::enqueue`].
+    /// None; it shares the return type of [`Self::enqueue`].
     pub fn requeue(
         self: &Arc<Self>,
         arrival: entry::Arrival,
         arrived: Instant,
         avoid: SmallVec<[ServerId; 2]>,
     ) -> Result<QueuedRequest, Code> {
-        self.queue(|board, _| Ok(entry::requeue(board, arrival, arrived, avoid)))
+        self.add_to_queue(|board, _| Ok(entry::requeue(board, arrival, arrived, avoid)))
     }
 
-    fn queue(
+    fn add_to_queue(
         self: &Arc<Self>,
-        put: impl FnOnce(&mut Blackboard, Instant) -> Result<RequestKey, Code>,
+        insert: impl FnOnce(&mut Blackboard, Instant) -> Result<RequestKey, Code>,
     ) -> Result<QueuedRequest, Code> {
         let now = self.clock.now();
         let mut state = self.lock();
         tick::detect_pause(&mut state.board, now);
-        let key = put(&mut state.board, now)?;
+        let key = insert(&mut state.board, now)?;
         let (sender, receiver) = oneshot::channel();
         state.waiters.insert(key, sender);
         self.run_turn(&mut state, now);
@@ -200,18 +200,18 @@
             fleet: Arc::clone(self),
             key,
             receiver,
-            settled: false,
+            completed: false,
         })
     }
 
-    /// Takes a message from a peer.
+    /// Handles a message from a peer.
     pub fn receive(&self, from: InstanceId, incarnation: Incarnation, message: Message) {
         self.feed(|board, now| pools::handle_message(board, from, incarnation, message, now));
     }
 
-    /// Finds out whether enough is known to serve; once that is so, it stays so.
+    /// Sets `ready` as soon as this instance knows enough to serve; it stays set.
     ///
-    /// Until then it asks peers for their revision; [`startup::is_ready`] has the rule.
+    /// Until then it probes peers for their revision. The condition is [`startup::is_ready`].
     pub fn update_readiness(&self) {
         if self.ready.load(Ordering::Relaxed) {
             return;
@@ -226,7 +226,7 @@
             log::info!(target: "daemon", "ready at revision {revision}");
             return;
         }
-        let round = now.duration_since(self.started).as_millis() / ASK_EVERY.as_millis();
+        let round = now.duration_since(self.started).as_millis() / PROBE_INTERVAL.as_millis();
         let round = round as u32 + 1;
         if self.probe_rounds.fetch_max(round, Ordering::Relaxed) < round {
             for peer in self.view(|board| startup::probe_targets(board, round)) {
@@ -235,7 +235,7 @@
         }
     }
 
-    /// A fresh request id, unique over all process runs.
+    /// Returns a new request id, unique across instances and process runs.
     pub fn request_id(&self) -> Box<str> {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         format!(
@@ -257,16 +257,16 @@
         member.map_or_else(|| "?".into(), |m| m.contact.name.clone())
     };
     match event {
-        Event::Down(id) => log::warn!(target: "membership", "{} is not heard any more", name(id)),
-        Event::Up(id) => log::info!(target: "membership", "{} is heard", name(id)),
+        Event::Down(id) => log::warn!(target: "membership", "{} is down, timed out", name(id)),
+        Event::Up(id) => log::info!(target: "membership", "{} is up", name(id)),
         Event::OwnerChanged(pool, id) => {
             let (service, domain) = pool_names(board, pool);
             log::info!(target: "pools", "owner of {service} in {domain} is {}", name(id));
         }
         Event::ProcessPaused(gap) => {
-            log::warn!(target: "membership", "stopped for {} ms; view is old", gap.as_millis());
+            log::warn!(target: "membership", "process paused for {} ms; view is stale", gap.as_millis());
         }
-        Event::ViewConfirmed => log::info!(target: "membership", "view is confirmed"),
+        Event::ViewConfirmed => log::info!(target: "membership", "peers confirmed the view"),
     }
 }
 
@@ -282,50 +282,50 @@
 fn notify_waiters(state: &mut SharedState, now: Instant) {
     for dispatch in std::mem::take(&mut state.board.dispatches) {
         let (pool, grant) = (dispatch.pool, dispatch.grant);
-        let taken = state
+        let delivered = state
             .waiters
             .remove(&dispatch.request)
             .is_some_and(|w| w.send(Ok(dispatch)).is_ok());
-        if !taken {
+        if !delivered {
             entry::finish(&mut state.board, pool, grant, 0.0, false, now);
         }
     }
     for (request, code) in std::mem::take(&mut state.board.rejections) {
         if let Some(waiter) = state.waiters.remove(&request) {
-            // The caller may have gone away; then nobody needs the answer.
-            let _gone = waiter.send(Err(code));
+            // If the caller disconnected, nobody needs the result.
+            let _disconnected = waiter.send(Err(code));
         }
     }
 }
 
-/// A request's place in its queue; dropping it takes the request out.
+/// A request in its queue; dropping it removes the request.
 #[derive(Debug)]
 pub struct QueuedRequest {
     fleet: Arc<Fleet>,
     key: RequestKey,
     receiver: oneshot::Receiver<DispatchResult>,
-    settled: bool,
+    completed: bool,
 }
 
 impl QueuedRequest {
     /// Waits for a slot.
     ///
     /// # Errors
-    /// The code with which the request is given up; it was not run.
+    /// The code with which the request was rejected; it did not run.
     pub async fn wait(mut self) -> Result<SlotGuard, Code> {
-        let verdict = (&mut self.receiver).await;
-        self.settled = true;
-        let dispatch = verdict.unwrap_or(Err(Code::NotReady))?;
+        let result = (&mut self.receiver).await;
+        self.completed = true;
+        let dispatch = result.unwrap_or(Err(Code::NotReady))?;
         Ok(SlotGuard::new(&self.fleet, dispatch))
     }
 }
 
 impl Drop for QueuedRequest {
     fn drop(&mut self) {
-        if self.settled {
+        if self.completed {
             return;
         }
-        // The caller broke off: a slot that was handed over in this very moment must go back.
+        // The caller disconnected: a slot that was granted in the meantime must be returned.
         if let Ok(Ok(dispatch)) = self.receiver.try_recv() {
             drop(SlotGuard::new(&self.fleet, dispatch));
             return;
@@ -338,13 +338,13 @@
     }
 }
 
-/// A slot in use; it goes back when this is dropped.
+/// A slot in use; dropping the guard returns the slot.
 #[derive(Debug)]
 pub struct SlotGuard {
     fleet: Arc<Fleet>,
-    /// What was dispatched.
+    /// The dispatch that granted the slot.
     pub dispatch: Dispatch,
-    /// When the slot was taken.
+    /// Time at which the slot was acquired.
     pub acquired_at: Instant,
     cost: f64,
     failed: bool,
@@ -363,28 +363,29 @@
         }
     }
 
-    /// Counts bytes of the answer, which are paid for where they cross to another region.
+    /// Adds response bytes, which are charged to the cross-region budget if the server is in another
+    /// region.
     pub fn add_bytes(&mut self, bytes: usize) {
         self.bytes += bytes;
     }
 
-    /// Sets what is charged when the slot goes back.
+    /// Sets the cost that is charged when the slot is returned.
     pub fn set_cost(&mut self, cost: f64) {
         self.cost = cost;
     }
 
-    /// The server could not be reached: nothing is charged, and it gets no grants for a while.
+    /// Marks the server as failed: nothing is charged, and the server gets no grants for a while.
     pub fn set_failed(&mut self) {
         self.failed = true;
         self.cost = 0.0;
     }
 
-    /// What is charged when the slot goes back.
+    /// Returns the cost that is charged when the slot is returned.
     pub fn cost(&self) -> f64 {
         self.cost
     }
 
-    /// Pool and grant of the slot.
+    /// Returns the pool and the grant of the slot.
     pub fn pool_and_grant(&self) -> (PoolId, GrantId) {
         (self.dispatch.pool, self.dispatch.grant)
     }
