--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -264,7 +264,7 @@
             log::info!(target: "pools", "owner of {service} in {domain} is {}", name(id));
         }
         Event::ProcessPaused(gap) => {
-            log::warn!(target: "membership", "process paused for {} ms; view is stale", gap.as_millis());
+            log::warn!(target: "membership", "paused for {} ms; view is stale", gap.as_millis());
         }
         Event::ViewConfirmed => log::info!(target: "membership", "peers confirmed the view"),
     }
--- a/crates/hawthornmill-net/src/platform.rs
+++ b/crates/hawthornmill-net/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: configuration watch and instance list, read only.
+//! Client of the platform: watches the configuration and polls the instance list.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,57 +14,58 @@
 use crate::fleet::Fleet;
 use crate::peers::handler::install;
 
-/// Time for which a watch may wait at the platform.
-const WATCH: Duration = Duration::from_secs(10);
-/// The same while the newest revision is a refused one, which may be put right under its number.
-const WATCH_REFUSED: Duration = Duration::from_secs(3);
-/// Time allowed for any other call.
-const CALL: Duration = Duration::from_secs(2);
-/// Time between two readings of the instance list.
-const LIST: Duration = Duration::from_secs(1);
-/// Time without word of a reader after which another instance asks the platform itself.
-const FALLBACK: Duration = Duration::from_secs(4);
-/// Time between two looks at whether this instance should ask the platform.
-const CHECK: Duration = Duration::from_millis(500);
-/// Time after which the platform's last answer says nothing about its state.
-const ANSWERED: Duration = Duration::from_secs(3);
-/// Shortest and longest wait after a call that failed or brought nothing.
-const AGAIN: [Duration; 2] = [Duration::from_millis(300), Duration::from_secs(2)];
+/// How long the platform may hold a watch request open.
+const WATCH_WAIT: Duration = Duration::from_secs(10);
+/// The same while the newest revision was rejected: its values may be corrected under the same number.
+const WATCH_REJECTED_WAIT: Duration = Duration::from_secs(3);
+/// Timeout of any other request; a watch gets it on top of its wait.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time between two polls of the instance list.
+const LIST_INTERVAL: Duration = Duration::from_secs(1);
+/// Silence of the reader after which an instance that isn't a reader polls the platform itself, and
+/// the time between two such polls.
+const FALLBACK_INTERVAL: Duration = Duration::from_secs(4);
+/// Time between two checks of whether this instance should poll the platform.
+const ROLE_INTERVAL: Duration = Duration::from_millis(500);
+/// Time for which a response shows that the platform is reachable.
+const REACHABLE_TTL: Duration = Duration::from_secs(3);
+/// Shortest and longest delay after a request that failed or found nothing new.
+const RETRY_DELAYS: [Duration; 2] = [Duration::from_millis(300), Duration::from_secs(2)];
 
-/// What is known of the platform's answers.
+/// When the platform was last reached, and the newest revision that it named.
 #[derive(Debug, Default)]
-pub struct PlatformStatus(Mutex<Known>);
+pub struct PlatformStatus(Mutex<LastContact>);
 
 #[derive(Debug, Default)]
-struct Known {
+struct LastContact {
     own: Option<Instant>,
-    mate: Option<Instant>,
-    newest: u64,
+    reader: Option<Instant>,
+    newest_revision: u64,
 }
 
 impl PlatformStatus {
-    fn lock(&self) -> MutexGuard<'_, Known> {
+    fn lock(&self) -> MutexGuard<'_, LastContact> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The reader that this instance follows was answered by the platform.
+    /// Records that the reader of this failure domain reached the platform.
     pub fn record_reader_contact(&self, now: Instant) {
-        self.lock().mate = Some(now);
+        self.lock().reader = Some(now);
     }
 
-    /// Tells whether the platform answered this instance in the last seconds.
+    /// Returns whether this instance reached the platform within [`REACHABLE_TTL`].
     pub fn is_reachable(&self, now: Instant) -> bool {
         let own = self.lock().own;
-        own.is_some_and(|at| now.duration_since(at) < ANSWERED)
+        own.is_some_and(|at| now.duration_since(at) < REACHABLE_TTL)
     }
 
     fn is_reader_silent(&self, now: Instant) -> bool {
-        let mate = self.lock().mate;
-        mate.is_none_or(|at| now.duration_since(at) > FALLBACK)
+        let reader = self.lock().reader;
+        reader.is_none_or(|at| now.duration_since(at) > FALLBACK_INTERVAL)
     }
 }
 
-/// An instance in the platform's list.
+/// An entry of the platform's instance list.
 #[derive(Debug, Clone, Deserialize)]
 struct ListedJson {
     #[serde(flatten)]
@@ -82,180 +83,193 @@
     }
 }
 
-/// Starts the tasks that read the platform.
+/// Starts the tasks that watch the configuration and poll the instance list.
 pub fn start(fleet: &Arc<Fleet>) {
-    tokio::spawn(watch(Arc::clone(fleet)));
-    tokio::spawn(list(Arc::clone(fleet)));
+    tokio::spawn(watch_config(Arc::clone(fleet)));
+    tokio::spawn(poll_list(Arc::clone(fleet)));
 }
 
-async fn get(fleet: &Fleet, path: &str, limit: usize, wait: Duration) -> Option<Vec<u8>> {
+async fn get(fleet: &Fleet, path: &str, max_bytes: usize, timeout: Duration) -> Option<Vec<u8>> {
     let url = format!("http://{}{path}", fleet.settings.platform);
-    let request = fleet.upstream.client().get(url).timeout(wait);
-    let mut answer = request.send().await.ok()?;
-    if !answer.status().is_success() {
+    let request = fleet.upstream.client().get(url).timeout(timeout);
+    let mut response = request.send().await.ok()?;
+    if !response.status().is_success() {
         return None;
     }
     let mut bytes = Vec::new();
-    while let Some(chunk) = answer.chunk().await.ok()? {
+    while let Some(chunk) = response.chunk().await.ok()? {
         bytes.extend_from_slice(&chunk);
-        if bytes.len() > limit {
+        if bytes.len() > max_bytes {
             let code = Code::ValueTooLarge.number();
-            log::error!(target: "config", "{path}: code {code}: over {limit} bytes");
+            log::error!(target: "config", "{path}: code {code}: over {max_bytes} bytes");
             return None;
         }
     }
     Some(bytes)
 }
 
-/// How a look at the manifest ended.
+/// Outcome of one request for the manifest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Look {
-    /// A newer revision is in force.
-    News,
-    /// There is nothing newer that could be in force.
-    Nothing,
-    /// The platform gave no usable answer, or not the whole revision.
+enum PollOutcome {
+    /// A newer revision was installed.
+    Installed,
+    /// There is no newer revision that this instance could install.
+    Unchanged,
+    /// The platform gave no valid response, or an incomplete revision.
     Failed,
 }
 
-/// What this instance has to do with the platform now.
+/// Whether this instance polls the platform, and why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Role {
-    /// It reads for its failure domain.
+    /// It polls on behalf of its failure domain.
     Reader,
-    /// It knows nothing yet, or no reader passes anything on.
-    Alone,
-    /// Others read and pass on what they read.
+    /// It polls for itself, since it has no data yet or hears from no reader.
+    Fallback,
+    /// It doesn't poll; readers send it what they receive.
     Follower,
 }
 
-fn role(fleet: &Fleet, knows: impl Fn(&Blackboard) -> bool) -> Role {
+fn role(fleet: &Fleet, has_data: impl Fn(&Blackboard) -> bool) -> Role {
     let silent = fleet.platform.is_reader_silent(fleet.clock.now());
     fleet.view(|board| {
         let readers = placement::readers(&board.members, board.members.own().domain);
         if readers.contains(&board.me()) {
             Role::Reader
-        } else if silent || !knows(board) {
-            Role::Alone
+        } else if silent || !has_data(board) {
+            Role::Fallback
         } else {
             Role::Follower
         }
     })
 }
 
-/// Waits between half and all of `time`, so that instances don't ask in step.
-async fn pause(time: Duration) {
-    tokio::time::sleep(time.mul_f64(rand::random_range(0.5..1.0))).await;
+/// Sleeps for 50 to 100 % of `delay`, so that instances don't send requests at the same time.
+async fn sleep_jittered(delay: Duration) {
+    tokio::time::sleep(delay.mul_f64(rand::random_range(0.5..1.0))).await;
 }
 
 fn backoff(failures: u32) -> Duration {
-    let [first, most] = AGAIN;
-    (first * 2_u32.saturating_pow(failures)).min(most)
+    let [shortest, longest] = RETRY_DELAYS;
+    (shortest * 2_u32.saturating_pow(failures)).min(longest)
 }
 
-/// Readers hold a watch; others look only while no reader passes anything on.
-async fn watch(fleet: Arc<Fleet>) {
+/// Keeps a watch open while this instance is a reader; polls without waiting in the fallback role.
+async fn watch_config(fleet: Arc<Fleet>) {
     let mut failures = 0;
     loop {
         let role = role(&fleet, |board| board.config.revision > 0);
         if role == Role::Follower {
-            pause(CHECK).await;
+            sleep_jittered(ROLE_INTERVAL).await;
             continue;
         }
-        // Before it has heard its mates, every instance takes itself for a reader.
+        // Until it hears from the others in its domain, every instance considers itself a reader.
         let reader = role == Role::Reader && fleet.ready.load(Ordering::Relaxed);
-        let (look, quick) = look(&fleet, reader).await;
-        failures = if look == Look::Failed {
+        let (outcome, early) = poll_manifest(&fleet, reader).await;
+        failures = if outcome == PollOutcome::Failed {
             failures + 1
         } else {
             0
         };
-        match look {
-            Look::Failed => pause(backoff(failures)).await,
-            // A platform that names an older revision at once must not be asked without a break.
-            Look::Nothing if !fleet.ready.load(Ordering::Relaxed) => pause(AGAIN[0]).await,
-            Look::Nothing if role == Role::Alone => pause(FALLBACK).await,
-            Look::Nothing if quick => pause(AGAIN[1]).await,
-            Look::News | Look::Nothing => {}
+        match outcome {
+            PollOutcome::Failed => sleep_jittered(backoff(failures)).await,
+            // The platform may answer a watch at once with an older revision; don't ask again without
+            // a delay.
+            PollOutcome::Unchanged if !fleet.ready.load(Ordering::Relaxed) => {
+                sleep_jittered(RETRY_DELAYS[0]).await
+            }
+            PollOutcome::Unchanged if role == Role::Fallback => {
+                sleep_jittered(FALLBACK_INTERVAL).await
+            }
+            PollOutcome::Unchanged if early => sleep_jittered(RETRY_DELAYS[1]).await,
+            PollOutcome::Installed | PollOutcome::Unchanged => {}
         }
     }
 }
 
-/// Asks for a newer manifest and puts it in force; also tells whether the answer came before its
-/// time without being news.
-async fn look(fleet: &Arc<Fleet>, reader: bool) -> (Look, bool) {
-    let newest = fleet.platform.lock().newest;
+/// Requests a newer manifest and installs it.
+///
+/// The second result is true if the platform reported nothing new before half of the wait was over.
+async fn poll_manifest(fleet: &Arc<Fleet>, reader: bool) -> (PollOutcome, bool) {
+    let newest = fleet.platform.lock().newest_revision;
     let (have, after) = fleet.view(|board| {
         let have = board.config.revision;
         (have, board.revisions.watch_after(have, newest))
     });
     let wait = match reader {
         false => Duration::ZERO,
-        true if after > have => WATCH_REFUSED,
-        true => WATCH,
+        true if after > have => WATCH_REJECTED_WAIT,
+        true => WATCH_WAIT,
     };
-    let began = Instant::now();
+    let started = Instant::now();
     let path = format!("/v1/manifest?after={after}&wait_ms={}", wait.as_millis());
-    let Some(bytes) = get(fleet, &path, MAX_VALUE_BYTES, wait + CALL).await else {
-        return (Look::Failed, false);
+    let Some(bytes) = get(fleet, &path, MAX_VALUE_BYTES, wait + REQUEST_TIMEOUT).await else {
+        return (PollOutcome::Failed, false);
     };
     let Ok(manifest) = serde_json::from_slice::<Manifest>(&bytes) else {
-        return (Look::Failed, false);
+        return (PollOutcome::Failed, false);
     };
-    fleet.platform.lock().newest = manifest.revision;
+    fleet.platform.lock().newest_revision = manifest.revision;
     fleet.feed(|board, _| board.startup.platform_answered = true);
-    let quick = began.elapsed() < wait / 2;
-    let refused = fleet.view(|board| board.revisions.is_rejected(&manifest));
-    if manifest.revision <= have || refused {
-        return (Look::Nothing, quick);
+    let early = started.elapsed() < wait / 2;
+    let rejected = fleet.view(|board| board.revisions.is_rejected(&manifest));
+    if manifest.revision <= have || rejected {
+        return (PollOutcome::Unchanged, early);
     }
-    let Some(values) = fetch(fleet, &manifest).await else {
-        return (Look::Failed, false);
+    let Some(values) = fetch_values(fleet, &manifest).await else {
+        return (PollOutcome::Failed, false);
     };
     if install(fleet, &manifest, values) {
-        return (Look::News, false);
+        return (PollOutcome::Installed, false);
     }
-    // A peer may have been faster, and a verdict is final; anything else is tried again.
-    let settled = fleet.view(|board| {
+    // A peer may have sent this revision or a newer one first, and a rejection is final. Anything else
+    // is retried.
+    let decided = fleet.view(|board| {
         board.config.revision >= manifest.revision || board.revisions.is_rejected(&manifest)
     });
-    let look = if settled { Look::Nothing } else { Look::Failed };
-    (look, false)
+    let outcome = if decided {
+        PollOutcome::Unchanged
+    } else {
+        PollOutcome::Failed
+    };
+    (outcome, false)
 }
 
-async fn fetch(fleet: &Fleet, manifest: &Manifest) -> Option<Values> {
+async fn fetch_values(fleet: &Fleet, manifest: &Manifest) -> Option<Values> {
     let (have, mut values) = fleet.view(|board| (board.manifest.clone(), (*board.values).clone()));
     values.retain(|name, _| manifest.values.iter().any(|v| v.name == *name));
     for value in manifest.values.iter().filter(|v| !have.values.contains(v)) {
         let path = format!("/v1/values/{}?revision={}", value.name, manifest.revision);
-        let bytes = get(fleet, &path, MAX_VALUE_BYTES, CALL).await?;
+        let bytes = get(fleet, &path, MAX_VALUE_BYTES, REQUEST_TIMEOUT).await?;
         let text = String::from_utf8(bytes).ok()?;
         values.insert(value.name.clone(), text.into());
     }
     Some(values)
 }
 
-/// Readers read the instance list and tell its digest in their heartbeats.
-async fn list(fleet: Arc<Fleet>) {
+/// Polls the instance list while this instance is a reader or in the fallback role.
+///
+/// Heartbeats carry the digest of the list, by which followers know when to request it.
+async fn poll_list(fleet: Arc<Fleet>) {
     loop {
         let role = role(&fleet, |board| board.roster.is_known());
         if role == Role::Follower {
-            pause(CHECK).await;
+            sleep_jittered(ROLE_INTERVAL).await;
             continue;
         }
-        read_list(&fleet).await;
+        fetch_list(&fleet).await;
         let starting = !fleet.ready.load(Ordering::Relaxed);
         let next = if role == Role::Reader || starting {
-            LIST
+            LIST_INTERVAL
         } else {
-            FALLBACK
+            FALLBACK_INTERVAL
         };
         tokio::time::sleep(next.mul_f64(rand::random_range(0.75..1.25))).await;
     }
 }
 
-async fn read_list(fleet: &Fleet) {
-    let Some(bytes) = get(fleet, "/v1/instances", MAX_VALUE_BYTES, CALL).await else {
+async fn fetch_list(fleet: &Fleet) {
+    let Some(bytes) = get(fleet, "/v1/instances", MAX_VALUE_BYTES, REQUEST_TIMEOUT).await else {
         return;
     };
     let Ok(list) = serde_json::from_slice::<Vec<ListedJson>>(&bytes) else {
--- a/crates/hawthornmill-net/src/settings.rs
+++ b/crates/hawthornmill-net/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one router process, read from an INI file and checked whole.
+//! Settings of one router process, parsed from an INI file; every fault is reported at once.
 
 use std::path::Path;
 use std::time::Duration;
@@ -17,25 +17,25 @@
     "telemetry",
     "status",
 ];
-const MOST_COUNT: f64 = 1e9;
+const MAX_COUNT: f64 = 1e9;
 
-/// Bounds on what callers may send and what is kept for them.
+/// Limits on requests of callers and on the state that is kept for them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// Bytes of a request body.
+    /// Largest request body in bytes.
     pub body_bytes: usize,
-    /// Bytes of all request headers.
+    /// Largest total size of the request headers in bytes.
     pub header_bytes: usize,
-    /// Keys of calls that must not repeat.
+    /// Most idempotency keys that are kept.
     pub max_keys: usize,
-    /// Bytes of answers kept for repeated keys.
+    /// Most bytes of responses that are kept for repeated keys.
     pub kept_bytes: usize,
 }
 
-/// What discovery promises.
+/// Guarantees that discovery gives to callers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Discovery {
-    /// Time for which callers may use an answer.
+    /// Time for which callers may cache a discovery response.
     pub ttl: Duration,
     /// Time for which callers may use a key prefix.
     pub key_ttl: Duration,
@@ -43,76 +43,76 @@
     pub drain_timeout: Duration,
 }
 
-/// Logs, spans and metrics.
+/// Settings of logs, spans and metrics.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TelemetrySettings {
     /// Least severe level that is logged.
     pub level: log::LevelFilter,
-    /// Part of the traces that begin here which is recorded.
+    /// Fraction of the traces starting at this instance that is recorded.
     pub sample_ratio: f64,
-    /// Time between two lines of the same metric.
+    /// Time between two exports of the same metric.
     pub metrics_interval: Duration,
 }
 
 /// Settings of one router process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// How this instance is reached.
+    /// Name, place and addresses of this instance.
     pub contact: Contact,
-    /// `IP:port` of the platform.
+    /// Address of the platform as `IP:port`.
     pub platform: Box<str>,
-    /// Key of the peers' frames and of key prefixes.
+    /// Secret key that authenticates frames between peers, and key prefixes.
     pub key: [u8; 32],
     /// Time between heartbeats.
     pub heartbeat_interval: Duration,
-    /// Time between load readings of a server.
+    /// Time between two polls of a server's load.
     pub load_interval: Duration,
-    /// Durations and bounds of the decisions.
+    /// Durations and bounds of the controllers.
     pub tuning: Tuning,
-    /// Bounds for callers.
+    /// Limits on requests of callers.
     pub limits: Limits,
-    /// What discovery promises.
+    /// Guarantees of discovery.
     pub discovery: Discovery,
     /// Logs, spans and metrics.
     pub telemetry: TelemetrySettings,
-    /// BLAKE3 hash of the operators' token; without one the status page shows no accounts.
+    /// BLAKE3 hash of the operators' token; without it the status page shows no accounts.
     pub token_hash: Option<[u8; 32]>,
 }
 
 impl Settings {
-    /// Reads and checks the file at `path`.
+    /// Reads and parses the file at `path`.
     ///
     /// # Errors
-    /// Every fault of the file.
+    /// Returns every fault in the file.
     pub fn load(path: &Path) -> Result<Self, Vec<Diagnostic>> {
         hawthornmill_process::settings::load(path, Self::parse)
     }
 
-    /// Checks the text of a settings file.
+    /// Parses the text of a settings file; `file` is its name in error messages.
     ///
     /// # Errors
-    /// Every fault of the text.
+    /// Returns every fault in the text.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Diagnostic>> {
         let (mut reader, sections) = Reader::open(file, text, SECTIONS)?;
-        let pick = |kind: &str| Section::first_or_empty(&sections, kind);
+        let section = |kind: &str| Section::first_or_empty(&sections, kind);
         let settings = Self {
-            contact: contact(&mut reader, &pick("instance")),
-            platform: platform(&mut reader, &pick("platform")),
-            key: key(&mut reader, &pick("peers")),
-            heartbeat_interval: heartbeat(&mut reader, &pick("peers")),
-            load_interval: reader.millis(&pick("scheduling"), "load_ms", 250.0),
-            tuning: tuning(&mut reader, &pick("scheduling"), &pick("limits")),
-            limits: limits(&mut reader, &pick("limits")),
-            discovery: discovery(&mut reader, &pick("discovery")),
-            telemetry: telemetry(&mut reader, &pick("telemetry")),
-            token_hash: operators(&mut reader, &pick("status")),
+            contact: contact(&mut reader, &section("instance")),
+            platform: platform_address(&mut reader, &section("platform")),
+            key: peer_key(&mut reader, &section("peers")),
+            heartbeat_interval: heartbeat_interval(&mut reader, &section("peers")),
+            load_interval: reader.millis(&section("scheduling"), "load_ms", 250.0),
+            tuning: tuning(&mut reader, &section("scheduling"), &section("limits")),
+            limits: limits(&mut reader, &section("limits")),
+            discovery: discovery(&mut reader, &section("discovery")),
+            telemetry: telemetry(&mut reader, &section("telemetry")),
+            token_hash: token_hash(&mut reader, &section("status")),
         };
         reader.finish(settings)
     }
 }
 
 fn count(reader: &mut Reader<'_>, section: &Section, key: &str, default: f64) -> usize {
-    reader.number_in(section, key, default, 1.0..=MOST_COUNT) as usize
+    reader.number_in(section, key, default, 1.0..=MAX_COUNT) as usize
 }
 
 fn address(reader: &mut Reader<'_>, section: &Section, key: &str) -> Box<str> {
@@ -122,8 +122,8 @@
 
 fn contact(reader: &mut Reader<'_>, section: &Section) -> Contact {
     reader.reject_unknown_keys(section, &["name", "domain", "region", "http", "peer"]);
-    let mut word = |key| reader.required(section, key).unwrap_or_default();
-    let (name, domain, region) = (word("name"), word("domain"), word("region"));
+    let mut text = |key| reader.required(section, key).unwrap_or_default();
+    let (name, domain, region) = (text("name"), text("domain"), text("region"));
     Contact {
         name,
         domain,
@@ -133,12 +133,12 @@
     }
 }
 
-fn platform(reader: &mut Reader<'_>, section: &Section) -> Box<str> {
+fn platform_address(reader: &mut Reader<'_>, section: &Section) -> Box<str> {
     reader.reject_unknown_keys(section, &["address"]);
     address(reader, section, "address")
 }
 
-fn key(reader: &mut Reader<'_>, section: &Section) -> [u8; 32] {
+fn peer_key(reader: &mut Reader<'_>, section: &Section) -> [u8; 32] {
     reader.reject_unknown_keys(section, &["key", "heartbeat_ms"]);
     if reader.required(section, "key").is_none() {
         return [0; 32];
@@ -146,12 +146,12 @@
     reader.hex_bytes(section, "key").unwrap_or_default()
 }
 
-fn operators(reader: &mut Reader<'_>, section: &Section) -> Option<[u8; 32]> {
+fn token_hash(reader: &mut Reader<'_>, section: &Section) -> Option<[u8; 32]> {
     reader.reject_unknown_keys(section, &["token"]);
     reader.hex_bytes(section, "token")
 }
 
-fn heartbeat(reader: &mut Reader<'_>, section: &Section) -> Duration {
+fn heartbeat_interval(reader: &mut Reader<'_>, section: &Section) -> Duration {
     reader.millis(section, "heartbeat_ms", 100.0)
 }
 
@@ -175,11 +175,11 @@
             "policy",
             &[("pooled", Policy::Pooled), ("static", Policy::Static)],
         ),
-        rebuild: reader.millis(section, "rebuild_ms", ms(base.rebuild)),
-        report: reader.millis(section, "report_ms", ms(base.report)),
-        penalty: reader.millis(section, "penalty_ms", ms(base.penalty)),
-        pause: reader.millis(section, "pause_ms", ms(base.pause)),
-        confirm: reader.millis(section, "confirm_ms", ms(base.confirm)),
+        rebuild: reader.millis(section, "rebuild_ms", as_millis(base.rebuild)),
+        report: reader.millis(section, "report_ms", as_millis(base.report)),
+        penalty: reader.millis(section, "penalty_ms", as_millis(base.penalty)),
+        pause: reader.millis(section, "pause_ms", as_millis(base.pause)),
+        confirm: reader.millis(section, "confirm_ms", as_millis(base.confirm)),
         max_waiting: count(reader, limits, "max_waiting", base.max_waiting as f64),
         max_bytes: count(reader, limits, "max_bytes", base.max_bytes as f64),
         lag_cap: reader.number_in(section, "lag_cap", base.lag_cap, 0.1..=1e6),
@@ -187,7 +187,7 @@
     }
 }
 
-fn ms(duration: Duration) -> f64 {
+fn as_millis(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1000.0
 }
 
