--- a/crates/hawthornmill-net/src/peers/handler.rs
+++ b/crates/hawthornmill-net/src/peers/handler.rs
@@ -1,4 +1,4 @@
-//! What a received message does.
+//! Handlers of the messages that peers send.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,9 +16,9 @@
 
 use crate::fleet::Fleet;
 
-/// Counts a refused frame and logs it, the more seldom the more there are.
+/// Counts a rejected frame, and logs it when the count is a power of two.
 ///
-/// Anybody who reaches the port can send garbage; a line for each frame would fill the logs.
+/// Anyone who can reach the port can send invalid frames; a log line for each would flood the logs.
 pub fn reject_frame(fleet: &Fleet, error: FrameError) {
     let count = fleet
         .outgoing
@@ -31,11 +31,11 @@
     }
 }
 
-/// Takes one authenticated frame.
+/// Handles one authenticated frame.
 pub fn handle_frame(fleet: &Arc<Fleet>, frame: Frame) {
     let (from, incarnation) = (frame.sender, frame.incarnation);
     match frame.message {
-        Message::Heartbeat(heartbeat) => hear(fleet, from, incarnation, heartbeat),
+        Message::Heartbeat(heartbeat) => handle_heartbeat(fleet, from, incarnation, heartbeat),
         Message::Probe(number) => {
             let ack = ProbeAck {
                 number,
@@ -46,23 +46,28 @@
         }
         Message::ProbeAck(ack) => {
             fleet.feed(|board, now| tick::on_probe_ack(board, ack, now));
-            pull(fleet, from, ack.revision);
+            request_config(fleet, from, ack.revision);
         }
-        Message::Reports(reports) => take_reports(fleet, from, reports),
-        Message::ConfigPull(pull) => answer_pull(fleet, from, &pull),
-        Message::ConfigValues(values) => take_values(fleet, values),
+        Message::Reports(reports) => handle_reports(fleet, from, reports),
+        Message::ConfigPull(pull) => handle_config_pull(fleet, from, &pull),
+        Message::ConfigValues(values) => handle_config_values(fleet, values),
         Message::RosterPull(pull) => {
             if let Some(delta) = fleet.view(|board| board.roster.delta(pull.have)) {
                 fleet.outgoing.send(from, Message::RosterDelta(delta));
             }
         }
-        Message::RosterDelta(delta) => take_roster(fleet, from, delta),
+        Message::RosterDelta(delta) => handle_roster(fleet, from, delta),
         message => fleet.receive(from, incarnation, message),
     }
 }
 
-fn hear(fleet: &Arc<Fleet>, from: InstanceId, incarnation: Incarnation, heartbeat: Heartbeat) {
-    let sign = LivenessUpdate {
+fn handle_heartbeat(
+    fleet: &Arc<Fleet>,
+    from: InstanceId,
+    incarnation: Incarnation,
+    heartbeat: Heartbeat,
+) {
+    let update = LivenessUpdate {
         from,
         incarnation,
         leaving: heartbeat.leaving,
@@ -71,47 +76,47 @@
         stable_tenths: heartbeat.steady_tenths,
         direct: true,
     };
-    let (follows, list) = fleet.feed(|board, now| {
+    let (from_reader, pull_roster) = fleet.feed(|board, now| {
         if let Some(contact) = heartbeat.contact {
             board.members.upsert_contact(*contact, now);
         }
-        board.members.record_liveness(sign, now);
-        let follows = follows(board, from) && heartbeat.platform_reachable;
-        (follows, follows || !board.roster.is_known())
+        board.members.record_liveness(update, now);
+        let from_reader = follows(board, from) && heartbeat.platform_reachable;
+        (from_reader, from_reader || !board.roster.is_known())
     });
-    if follows {
+    if from_reader {
         fleet.platform.record_reader_contact(fleet.clock.now());
     }
-    if list {
+    if pull_roster {
         let have = fleet.view(|board| board.roster.digest());
         if have != heartbeat.roster_digest {
             let pull = Message::RosterPull(RosterPull { have });
             fleet.outgoing.send(from, pull);
         }
     }
-    pull(fleet, from, heartbeat.revision);
+    request_config(fleet, from, heartbeat.revision);
 }
 
-/// Tells whether this instance takes the instance list from `from`: the first reader of the domain.
+/// Returns whether this instance follows `from`, the first reader of its failure domain.
 ///
-/// Lists of two readers may differ for a moment; following one of them keeps an instance from
-/// asking each in turn.
+/// The instance lists of two readers may differ for a moment. Following only one of them prevents
+/// requests to each reader in turn.
 fn follows(board: &Blackboard, from: InstanceId) -> bool {
     let readers = placement::readers(&board.members, board.members.own().domain);
     readers.first() == Some(&from) && !readers.contains(&board.me())
 }
 
-fn take_roster(fleet: &Arc<Fleet>, from: InstanceId, delta: RosterDelta) {
+fn handle_roster(fleet: &Arc<Fleet>, from: InstanceId, delta: RosterDelta) {
     fleet.feed(|board, now| {
-        // One that started while the platform is down takes the list from anybody.
-        let takes = follows(board, from) || !board.roster.is_known();
-        if takes && board.roster.apply(delta) {
+        // An instance that started while the platform is down accepts the list from any peer.
+        let accepts = follows(board, from) || !board.roster.is_known();
+        if accepts && board.roster.apply(delta) {
             board.members.apply_roster(&board.roster, now);
         }
     });
 }
 
-fn take_reports(
+fn handle_reports(
     fleet: &Arc<Fleet>,
     from: InstanceId,
     reports: Vec<hawthornmill::wire::message::Report>,
@@ -125,16 +130,16 @@
         }
         board.reports.highest_revision()
     });
-    pull(fleet, from, revision);
+    request_config(fleet, from, revision);
 }
 
-/// Asks `from`, which named `revision`, for the configuration if that is newer.
-fn pull(fleet: &Arc<Fleet>, from: InstanceId, revision: u64) {
+/// Requests the configuration from `from` if its `revision` is newer than the installed one.
+fn request_config(fleet: &Arc<Fleet>, from: InstanceId, revision: u64) {
     let have = fleet.feed(|board, now| {
-        let ask = board
+        let request = board
             .revisions
             .should_request(revision, board.config.revision, now);
-        ask.then(|| board.manifest.clone())
+        request.then(|| board.manifest.clone())
     });
     if let Some(have) = have {
         let pull = Message::ConfigPull(ConfigPull { have });
@@ -142,7 +147,7 @@
     }
 }
 
-fn answer_pull(fleet: &Arc<Fleet>, from: InstanceId, pull: &ConfigPull) {
+fn handle_config_pull(fleet: &Arc<Fleet>, from: InstanceId, pull: &ConfigPull) {
     let answer = fleet.view(|board| {
         if board.manifest.revision <= pull.have.revision {
             return None;
@@ -164,14 +169,14 @@
     }
 }
 
-fn take_values(fleet: &Arc<Fleet>, answer: ConfigValues) {
+fn handle_config_values(fleet: &Arc<Fleet>, answer: ConfigValues) {
     let mut values = fleet.view(|board| (*board.values).clone());
     values.extend(answer.values);
     values.retain(|name, _| answer.manifest.values.iter().any(|v| v.name == *name));
     install(fleet, &answer.manifest, values);
 }
 
-/// Checks a revision and puts it in force; true when it is in force now.
+/// Validates and installs a revision; returns whether it was installed.
 pub fn install(fleet: &Arc<Fleet>, manifest: &accept::Manifest, values: accept::Values) -> bool {
     if manifest.revision <= fleet.view(|board| board.config.revision) {
         return false;
@@ -179,12 +184,12 @@
     match accept::accept(manifest, &values) {
         Ok(config) => {
             let revision = config.revision;
-            let taken = fleet.feed(|board, _| board.install(config, manifest.clone(), values));
-            if taken {
+            let installed = fleet.feed(|board, _| board.install(config, manifest.clone(), values));
+            if installed {
                 log::info!(target: "config", "revision {revision} in force");
                 fleet.heartbeat_now.notify_one();
             }
-            taken
+            installed
         }
         Err(faults) => {
             fleet.feed(|board, _| board.revisions.reject(manifest, &faults));
--- a/crates/hawthornmill-net/src/peers/mod.rs
+++ b/crates/hawthornmill-net/src/peers/mod.rs
@@ -1,8 +1,9 @@
-//! Messages between instances.
+//! Transport of messages between instances.
 //!
-//! Heartbeats, probes and reports go over UDP ([`udp`]): the latest wins, and a lost one costs an
-//! interval. Demand, grants, holdings and configuration go over TCP ([`tcp`]), one connection from
-//! each sender to each receiver, opened at need. All frames carry a keyed MAC.
+//! Heartbeats, probes and reports go over UDP ([`udp`]): each one supersedes the one before, so a loss
+//! delays the information by one interval. Demand, grants, holdings and configuration go over TCP
+//! ([`tcp`]), with one connection from each sender to each receiver, opened on demand. All frames
+//! carry a keyed MAC.
 
 pub mod handler;
 pub mod tcp;
@@ -16,10 +17,10 @@
 use hawthornmill::wire::Message;
 use tokio::sync::mpsc;
 
-/// Messages that may wait for one connection.
-const QUEUE: usize = 4096;
+/// Most messages queued for one connection.
+const QUEUE_CAPACITY: usize = 4096;
 
-/// Where messages to peers go out.
+/// Queues of outgoing messages to peers, with traffic counters.
 #[derive(Debug, Default)]
 pub struct Outgoing {
     connections: Mutex<BTreeMap<InstanceId, mpsc::Sender<Message>>>,
@@ -27,32 +28,32 @@
     /// Wakes the task that opens connections.
     pub connect_requested: tokio::sync::Notify,
     datagrams: Mutex<Option<mpsc::Sender<(InstanceId, Message)>>>,
-    /// Bytes sent to peers, UDP and TCP.
+    /// Bytes sent to peers over UDP and TCP.
     pub sent_bytes: AtomicU64,
     /// Bytes sent to peers in other regions.
     pub cross_region_bytes: AtomicU64,
-    /// Messages dropped for want of room.
+    /// Messages dropped because a queue was full or not there yet.
     pub dropped_messages: AtomicU64,
-    /// Frames of peers that were refused.
+    /// Received frames that were rejected.
     pub rejected_frames: AtomicU64,
 }
 
 impl Outgoing {
-    /// Sends `message`; one that finds no room is dropped and counted.
+    /// Queues `message` for `to`; drops and counts it if the queue is full.
     pub fn send(&self, to: InstanceId, message: Message) {
-        let sent = if by_datagram(&message) {
+        let queued = if uses_datagram(&message) {
             self.send_datagram(to, message)
         } else {
             self.send_stream(to, message)
         };
-        if !sent {
+        if !queued {
             self.dropped_messages.fetch_add(1, Ordering::Relaxed);
         }
     }
 
     fn send_datagram(&self, to: InstanceId, message: Message) -> bool {
-        let guard = crate::peers::lock(&self.datagrams);
-        guard
+        let datagrams = crate::peers::lock(&self.datagrams);
+        datagrams
             .as_ref()
             .is_some_and(|d| d.try_send((to, message)).is_ok())
     }
@@ -60,7 +61,7 @@
     fn send_stream(&self, to: InstanceId, message: Message) -> bool {
         let mut connections = lock(&self.connections);
         let connection = connections.entry(to).or_insert_with(|| {
-            let (sender, receiver) = mpsc::channel(QUEUE);
+            let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
             lock(&self.unopened).push((to, receiver));
             self.connect_requested.notify_one();
             sender
@@ -68,22 +69,22 @@
         connection.try_send(message).is_ok()
     }
 
-    /// Connections that were asked for and not opened yet.
+    /// Takes the queues of connections that were requested but not opened yet.
     pub fn take_unopened(&self) -> Vec<(InstanceId, mpsc::Receiver<Message>)> {
         std::mem::take(&mut lock(&self.unopened))
     }
 
-    /// Sets where datagrams go.
+    /// Sets the queue for datagrams.
     pub fn set_datagrams(&self, sender: mpsc::Sender<(InstanceId, Message)>) {
         *lock(&self.datagrams) = Some(sender);
     }
 
-    /// Forgets the connection to an instance that is gone for good.
+    /// Drops the queue of an instance that is no longer a member.
     pub fn close(&self, to: InstanceId) {
         lock(&self.connections).remove(&to);
     }
 
-    /// Counts bytes that left.
+    /// Counts sent bytes.
     pub fn add_sent_bytes(&self, bytes: usize, cross_region: bool) {
         self.sent_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
         if cross_region {
@@ -93,7 +94,7 @@
     }
 }
 
-fn by_datagram(message: &Message) -> bool {
+fn uses_datagram(message: &Message) -> bool {
     matches!(
         message,
         Message::Heartbeat(_) | Message::Probe(_) | Message::ProbeAck(_) | Message::Reports(_)
--- a/crates/hawthornmill-net/src/peers/tcp.rs
+++ b/crates/hawthornmill-net/src/peers/tcp.rs
@@ -1,7 +1,7 @@
-//! Demand, grants, holdings and configuration.
+//! TCP transport for demand, grants, holdings and configuration.
 //!
-//! The acceptor sends eight random bytes first; they are part of every frame's MAC, so frames of an
-//! earlier connection are refused on this one. A frame is preceded by its length as four bytes.
+//! The accepting side first sends an eight-byte random nonce. It is part of every frame's MAC, so
+//! frames replayed from an earlier connection are rejected. Each frame has a four-byte length prefix.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,34 +18,35 @@
 use super::handler;
 use crate::fleet::Fleet;
 
-const FIRST_WAIT: Duration = Duration::from_millis(20);
-const MOST_WAIT: Duration = Duration::from_millis(500);
-/// Longest time between two attempts to reach an instance that nobody hears.
-const DEAD_WAIT: Duration = Duration::from_secs(5);
-const CONNECT: Duration = Duration::from_millis(500);
-const DOUBT: Duration = Duration::from_millis(200);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Longest time between two connection attempts to an instance that is down.
+const DOWN_RETRY_DELAY: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time for an instance to be heard again after its connection fails.
+const SUSPECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Starts the tasks that accept and open connections.
 pub fn start(fleet: &Arc<Fleet>, listener: TcpListener) {
     tokio::spawn(accept(Arc::clone(fleet), listener));
-    tokio::spawn(open(Arc::clone(fleet)));
+    tokio::spawn(open_connections(Arc::clone(fleet)));
 }
 
 async fn accept(fleet: Arc<Fleet>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(serve(Arc::clone(&fleet), stream));
+                tokio::spawn(read_frames(Arc::clone(&fleet), stream));
             }
             Err(error) => {
                 log::warn!(target: "peers", "accept failed: {error}");
-                tokio::time::sleep(FIRST_WAIT).await;
+                tokio::time::sleep(MIN_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve(fleet: Arc<Fleet>, mut stream: TcpStream) {
+async fn read_frames(fleet: Arc<Fleet>, mut stream: TcpStream) {
     let nonce: u64 = rand::random();
     if stream.set_nodelay(true).is_err() || stream.write_all(&nonce.to_le_bytes()).await.is_err() {
         return;
@@ -71,27 +72,31 @@
     }
 }
 
-async fn open(fleet: Arc<Fleet>) {
+async fn open_connections(fleet: Arc<Fleet>) {
     loop {
         for (to, queue) in fleet.outgoing.take_unopened() {
-            tokio::spawn(keep(Arc::clone(&fleet), to, queue));
+            tokio::spawn(maintain_connection(Arc::clone(&fleet), to, queue));
         }
         fleet.outgoing.connect_requested.notified().await;
     }
 }
 
-/// Keeps one connection to `to` until that instance is gone for good.
-async fn keep(fleet: Arc<Fleet>, to: InstanceId, mut queue: mpsc::Receiver<Message>) {
-    let mut wait = FIRST_WAIT;
+/// Keeps a connection to `to` open until that instance is no longer a member.
+async fn maintain_connection(
+    fleet: Arc<Fleet>,
+    to: InstanceId,
+    mut queue: mpsc::Receiver<Message>,
+) {
+    let mut delay = MIN_RETRY_DELAY;
     loop {
         if let Some((reader, writer, nonce)) = connect(&fleet, to).await {
-            wait = FIRST_WAIT;
+            delay = MIN_RETRY_DELAY;
             fleet.feed(|board, _| entry::on_reconnected(board, to));
-            write(&fleet, to, &mut queue, reader, writer, nonce).await;
+            write_frames(&fleet, to, &mut queue, reader, writer, nonce).await;
         }
         fleet.feed(|board, now| {
             board.broken_peers.insert(to);
-            board.members.suspect(to, now, DOUBT);
+            board.members.suspect(to, now, SUSPECT_TIMEOUT);
         });
         while queue.try_recv().is_ok() {}
         if !fleet.view(|board| board.members.map.contains_key(&to)) {
@@ -99,34 +104,37 @@
             fleet.feed(|board, _| board.broken_peers.remove(&to));
             return;
         }
-        let jitter = wait.mul_f64(rand::random_range(0.5..1.0));
-        tokio::time::sleep(jitter).await;
-        wait = (wait * 2).min(MOST_WAIT);
-        wait_for_life(&fleet, to).await;
+        let jittered = delay.mul_f64(rand::random_range(0.5..1.0));
+        tokio::time::sleep(jittered).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
+        wait_until_live(&fleet, to).await;
     }
 }
 
-/// Waits until somebody hears `to`, but no longer than [`DEAD_WAIT`].
-async fn wait_for_life(fleet: &Fleet, to: InstanceId) {
-    let until = tokio::time::Instant::now() + DEAD_WAIT.mul_f64(rand::random_range(0.5..1.0));
-    while tokio::time::Instant::now() < until && !fleet.view(|board| board.members.is_live(to)) {
-        tokio::time::sleep(FIRST_WAIT).await;
+/// Waits until `to` is live, but no longer than [`DOWN_RETRY_DELAY`].
+async fn wait_until_live(fleet: &Fleet, to: InstanceId) {
+    let deadline =
+        tokio::time::Instant::now() + DOWN_RETRY_DELAY.mul_f64(rand::random_range(0.5..1.0));
+    while tokio::time::Instant::now() < deadline && !fleet.view(|board| board.members.is_live(to)) {
+        tokio::time::sleep(MIN_RETRY_DELAY).await;
     }
 }
 
 async fn connect(fleet: &Fleet, to: InstanceId) -> Option<(OwnedReadHalf, OwnedWriteHalf, u64)> {
     let address = fleet.view(|board| Some(board.members.map.get(&to)?.contact.peer.clone()))?;
-    let dial = async {
+    let handshake = async {
         let mut stream = TcpStream::connect(&*address).await.ok()?;
         stream.set_nodelay(true).ok()?;
         let nonce = stream.read_u64_le().await.ok()?;
         let (reader, writer) = stream.into_split();
         Some((reader, writer, nonce))
     };
-    tokio::time::timeout(CONNECT, dial).await.ok()?
+    tokio::time::timeout(CONNECT_TIMEOUT, handshake)
+        .await
+        .ok()?
 }
 
-async fn write(
+async fn write_frames(
     fleet: &Fleet,
     to: InstanceId,
     queue: &mut mpsc::Receiver<Message>,
@@ -136,24 +144,25 @@
 ) {
     let me = fleet.view(hawthornmill::blackboard::Blackboard::me);
     let cross_region = fleet.view(|board| {
-        let there = board.members.map.get(&to).map(|m| m.region);
-        there != Some(board.members.own().region)
+        let region = board.members.map.get(&to).map(|m| m.region);
+        region != Some(board.members.own().region)
     });
     let mut sealer = Sealer::new(fleet.settings.key, me, fleet.incarnation, nonce);
-    let mut end = [0; 1];
+    let mut byte = [0; 1];
     loop {
         let message = tokio::select! {
-            // The receiver sends nothing after its nonce, so a byte or an end both mean: gone.
-            _ = reader.read(&mut end) => return,
+            // The receiver sends nothing after its nonce, so a byte or the end of the stream means that
+            // the connection is unusable.
+            _ = reader.read(&mut byte) => return,
             message = queue.recv() => message,
         };
         let Some(message) = message else {
             return;
         };
         let mut bytes = Vec::with_capacity(256);
-        append(&mut sealer, &mut bytes, &message);
+        append_frame(&mut sealer, &mut bytes, &message);
         while let Ok(more) = queue.try_recv() {
-            append(&mut sealer, &mut bytes, &more);
+            append_frame(&mut sealer, &mut bytes, &more);
         }
         if writer.write_all(&bytes).await.is_err() {
             return;
@@ -162,9 +171,9 @@
     }
 }
 
-fn append(sealer: &mut Sealer, bytes: &mut Vec<u8>, message: &Message) {
+fn append_frame(sealer: &mut Sealer, bytes: &mut Vec<u8>, message: &Message) {
     match sealer.seal_next(message) {
         Ok(frame) => frames::append(bytes, &frame),
-        Err(error) => log::error!(target: "peers", "message can't be sent: {error}"),
+        Err(error) => log::error!(target: "peers", "cannot seal message: {error}"),
     }
 }
--- a/crates/hawthornmill-net/src/peers/udp.rs
+++ b/crates/hawthornmill-net/src/peers/udp.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, probes and reports.
+//! UDP transport for heartbeats, probes and reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,26 +17,31 @@
 use super::handler;
 use crate::fleet::Fleet;
 
-/// Heartbeats between two that carry the sender's contact to everybody.
-const CONTACT_EVERY: u64 = 50;
-/// Heartbeats that say that no more will come; one may be lost.
-const LAST_BEATS: u8 = 3;
-/// Time for which an instance gets heartbeats after it last needed them.
-const LINGER: Duration = Duration::from_secs(30);
-const QUEUE: usize = 1024;
+/// Every so many heartbeats, one carries the sender's contact to all recipients.
+const CONTACT_PERIOD: u64 = 50;
+/// Number of final heartbeats, which say that no more will follow; more than one, since UDP may lose
+/// some.
+const FINAL_HEARTBEATS: u8 = 3;
+/// Time for which an instance still gets heartbeats after it last needed them.
+const RECIPIENT_TTL: Duration = Duration::from_secs(30);
+const QUEUE_CAPACITY: usize = 1024;
 
 /// Starts the tasks that send and receive datagrams.
 pub fn start(fleet: &Arc<Fleet>, socket: UdpSocket) {
     let socket = Arc::new(socket);
-    let (sender, receiver) = mpsc::channel(QUEUE);
+    let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
     fleet.outgoing.set_datagrams(sender);
-    tokio::spawn(send(Arc::clone(fleet), Arc::clone(&socket), receiver));
-    tokio::spawn(receive(Arc::clone(fleet), socket));
-    tokio::spawn(beat(Arc::clone(fleet)));
-    tokio::spawn(report(Arc::clone(fleet)));
+    tokio::spawn(send_datagrams(
+        Arc::clone(fleet),
+        Arc::clone(&socket),
+        receiver,
+    ));
+    tokio::spawn(receive_datagrams(Arc::clone(fleet), socket));
+    tokio::spawn(send_heartbeats(Arc::clone(fleet)));
+    tokio::spawn(send_reports(Arc::clone(fleet)));
 }
 
-async fn send(
+async fn send_datagrams(
     fleet: Arc<Fleet>,
     socket: Arc<UdpSocket>,
     mut queue: mpsc::Receiver<(InstanceId, Message)>,
@@ -51,7 +56,7 @@
             continue;
         };
         if frame.len() > MAX_DATAGRAM_BYTES {
-            log::warn!(target: "peers", "datagram of {} bytes over one packet", frame.len());
+            log::warn!(target: "peers", "datagram of {} bytes exceeds one packet", frame.len());
         }
         if socket.send_to(&frame, address).await.is_ok() {
             fleet.outgoing.add_sent_bytes(frame.len(), cross_region);
@@ -67,13 +72,13 @@
     })
 }
 
-async fn receive(fleet: Arc<Fleet>, socket: Arc<UdpSocket>) {
+async fn receive_datagrams(fleet: Arc<Fleet>, socket: Arc<UdpSocket>) {
     let me = fleet.view(hawthornmill::blackboard::Blackboard::me);
     let mut opener = Opener::new(fleet.settings.key, me.0);
     let mut buffer = vec![0; 65_536];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
-            // An unreachable peer shows as an error on the next receive; the socket is still good.
+            // An earlier send to an unreachable peer fails here; the socket is still usable.
             tokio::task::yield_now().await;
             continue;
         };
@@ -84,89 +89,94 @@
     }
 }
 
-/// An instance that is sent heartbeats.
+/// Heartbeat state of one recipient.
 #[derive(Debug, Clone, Copy)]
-struct Partner {
-    /// When it last needed them.
-    needed: Instant,
-    /// Last heartbeats that it is due after that.
-    last: u8,
+struct Recipient {
+    /// When it last needed heartbeats.
+    needed_at: Instant,
+    /// Final heartbeats that are still to be sent to it.
+    final_left: u8,
 }
 
-/// Instances that are sent heartbeats.
+/// Instances that this one sends heartbeats to.
 ///
-/// Whoever gets heartbeats expects the next one. An instance that works with another only now and
-/// then keeps getting them for [`LINGER`], and one that needs no more hears so. Otherwise it takes the
-/// silence for a death, works out owners anew, and takes it back with the next relayed report.
-type Partners = BTreeMap<InstanceId, Partner>;
+/// A recipient expects another heartbeat after each one. An instance that needs them only now and then
+/// keeps getting them for [`RECIPIENT_TTL`], and final heartbeats announce the end. Otherwise it would
+/// consider the sender down, reassign pool owners, and revert that at the next relayed report.
+type Recipients = BTreeMap<InstanceId, Recipient>;
 
-/// Sends heartbeats, the more seldom the more instances need them, and at once when something about
-/// this instance changed.
-async fn beat(fleet: Arc<Fleet>) {
+/// Sends heartbeats at an interval that grows with the number of recipients, and at once after a
+/// change of this instance's state.
+async fn send_heartbeats(fleet: Arc<Fleet>) {
     let mut count = 0_u64;
-    let mut partners = Partners::new();
+    let mut recipients = Recipients::new();
     let mut due = tokio::time::Instant::now();
     loop {
         tokio::select! {
             () = tokio::time::sleep_until(due) => {}
             () = fleet.heartbeat_now.notified() => {}
         }
-        due = tokio::time::Instant::now() + beat_all(&fleet, &mut partners, count);
+        due = tokio::time::Instant::now() + send_round(&fleet, &mut recipients, count);
         count += 1;
     }
 }
 
-/// Sends one heartbeat to everybody who needs one and returns the time until the next.
-fn beat_all(fleet: &Fleet, partners: &mut Partners, count: u64) -> Duration {
+/// Sends one heartbeat to each recipient and returns the time until the next round.
+fn send_round(fleet: &Fleet, recipients: &mut Recipients, count: u64) -> Duration {
     let now = fleet.clock.now();
-    let platform = fleet.platform.is_reachable(now);
+    let platform_reachable = fleet.platform.is_reachable(now);
     let needed = fleet.view(|board| heartbeat_targets(board, count as u32));
     for id in needed {
-        let fresh = Partner {
-            needed: now,
-            last: LAST_BEATS,
+        let recipient = Recipient {
+            needed_at: now,
+            final_left: FINAL_HEARTBEATS,
         };
-        partners.insert(id, fresh);
+        recipients.insert(id, recipient);
     }
-    let interval = heartbeat_interval(fleet.settings.heartbeat_interval, partners.len());
-    let (beat, silent) = fleet.view(|board| {
-        let silent = |id: &&InstanceId| !board.members.is_live(**id);
-        let silent: BTreeSet<InstanceId> = partners.keys().filter(silent).copied().collect();
-        (heartbeat(board, interval, platform, now), silent)
+    let interval = heartbeat_interval(fleet.settings.heartbeat_interval, recipients.len());
+    let (template, down) = fleet.view(|board| {
+        let is_down = |id: &&InstanceId| !board.members.is_live(**id);
+        let down: BTreeSet<InstanceId> = recipients.keys().filter(is_down).copied().collect();
+        (heartbeat(board, interval, platform_reachable, now), down)
     });
-    partners.retain(|to, partner| {
-        let tell = count.is_multiple_of(CONTACT_EVERY) || silent.contains(to);
-        let contact = tell.then(|| Box::new(fleet.settings.contact.clone()));
-        let mut beat = Heartbeat {
+    recipients.retain(|to, recipient| {
+        let with_contact = count.is_multiple_of(CONTACT_PERIOD) || down.contains(to);
+        let contact = with_contact.then(|| Box::new(fleet.settings.contact.clone()));
+        let mut heartbeat = Heartbeat {
             contact,
-            ..beat.clone()
+            ..template.clone()
         };
-        if now.duration_since(partner.needed) > LINGER {
-            beat.interval_ms = 0;
-            partner.last -= 1;
+        if now.duration_since(recipient.needed_at) > RECIPIENT_TTL {
+            heartbeat.interval_ms = 0;
+            recipient.final_left -= 1;
         }
-        fleet.outgoing.send(*to, Message::Heartbeat(beat));
-        partner.last > 0
+        fleet.outgoing.send(*to, Message::Heartbeat(heartbeat));
+        recipient.final_left > 0
     });
     interval
 }
 
-fn heartbeat(board: &Blackboard, interval: Duration, platform: bool, now: Instant) -> Heartbeat {
-    let sign = board
+fn heartbeat(
+    board: &Blackboard,
+    interval: Duration,
+    platform_reachable: bool,
+    now: Instant,
+) -> Heartbeat {
+    let liveness = board
         .members
         .own_liveness(board.config.revision, interval, now);
     Heartbeat {
-        leaving: sign.leaving,
-        revision: sign.revision,
+        leaving: liveness.leaving,
+        revision: liveness.revision,
         interval_ms: interval.as_millis() as u16,
-        steady_tenths: sign.stable_tenths,
-        platform_reachable: platform,
+        steady_tenths: liveness.stable_tenths,
+        platform_reachable,
         roster_digest: board.roster.digest(),
         contact: None,
     }
 }
 
-async fn report(fleet: Arc<Fleet>) {
+async fn send_reports(fleet: Arc<Fleet>) {
     let mut timer = tokio::time::interval(fleet.settings.tuning.report);
     loop {
         timer.tick().await;
