--- a/crates/hawthornmill-net/src/platform.rs
+++ b/crates/hawthornmill-net/src/platform.rs
@@ -176,10 +176,10 @@
             // The platform may answer a watch at once with an older revision; don't ask again without
             // a delay.
             PollOutcome::Unchanged if !fleet.ready.load(Ordering::Relaxed) => {
-                sleep_jittered(RETRY_DELAYS[0]).await
+                sleep_jittered(RETRY_DELAYS[0]).await;
             }
             PollOutcome::Unchanged if role == Role::Fallback => {
-                sleep_jittered(FALLBACK_INTERVAL).await
+                sleep_jittered(FALLBACK_INTERVAL).await;
             }
             PollOutcome::Unchanged if early => sleep_jittered(RETRY_DELAYS[1]).await,
             PollOutcome::Installed | PollOutcome::Unchanged => {}
