--- a/crates/hawthornmill-net/src/api/addresses.rs
+++ b/crates/hawthornmill-net/src/api/addresses.rs
@@ -17,7 +17,7 @@
         "addresses": addresses,
         "ttl_ms": remaining_ttl_ms(fleet, discovery.ttl),
         "key_prefix": fresh_prefix(fleet),
-        "key_ttl_ms": remaining_ttl_ms(fleet, discovery.keys),
+        "key_ttl_ms": remaining_ttl_ms(fleet, discovery.key_ttl),
     })
 }
 
@@ -27,7 +27,7 @@
 /// prefix nor the addresses may outlast it.
 fn remaining_ttl_ms(fleet: &Fleet, ttl: Duration) -> u64 {
     let remaining = fleet
-        .closing
+        .closes_at
         .get()
         .map(|at| at.saturating_duration_since(fleet.clock.now()));
     remaining.unwrap_or(ttl).min(ttl).as_millis() as u64
--- a/crates/hawthornmill-net/src/api/call.rs
+++ b/crates/hawthornmill-net/src/api/call.rs
@@ -17,7 +17,7 @@
 use super::problem::Problem;
 use super::stream::{self, CallerConnection};
 use super::{accounting, addresses, body, idempotency, retries};
-use crate::fleet::{Fleet, SlotGuard, Ticket};
+use crate::fleet::{Fleet, QueuedRequest, SlotGuard};
 use crate::upstream::{Outbound, SendError, passed_on};
 
 /// Response header with which a server announces that it is shutting down.
@@ -30,7 +30,7 @@
 impl InFlightGuard {
     /// Counts one more call as in flight.
     pub fn new(fleet: &Arc<Fleet>) -> Self {
-        fleet.flying.fetch_add(1, Ordering::SeqCst);
+        fleet.in_flight.fetch_add(1, Ordering::SeqCst);
         Self(Arc::clone(fleet))
     }
 
@@ -42,7 +42,7 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.flying.fetch_sub(1, Ordering::SeqCst);
+        self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
@@ -75,7 +75,7 @@
         let problem = Problem::not_run(code, &id).with_retry_after(retry_delay(fleet, &admitted));
         return reject(fleet, &with_key_outcome(fleet, request, problem));
     }
-    let body = match body::read(body, fleet.settings.limits.body).await {
+    let body = match body::read(body, fleet.settings.limits.body_bytes).await {
         Ok(body) => body,
         Err(code) => {
             let problem = with_key_outcome(fleet, request, Problem::not_run(code, &id));
@@ -188,12 +188,12 @@
 pub(super) async fn wait_for_slot(
     fleet: &Arc<Fleet>,
     call: &Call,
-    ticket: Result<Ticket, Code>,
+    queued: Result<QueuedRequest, Code>,
 ) -> Result<SlotGuard, Problem> {
     let span = fleet.telemetry.spans.child(&call.span, "wait");
     let started = fleet.clock.now();
-    let result = match ticket {
-        Ok(ticket) => ticket.wait().await,
+    let result = match queued {
+        Ok(queued) => queued.wait().await,
         Err(code) => Err(code),
     };
     drop(span);
@@ -292,7 +292,7 @@
 
 /// Cost of a call that held `slot` until now.
 pub fn call_cost(fleet: &Fleet, call: &Call, slot: &SlotGuard, reported: Option<f64>) -> f64 {
-    let held = fleet.clock.now().duration_since(slot.taken);
+    let held = fleet.clock.now().duration_since(slot.acquired_at);
     match (call.admitted.cost, reported) {
         (CostKind::Reported, Some(cost)) => cost,
         (CostKind::Time, _) => held.as_secs_f64() * 1000.0,
--- a/crates/hawthornmill-net/src/api/idempotency.rs
+++ b/crates/hawthornmill-net/src/api/idempotency.rs
@@ -139,7 +139,7 @@
             Problem::new(Code::NotReady, Outcome::Unknown, &id).with_attempt(Outcome::NotRun);
         return Err(problem.with_retry_after(SOCKET_DRAIN_TIME));
     }
-    let ttl = fleet.settings.discovery.keys;
+    let ttl = fleet.settings.discovery.key_ttl;
     let account_key: AccountKey = (call.admitted.account, key.into());
     let deadline = call.admitted.deadline;
     let digest = request_digest(&call);
--- a/crates/hawthornmill-net/src/api/key_store.rs
+++ b/crates/hawthornmill-net/src/api/key_store.rs
@@ -30,7 +30,7 @@
     pub fn new(limits: &Limits) -> Self {
         Self {
             state: Mutex::new(KeyState {
-                table: KeyTable::new(limits.keys, limits.kept),
+                table: KeyTable::new(limits.max_keys, limits.kept_bytes),
                 running: BTreeMap::new(),
             }),
         }
--- a/crates/hawthornmill-net/src/api/retries.rs
+++ b/crates/hawthornmill-net/src/api/retries.rs
@@ -74,8 +74,8 @@
             avoided.push(server);
         }
         tokio::time::sleep(pause).await;
-        let ticket = fleet.requeue(arrival(call), call.admitted.arrived, avoided.clone());
-        guard = AttemptGuard::new(fleet, call, wait_for_slot(fleet, call, ticket).await?);
+        let queued = fleet.requeue(arrival(call), call.admitted.arrived, avoided.clone());
+        guard = AttemptGuard::new(fleet, call, wait_for_slot(fleet, call, queued).await?);
     }
     unreachable!("the retry policy limits the number of attempts")
 }
--- a/crates/hawthornmill-net/src/api/status.rs
+++ b/crates/hawthornmill-net/src/api/status.rs
@@ -15,7 +15,7 @@
 /// compared in constant time, so the comparison leaks nothing about the token.
 fn is_operator(fleet: &Fleet, headers: &HeaderMap) -> bool {
     let token = super::admission::bearer_token(headers).map(|t| blake3::hash(t.as_bytes()));
-    let expected = fleet.settings.operators.map(blake3::Hash::from_bytes);
+    let expected = fleet.settings.token_hash.map(blake3::Hash::from_bytes);
     token.is_some() && token == expected
 }
 
@@ -40,11 +40,11 @@
     }
     let outgoing = &fleet.outgoing;
     status["ready"] = super::routes::is_ready(fleet).into();
-    status["flying"] = fleet.flying.load(Ordering::Relaxed).into();
-    status["peer_bytes"] = outgoing.sent.load(Ordering::Relaxed).into();
-    status["peer_bytes_far"] = outgoing.sent_far.load(Ordering::Relaxed).into();
-    status["peer_dropped"] = outgoing.dropped.load(Ordering::Relaxed).into();
-    status["peer_refused"] = outgoing.refused.load(Ordering::Relaxed).into();
+    status["flying"] = fleet.in_flight.load(Ordering::Relaxed).into();
+    status["peer_bytes"] = outgoing.sent_bytes.load(Ordering::Relaxed).into();
+    status["peer_bytes_far"] = outgoing.cross_region_bytes.load(Ordering::Relaxed).into();
+    status["peer_dropped"] = outgoing.dropped_messages.load(Ordering::Relaxed).into();
+    status["peer_refused"] = outgoing.rejected_frames.load(Ordering::Relaxed).into();
     status["keys"] = fleet.home.lock().table.len().into();
     status
 }
--- a/crates/hawthornmill-net/src/telemetry/gauges.rs
+++ b/crates/hawthornmill-net/src/telemetry/gauges.rs
@@ -17,7 +17,7 @@
         o.observe(f.view(|b| b.config.revision), &[]);
     });
     gauge(fleet, "in_flight", |f, o| {
-        o.observe(f.flying.load(Ordering::Relaxed) as u64, &[]);
+        o.observe(f.in_flight.load(Ordering::Relaxed) as u64, &[]);
     });
     gauge(fleet, "stale", |f, o| {
         o.observe(f.view(|b| u64::from(b.stale_since.is_some())), &[]);
@@ -31,10 +31,14 @@
     gauge(fleet, "waiting", |f, o| f.view(|b| waiting(b, o)));
     gauge(fleet, "slots_granted", |f, o| slots(f, o, false));
     gauge(fleet, "slots_idle", |f, o| slots(f, o, true));
-    counter(fleet, "peer_bytes", |f| &f.outgoing.sent);
-    counter(fleet, "peer_bytes_far", |f| &f.outgoing.sent_far);
-    counter(fleet, "peer_messages_dropped", |f| &f.outgoing.dropped);
-    counter(fleet, "peer_frames_refused", |f| &f.outgoing.refused);
+    counter(fleet, "peer_bytes", |f| &f.outgoing.sent_bytes);
+    counter(fleet, "peer_bytes_far", |f| &f.outgoing.cross_region_bytes);
+    counter(fleet, "peer_messages_dropped", |f| {
+        &f.outgoing.dropped_messages
+    });
+    counter(fleet, "peer_frames_refused", |f| {
+        &f.outgoing.rejected_frames
+    });
 }
 
 fn gauge(
