--- a/crates/hawthornmill-lab/src/standin/engine.rs
+++ b/crates/hawthornmill-lab/src/standin/engine.rs
@@ -15,7 +15,7 @@
 
 use bytes::Bytes;
 use futures_util::{Stream, StreamExt};
-use hawthornmill_net::connections::{Connections, Cutter};
+use hawthornmill_net::connections::{AbortHandle, Connections};
 use poem::http::StatusCode;
 use poem::web::{Data, Json};
 use poem::{Body, Endpoint, EndpointExt, Request, Response, Route, get, handler, post};
@@ -172,7 +172,7 @@
     let fault = engine.faults().pop_front();
     let stream = Tokens {
         fault,
-        cutter: connections.cutter(request),
+        abort_handle: connections.abort_handle(request),
         left: match fault {
             Some(EngineFault::Cut(n) | EngineFault::End(n) | EngineFault::Stall(n)) => n,
             _ => usize::MAX,
@@ -199,7 +199,7 @@
 struct Tokens {
     engine: Arc<Engine>,
     fault: Option<EngineFault>,
-    cutter: Cutter,
+    abort_handle: AbortHandle,
     left: usize,
     asked: Generate,
     next: u32,
@@ -215,7 +215,7 @@
         if self.left == 0 {
             return match self.fault {
                 Some(EngineFault::Cut(_)) => {
-                    self.cutter.cut();
+                    self.abort_handle.abort();
                     Poll::Ready(Some(Err(std::io::Error::other("cut on demand"))))
                 }
                 Some(EngineFault::End(_)) => Poll::Ready(None),
--- a/crates/hawthornmill-net/src/connections.rs
+++ b/crates/hawthornmill-net/src/connections.rs
@@ -37,20 +37,20 @@
     }
 
     /// What breaks the connection of `request` off.
-    pub fn cutter(&self, request: &Request) -> Cutter {
+    pub fn abort_handle(&self, request: &Request) -> AbortHandle {
         // HTTP/2 resets the one stream whose body failed; others share its connection.
         if request.version() == Version::HTTP_2 {
-            return Cutter::default();
+            return AbortHandle::default();
         }
         let address = request.remote_addr().as_socket_addr();
-        Cutter {
+        AbortHandle {
             mark: address.and_then(|a| self.lock().get(a).map(Arc::clone)),
         }
     }
 
     /// Accepts connections of `listener`.
-    pub fn acceptor(&self, listener: TcpListener) -> CuttableAcceptor {
-        CuttableAcceptor {
+    pub fn acceptor(&self, listener: TcpListener) -> AbortableAcceptor {
+        AbortableAcceptor {
             listener,
             connections: self.clone(),
         }
@@ -59,13 +59,13 @@
 
 /// Breaks one connection off.
 #[derive(Debug, Default, Clone)]
-pub struct Cutter {
+pub struct AbortHandle {
     mark: Option<Arc<AtomicBool>>,
 }
 
-impl Cutter {
+impl AbortHandle {
     /// Nothing more is written to the connection.
-    pub fn cut(&self) {
+    pub fn abort(&self) {
         if let Some(mark) = &self.mark {
             mark.store(true, Ordering::SeqCst);
         }
@@ -74,12 +74,12 @@
 
 /// Accepts connections that can be broken off.
 #[derive(Debug)]
-pub struct CuttableAcceptor {
+pub struct AbortableAcceptor {
     listener: TcpListener,
     connections: Connections,
 }
 
-impl Acceptor for CuttableAcceptor {
+impl Acceptor for AbortableAcceptor {
     type Io = Connection;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
--- a/crates/hawthornmill-net/src/entry/call.rs
+++ b/crates/hawthornmill-net/src/entry/call.rs
@@ -90,8 +90,16 @@
     }
     match retries::run(fleet, &call).await {
         Ok((slot, answer)) => {
-            let cutter = fleet.connections.cutter(request);
-            stream::answer(call, slot, answer, Delivery { flying, cutter })
+            let abort_handle = fleet.connections.abort_handle(request);
+            stream::answer(
+                call,
+                slot,
+                answer,
+                Delivery {
+                    flying,
+                    abort_handle,
+                },
+            )
         }
         Err(problem) => refuse(fleet, &problem),
     }
--- a/crates/hawthornmill-net/src/entry/stream.rs
+++ b/crates/hawthornmill-net/src/entry/stream.rs
@@ -23,7 +23,7 @@
 use super::problem::Problem;
 use super::record::Tried;
 use super::relay::{Finished, finish, reported};
-use crate::connections::Cutter;
+use crate::connections::AbortHandle;
 use crate::fleet::{Fleet, SlotGuard};
 use crate::upstream::{REQUEST_ID, Tail, passed_on};
 
@@ -62,7 +62,7 @@
     /// Counts the call as in flight.
     pub flying: Flying,
     /// Breaks the caller's connection off.
-    pub cutter: Cutter,
+    pub abort_handle: AbortHandle,
 }
 
 impl Relayed {
@@ -102,7 +102,7 @@
     /// Ends the caller's stream so that the cut shows.
     fn cut(&mut self, why: &str) -> io::Error {
         self.source = Source::Over;
-        self.delivery.cutter.cut();
+        self.delivery.abort_handle.abort();
         io::Error::other(why)
     }
 
