--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -183,7 +183,7 @@
         for (pool, server, address) in targets {
             let fleet = Arc::clone(&fleet);
             tokio::spawn(async move {
-                if let Some(load) = fleet.upstream.load(&address).await {
+                if let Some(load) = fleet.upstream.fetch_load(&address).await {
                     fleet.feed(|board, _| {
                         owner::on_load_reading(board, pool, server, load.running);
                         owner::on_leaving_reading(board, pool, server, load.leaving);
--- a/crates/hawthornmill-net/src/entry/call.rs
+++ b/crates/hawthornmill-net/src/entry/call.rs
@@ -18,7 +18,7 @@
 use super::stream::{self, Delivery};
 use super::{addresses, body, keyed, record, retries};
 use crate::fleet::{Fleet, SlotGuard, Ticket};
-use crate::upstream::{Outbound, SendError, passed_on};
+use crate::upstream::{OutboundRequest, SendError, forwarded_headers};
 
 /// Answer header with which a server says that it is about to go.
 const LEAVING: &str = "hawthornmill-leaving";
@@ -52,7 +52,7 @@
     /// What was let in.
     pub admitted: Admitted,
     /// What goes to the server.
-    pub out: Outbound,
+    pub out: OutboundRequest,
     /// Span of the call.
     pub span: Context,
     /// The caller's `Authorization`, for the home of a key; no server sees it.
@@ -126,10 +126,10 @@
     id: Box<str>,
 ) -> Call {
     let span = fleet.telemetry.spans.call(request.headers(), &id);
-    let out = Outbound {
+    let out = OutboundRequest {
         method: request.method().clone(),
         path: admitted.path.clone(),
-        headers: passed_on(request.headers()),
+        headers: forwarded_headers(request.headers()),
         body,
         id,
     };
@@ -262,7 +262,7 @@
             slot.set_failed();
             Err(Problem::not_run(Code::UpstreamUnreachable, &call.out.id))
         }
-        Ok(Err(SendError::Broken(code))) => Err(Problem::new(code, Outcome::Unknown, &call.out.id)),
+        Ok(Err(SendError::Failed(code))) => Err(Problem::new(code, Outcome::Unknown, &call.out.id)),
         Err(_elapsed) => Err(Problem::new(
             Code::DeadlineWhileRunning,
             Outcome::Unknown,
--- a/crates/hawthornmill-net/src/entry/keyed.rs
+++ b/crates/hawthornmill-net/src/entry/keyed.rs
@@ -27,7 +27,7 @@
 use super::relay::{self, Finished};
 use super::stream as answer_stream;
 use crate::fleet::{Fleet, SlotGuard};
-use crate::upstream::REQUEST_ID;
+use crate::upstream::REQUEST_ID_HEADER;
 
 /// Header with the caller's key.
 pub const KEY: &str = "idempotency-key";
@@ -252,7 +252,7 @@
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let mut response = Response::builder()
         .status(status)
-        .header(REQUEST_ID, &*answer.request_id);
+        .header(REQUEST_ID_HEADER, &*answer.request_id);
     if let Some(kind) = &answer.content_type {
         response = response.content_type(kind);
     }
@@ -378,7 +378,7 @@
     );
     let sent = fleet
         .upstream
-        .client()
+        .unpooled_client()
         .request(call.out.method.clone(), url)
         .headers(call.out.headers.clone())
         .header(KEY, text)
@@ -399,8 +399,8 @@
         }
     })?;
     let status = answer.status();
-    let headers = crate::upstream::passed_on(answer.headers());
-    let named = answer.headers().get(REQUEST_ID).cloned();
+    let headers = crate::upstream::forwarded_headers(answer.headers());
+    let named = answer.headers().get(REQUEST_ID_HEADER).cloned();
     let body = answer
         .bytes()
         .await
@@ -408,7 +408,7 @@
     let mut response = Response::builder().status(status).body(body);
     response.headers_mut().extend(headers);
     if let Some(named) = named {
-        response.headers_mut().insert(REQUEST_ID, named);
+        response.headers_mut().insert(REQUEST_ID_HEADER, named);
     }
     Ok(response)
 }
--- a/crates/hawthornmill-net/src/entry/problem.rs
+++ b/crates/hawthornmill-net/src/entry/problem.rs
@@ -6,7 +6,7 @@
 use poem::Response;
 use poem::http::StatusCode;
 
-use crate::upstream::REQUEST_ID;
+use crate::upstream::REQUEST_ID_HEADER;
 
 /// A refusal.
 #[derive(Debug, Clone)]
@@ -101,7 +101,7 @@
         }
         let mut answer = Response::builder()
             .status(status)
-            .header(REQUEST_ID, &*self.request);
+            .header(REQUEST_ID_HEADER, &*self.request);
         if let Some(after) = self.retry {
             body["retry_after_ms"] = (after.as_millis() as u64).into();
             // The header counts whole seconds; the body says it to the millisecond.
--- a/crates/hawthornmill-net/src/entry/relay.rs
+++ b/crates/hawthornmill-net/src/entry/relay.rs
@@ -3,7 +3,7 @@
 use hawthornmill::codes::Outcome;
 
 pub use super::record::finish;
-use crate::upstream::COST;
+use crate::upstream::COST_HEADER;
 
 /// How a call ended.
 #[derive(Debug, Clone, Copy)]
@@ -16,7 +16,7 @@
 
 /// The cost that the head of an answer reports.
 pub fn reported(answer: &reqwest::Response) -> Option<f64> {
-    let value = answer.headers().get(COST)?.to_str().ok()?;
+    let value = answer.headers().get(COST_HEADER)?.to_str().ok()?;
     value
         .parse()
         .ok()
--- a/crates/hawthornmill-net/src/entry/stream.rs
+++ b/crates/hawthornmill-net/src/entry/stream.rs
@@ -25,7 +25,7 @@
 use super::relay::{Finished, finish, reported};
 use crate::connections::AbortHandle;
 use crate::fleet::{Fleet, SlotGuard};
-use crate::upstream::{REQUEST_ID, Tail, passed_on};
+use crate::upstream::{REQUEST_ID_HEADER, ResponseTail, forwarded_headers};
 
 /// Times that one answer is resumed at most.
 const RESUMES: u32 = 3;
@@ -49,7 +49,7 @@
     done: bool,
     splice: ResumeFilter,
     resumes: u32,
-    tail: Tail,
+    tail: ResponseTail,
     reported: Option<f64>,
     silence: Pin<Box<Sleep>>,
     silent: bool,
@@ -128,7 +128,7 @@
 
     fn take_up(&mut self, slot: SlotGuard, answer: reqwest::Response) {
         self.reported = reported(&answer);
-        self.tail = Tail::default();
+        self.tail = ResponseTail::default();
         self.slot = Some(slot);
         self.silent = false;
         self.source = Source::Chunks(Box::pin(answer.bytes_stream()));
@@ -266,9 +266,11 @@
 ) -> Response {
     let mut response = Response::builder()
         .status(answer.status())
-        .header(REQUEST_ID, &*call.out.id)
+        .header(REQUEST_ID_HEADER, &*call.out.id)
         .finish();
-    response.headers_mut().extend(passed_on(answer.headers()));
+    response
+        .headers_mut()
+        .extend(forwarded_headers(answer.headers()));
     let length = answer.headers().get("content-length").cloned();
     if let Some(length) = length {
         response.headers_mut().insert("content-length", length);
@@ -282,7 +284,7 @@
         done,
         splice: ResumeFilter::default(),
         resumes: 0,
-        tail: Tail::default(),
+        tail: ResponseTail::default(),
         reported: reported(&answer),
         silence: Box::pin(sleep(call.admitted.answer.idle_timeout)),
         silent: false,
--- a/crates/hawthornmill-net/src/platform.rs
+++ b/crates/hawthornmill-net/src/platform.rs
@@ -90,7 +90,7 @@
 
 async fn get(fleet: &Fleet, path: &str, limit: usize, wait: Duration) -> Option<Vec<u8>> {
     let url = format!("http://{}{path}", fleet.settings.platform);
-    let request = fleet.upstream.client().get(url).timeout(wait);
+    let request = fleet.upstream.unpooled_client().get(url).timeout(wait);
     let mut answer = request.send().await.ok()?;
     if !answer.status().is_success() {
         return None;
--- a/crates/hawthornmill-net/src/upstream.rs
+++ b/crates/hawthornmill-net/src/upstream.rs
@@ -7,9 +7,9 @@
 use poem::http::{HeaderMap, HeaderName, Method};
 
 /// Header that carries the request id on every hop; servers repeat it in their answers.
-pub const REQUEST_ID: &str = "hawthornmill-request-id";
+pub const REQUEST_ID_HEADER: &str = "hawthornmill-request-id";
 /// Header in which a server may report the cost of a call.
-pub const COST: &str = "hawthornmill-cost";
+pub const COST_HEADER: &str = "hawthornmill-cost";
 /// Time to connect to a server on the same network.
 const CONNECT: Duration = Duration::from_millis(800);
 /// Bytes at the end of an answer in which a reported cost is looked for.
@@ -33,7 +33,7 @@
 
 /// A request as it goes to a server.
 #[derive(Debug, Clone)]
-pub struct Outbound {
+pub struct OutboundRequest {
     /// Method.
     pub method: Method,
     /// Path and query, starting with `/`.
@@ -52,12 +52,12 @@
     /// No connection was made, so no byte left.
     Unreachable,
     /// The connection broke or the answer can't be used; the server may have run the request.
-    Broken(Code),
+    Failed(Code),
 }
 
 /// What a server reports of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Deserialize)]
-pub struct Load {
+pub struct ServerLoad {
     /// Requests that it runs.
     pub running: u16,
     /// It is about to go and wants no new work.
@@ -104,7 +104,7 @@
     pub async fn send(
         &self,
         address: &str,
-        out: &Outbound,
+        out: &OutboundRequest,
         once: bool,
     ) -> Result<reqwest::Response, SendError> {
         let client = if once { &self.single } else { &self.pooled };
@@ -112,24 +112,24 @@
         let request = client
             .request(out.method.clone(), url)
             .headers(out.headers.clone())
-            .header(REQUEST_ID, &*out.id)
+            .header(REQUEST_ID_HEADER, &*out.id)
             .body(out.body.clone());
         let answer = request.send().await.map_err(|error| {
             if error.is_connect() || error.is_builder() {
                 SendError::Unreachable
             } else {
-                SendError::Broken(Code::UpstreamFailed)
+                SendError::Failed(Code::UpstreamFailed)
             }
         })?;
-        let named = answer.headers().get(REQUEST_ID);
+        let named = answer.headers().get(REQUEST_ID_HEADER);
         if named.is_some_and(|id| id.as_bytes() != out.id.as_bytes()) {
-            return Err(SendError::Broken(Code::ResponseMismatch));
+            return Err(SendError::Failed(Code::ResponseMismatch));
         }
         Ok(answer)
     }
 
     /// Reads what a server reports of itself.
-    pub async fn load(&self, address: &str) -> Option<Load> {
+    pub async fn fetch_load(&self, address: &str) -> Option<ServerLoad> {
         let url = format!("http://{address}/load");
         let request = self.pooled.get(url).timeout(Duration::from_millis(500));
         let bytes = request.send().await.ok()?.bytes().await.ok()?;
@@ -137,7 +137,7 @@
     }
 
     /// Client for other instances.
-    pub fn client(&self) -> &reqwest::Client {
+    pub fn unpooled_client(&self) -> &reqwest::Client {
         &self.single
     }
 }
@@ -149,7 +149,7 @@
 }
 
 /// Headers of `from` that are passed on.
-pub fn passed_on(from: &HeaderMap) -> HeaderMap {
+pub fn forwarded_headers(from: &HeaderMap) -> HeaderMap {
     from.iter()
         .filter(|(name, _)| passes(name))
         .map(|(name, value)| (name.clone(), value.clone()))
@@ -162,11 +162,11 @@
 
 /// The last bytes of an answer, in which a server may report the cost.
 #[derive(Debug, Clone, Default)]
-pub struct Tail {
+pub struct ResponseTail {
     bytes: Vec<u8>,
 }
 
-impl Tail {
+impl ResponseTail {
     /// Takes the next part of the answer.
     pub fn push(&mut self, chunk: &[u8]) {
         let from = chunk.len().saturating_sub(TAIL);
