--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -22,7 +22,7 @@
 use crate::platform;
 use crate::settings::Settings;
 use crate::sockets::bind_http;
-use crate::telemetry::usage::MARK;
+use crate::telemetry::usage::CHECKPOINT_INTERVAL;
 use crate::telemetry::{Telemetry, gauges, logs};
 
 const TICK: Duration = Duration::from_millis(20);
@@ -129,7 +129,7 @@
         timer.tick().await;
         fleet.feed(|board, now| {
             // Before the tick, which forgets what it settles.
-            fleet.telemetry.usage.causes().observe(board, now);
+            fleet.telemetry.usage.wait_tracker().observe(board, now);
             tick::tick(board, now);
         });
         fleet.find_ready();
@@ -137,7 +137,7 @@
 }
 
 async fn marks(fleet: Arc<Fleet>) {
-    let mut timer = tokio::time::interval(MARK);
+    let mut timer = tokio::time::interval(CHECKPOINT_INTERVAL);
     loop {
         timer.tick().await;
         mark(&fleet, false);
@@ -146,7 +146,10 @@
 
 fn mark(fleet: &Fleet, end: bool) {
     let name = &fleet.settings.contact.name;
-    fleet.telemetry.usage.mark(name, fleet.incarnation.0, end);
+    fleet
+        .telemetry
+        .usage
+        .write_checkpoint(name, fleet.incarnation.0, end);
 }
 
 /// Forgets what nobody can ask for any more.
--- a/crates/hawthornmill-net/src/entry/record.rs
+++ b/crates/hawthornmill-net/src/entry/record.rs
@@ -73,7 +73,7 @@
     let estimate = estimate(fleet, call);
     let admitted = &call.admitted;
     let open = &fleet.telemetry.usage;
-    open.begin(&admitted.service_name, &admitted.account_name, estimate);
+    open.call_started(&admitted.service_name, &admitted.account_name, estimate);
 }
 
 /// Gives the slot back, charges the call and writes its usage record.
@@ -116,8 +116,8 @@
     fleet
         .telemetry
         .usage
-        .end(&record.service, &record.account, record.estimate);
-    fleet.telemetry.usage.write(record);
+        .call_ended(&record.service, &record.account, record.estimate);
+    fleet.telemetry.usage.write_record(record);
 }
 
 /// Writes the usage record of an admitted call that got no slot; `since` is when it began to wait.
@@ -130,7 +130,7 @@
     record.code = problem.code.number();
     record.reason =
         Reason::from_code(problem.code).unwrap_or_else(|| waited_for(fleet, call, since, now));
-    fleet.telemetry.usage.write(record);
+    fleet.telemetry.usage.write_record(record);
 }
 
 fn millis(from: Instant, to: Instant) -> f64 {
@@ -140,7 +140,7 @@
 fn waited_for(fleet: &Fleet, call: &Call, since: Instant, until: Instant) -> Reason {
     let admitted = &call.admitted;
     fleet.view(|board| {
-        let causes = fleet.telemetry.usage.causes();
+        let causes = fleet.telemetry.usage.wait_tracker();
         causes.reason(board, admitted.service, admitted.account, since, until)
     })
 }
--- a/crates/hawthornmill-net/src/telemetry/mod.rs
+++ b/crates/hawthornmill-net/src/telemetry/mod.rs
@@ -9,7 +9,7 @@
 use crate::settings::TelemetrySettings;
 use metrics::Meters;
 use spans::Spans;
-use usage::Usage;
+use usage::UsageWriter;
 
 /// Logs, spans and metrics of one process.
 #[derive(Debug)]
@@ -19,7 +19,7 @@
     /// Instruments.
     pub meters: Meters,
     /// Usage records.
-    pub usage: Usage,
+    pub usage: UsageWriter,
 }
 
 impl Telemetry {
@@ -28,7 +28,7 @@
         Self {
             spans: Spans::new(settings.spans, instance),
             meters: Meters::new(settings.metrics, instance),
-            usage: Usage::default(),
+            usage: UsageWriter::default(),
         }
     }
 
--- a/crates/hawthornmill-net/src/telemetry/usage.rs
+++ b/crates/hawthornmill-net/src/telemetry/usage.rs
@@ -10,30 +10,30 @@
 use super::logs::RAW;
 
 /// Time between two marks.
-pub const MARK: Duration = Duration::from_millis(500);
+pub const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(500);
 
 type Open = BTreeMap<(Box<str>, Box<str>), (u64, f64)>;
 
 /// Numbers of the records of one process run, and what a mark tells.
 #[derive(Debug, Default)]
-pub struct Usage {
+pub struct UsageWriter {
     last: AtomicU64,
     open: Mutex<Open>,
-    causes: Mutex<WaitTracker>,
+    wait_tracker: Mutex<WaitTracker>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Usage {
+impl UsageWriter {
     /// Why calls waited; the board must be locked first.
-    pub fn causes(&self) -> MutexGuard<'_, WaitTracker> {
-        lock(&self.causes)
+    pub fn wait_tracker(&self) -> MutexGuard<'_, WaitTracker> {
+        lock(&self.wait_tracker)
     }
 
     /// A call of `account` holds a slot.
-    pub fn begin(&self, service: &str, account: &str, estimate: f64) {
+    pub fn call_started(&self, service: &str, account: &str, estimate: f64) {
         let mut open = lock(&self.open);
         let calls = open.entry((service.into(), account.into())).or_default();
         calls.0 += 1;
@@ -41,7 +41,7 @@
     }
 
     /// A call of `account` gave its slot back.
-    pub fn end(&self, service: &str, account: &str, estimate: f64) {
+    pub fn call_ended(&self, service: &str, account: &str, estimate: f64) {
         let mut open = lock(&self.open);
         let key = (service.into(), account.into());
         if let Some(calls) = open.get_mut(&key) {
@@ -54,7 +54,7 @@
     }
 
     /// Writes a record; its number follows the one before without a gap.
-    pub fn write(&self, mut record: UsageRecord) {
+    pub fn write_record(&self, mut record: UsageRecord) {
         record.seq = self.last.fetch_add(1, Ordering::Relaxed) + 1;
         print(&UsageLine::Usage { usage: record });
     }
@@ -62,8 +62,8 @@
     /// Writes how far the numbers went and what is in flight.
     ///
     /// A process that is killed can't say how many records it wrote or what it was about to write.
-    /// The last mark says it for it, at most [`MARK`] old.
-    pub fn mark(&self, entry: &str, incarnation: u64, end: bool) {
+    /// The last mark says it for it, at most [`CHECKPOINT_INTERVAL`] old.
+    pub fn write_checkpoint(&self, entry: &str, incarnation: u64, end: bool) {
         let open = lock(&self.open)
             .iter()
             .map(|((service, account), (calls, estimate))| OpenCalls {
