--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -71,7 +71,7 @@
         Ok(sockets) => sockets,
         Err(faults) => return report(&faults),
     };
-    if logs::start(settings.telemetry.level).is_err() {
+    if logs::init(settings.telemetry.level).is_err() {
         eprintln!("logging can't start");
         return 1;
     }
@@ -85,7 +85,7 @@
         telemetry,
     );
     log::info!(target: "daemon", "instance {} starts", fleet.settings.contact.name);
-    gauges::start(&fleet);
+    gauges::register(&fleet);
     udp::start(&fleet, sockets.udp);
     tcp::start(&fleet, sockets.tcp);
     platform::start(&fleet);
--- a/crates/hawthornmill-net/src/entry/call.rs
+++ b/crates/hawthornmill-net/src/entry/call.rs
@@ -125,7 +125,7 @@
     body: Bytes,
     id: Box<str>,
 ) -> Call {
-    let span = fleet.telemetry.spans.call(request.headers(), &id);
+    let span = fleet.telemetry.spans.start_call(request.headers(), &id);
     let out = OutboundRequest {
         method: request.method().clone(),
         path: admitted.path.clone(),
@@ -151,7 +151,7 @@
 /// Counts a call by its result.
 pub fn count(fleet: &Fleet, code: u16) {
     let attribute = opentelemetry::KeyValue::new("code", i64::from(code));
-    fleet.telemetry.meters.calls.add(1, &[attribute]);
+    fleet.telemetry.instruments.calls.add(1, &[attribute]);
 }
 
 fn refusal(fleet: &Fleet, code: Code, words: Option<Box<str>>, id: &str) -> Problem {
@@ -198,7 +198,7 @@
     call: &Call,
     ticket: Result<Ticket, Code>,
 ) -> Result<SlotGuard, Problem> {
-    let span = fleet.telemetry.spans.child(&call.span, "wait");
+    let span = fleet.telemetry.spans.start_child(&call.span, "wait");
     let since = fleet.clock.now();
     let result = match ticket {
         Ok(ticket) => ticket.wait().await,
@@ -249,9 +249,12 @@
         // connection is made below, so no byte has left.
         return Err(Problem::not_run(Code::DeadlinePassed, &call.out.id));
     }
-    let span = fleet.telemetry.spans.child(&call.span, "server");
+    let span = fleet.telemetry.spans.start_child(&call.span, "server");
     let mut out = call.out.clone();
-    fleet.telemetry.spans.carry(&span, &mut out.headers);
+    fleet
+        .telemetry
+        .spans
+        .inject_context(&span, &mut out.headers);
     let sent = tokio::time::timeout(left, fleet.upstream.send(&address, &out, once)).await;
     match sent {
         Ok(Ok(answer)) => {
--- a/crates/hawthornmill-net/src/entry/record.rs
+++ b/crates/hawthornmill-net/src/entry/record.rs
@@ -93,9 +93,11 @@
     slot.set_cost(cost);
     count(fleet, finished.code);
     let waited = slot.taken.duration_since(slot.dispatch.arrived);
-    let meters = &fleet.telemetry.meters;
-    meters.waited.record(waited.as_secs_f64() * 1000.0, &[]);
-    meters.cost.record(cost, &[]);
+    let instruments = &fleet.telemetry.instruments;
+    instruments
+        .wait_ms
+        .record(waited.as_secs_f64() * 1000.0, &[]);
+    instruments.cost.record(cost, &[]);
     let (server, owner) = names(fleet, &slot);
     let mut record = blank(fleet, call);
     record.server = server;
--- a/crates/hawthornmill-net/src/telemetry/gauges.rs
+++ b/crates/hawthornmill-net/src/telemetry/gauges.rs
@@ -12,7 +12,7 @@
 type Observer<'a> = &'a dyn AsyncInstrument<u64>;
 
 /// Starts every gauge of `fleet`; they read nothing once the fleet is gone.
-pub fn start(fleet: &Arc<Fleet>) {
+pub fn register(fleet: &Arc<Fleet>) {
     gauge(fleet, "revision", |f, o| {
         o.observe(f.view(|b| b.config.revision), &[]);
     });
@@ -43,7 +43,7 @@
     read: impl Fn(&Fleet, Observer<'_>) + Send + Sync + 'static,
 ) {
     let weak: Weak<Fleet> = Arc::downgrade(fleet);
-    let meter = &fleet.telemetry.meters.meter;
+    let meter = &fleet.telemetry.instruments.meter;
     // The provider keeps the instrument and its callback.
     let _kept = meter
         .u64_observable_gauge(name)
@@ -57,7 +57,7 @@
 
 fn counter(fleet: &Arc<Fleet>, name: &'static str, read: fn(&Fleet) -> &AtomicU64) {
     let weak: Weak<Fleet> = Arc::downgrade(fleet);
-    let meter = &fleet.telemetry.meters.meter;
+    let meter = &fleet.telemetry.instruments.meter;
     let _kept = meter
         .u64_observable_counter(name)
         .with_callback(move |observer| {
--- a/crates/hawthornmill-net/src/telemetry/logs.rs
+++ b/crates/hawthornmill-net/src/telemetry/logs.rs
@@ -8,13 +8,13 @@
 use log4rs::encode::pattern::PatternEncoder;
 
 /// Target of lines that are JSON objects already: usage records, spans and metrics.
-pub const RAW: &str = "raw";
+pub const RAW_TARGET: &str = "raw";
 
 /// Starts logging to standard output.
 ///
 /// # Errors
 /// [`Code::BadValue`] when the library refuses the configuration or logging runs already.
-pub fn start(level: LevelFilter) -> Result<(), Code> {
+pub fn init(level: LevelFilter) -> Result<(), Code> {
     let lines = ConsoleAppender::builder()
         .encoder(Box::new(JsonEncoder::new()))
         .build();
@@ -28,7 +28,7 @@
             Logger::builder()
                 .additive(false)
                 .appender("raw")
-                .build(RAW, LevelFilter::Info),
+                .build(RAW_TARGET, LevelFilter::Info),
         )
         .build(Root::builder().appender("lines").build(level))
         .map_err(|_faults| Code::BadValue)?;
--- a/crates/hawthornmill-net/src/telemetry/metrics.rs
+++ b/crates/hawthornmill-net/src/telemetry/metrics.rs
@@ -8,7 +8,7 @@
 use opentelemetry_sdk::metrics::exporter::PushMetricExporter;
 use opentelemetry_sdk::metrics::{PeriodicReader, SdkMeterProvider, Temporality};
 
-use super::logs::RAW;
+use super::logs::RAW_TARGET;
 
 #[derive(Debug)]
 struct LineExporter {
@@ -28,7 +28,7 @@
                         "attributes": attributes,
                         "value": value,
                     });
-                    log::info!(target: RAW, "{line}");
+                    log::info!(target: RAW_TARGET, "{line}");
                 }
             }
         }
@@ -79,19 +79,19 @@
 
 /// The instruments of one process.
 #[derive(Debug)]
-pub struct Meters {
+pub struct Instruments {
     provider: SdkMeterProvider,
     /// Makes further instruments.
     pub meter: Meter,
     /// Calls by result code; 0 for a whole answer.
     pub calls: Counter<u64>,
     /// Milliseconds that calls waited for a slot.
-    pub waited: Histogram<f64>,
+    pub wait_ms: Histogram<f64>,
     /// Cost charged, in the services' units.
     pub cost: Histogram<f64>,
 }
 
-impl Meters {
+impl Instruments {
     /// Instruments whose values are written every `interval`.
     pub fn new(interval: Duration, instance: &str) -> Self {
         let exporter = LineExporter {
@@ -104,7 +104,7 @@
         let meter = provider.meter("hawthornmill");
         Self {
             calls: meter.u64_counter("calls").build(),
-            waited: meter.f64_histogram("waited").with_unit("ms").build(),
+            wait_ms: meter.f64_histogram("waited").with_unit("ms").build(),
             cost: meter.f64_histogram("cost").build(),
             meter,
             provider,
--- a/crates/hawthornmill-net/src/telemetry/mod.rs
+++ b/crates/hawthornmill-net/src/telemetry/mod.rs
@@ -7,27 +7,27 @@
 pub mod usage;
 
 use crate::settings::TelemetrySettings;
-use metrics::Meters;
-use spans::Spans;
+use metrics::Instruments;
+use spans::SpanRecorder;
 use usage::UsageWriter;
 
 /// Logs, spans and metrics of one process.
 #[derive(Debug)]
 pub struct Telemetry {
-    /// Spans of calls.
-    pub spans: Spans,
+    /// SpanRecorder of calls.
+    pub spans: SpanRecorder,
     /// Instruments.
-    pub meters: Meters,
+    pub instruments: Instruments,
     /// Usage records.
     pub usage: UsageWriter,
 }
 
 impl Telemetry {
-    /// Starts spans and metrics; logs are started by [`logs::start`].
+    /// Starts spans and metrics; logs are started by [`logs::init`].
     pub fn new(settings: &TelemetrySettings, instance: &str) -> Self {
         Self {
-            spans: Spans::new(settings.spans, instance),
-            meters: Meters::new(settings.metrics, instance),
+            spans: SpanRecorder::new(settings.spans, instance),
+            instruments: Instruments::new(settings.metrics, instance),
             usage: UsageWriter::default(),
         }
     }
@@ -35,7 +35,7 @@
     /// Writes what is still held back.
     pub fn flush(&self) {
         self.spans.flush();
-        self.meters.flush();
+        self.instruments.flush();
         log::logger().flush();
     }
 }
--- a/crates/hawthornmill-net/src/telemetry/spans.rs
+++ b/crates/hawthornmill-net/src/telemetry/spans.rs
@@ -10,7 +10,7 @@
 use opentelemetry_sdk::trace::{Sampler, SdkTracer, SdkTracerProvider, SpanData, SpanExporter};
 use poem::http::{HeaderMap, HeaderName, HeaderValue};
 
-use super::logs::RAW;
+use super::logs::RAW_TARGET;
 
 /// Writes spans as JSON lines.
 #[derive(Debug, Clone)]
@@ -21,7 +21,7 @@
 impl SpanExporter for LineExporter {
     async fn export(&self, batch: Vec<SpanData>) -> OTelSdkResult {
         for span in batch {
-            log::info!(target: RAW, "{}", line(&self.instance, &span));
+            log::info!(target: RAW_TARGET, "{}", line(&self.instance, &span));
         }
         Ok(())
     }
@@ -56,13 +56,13 @@
 
 /// The tracer of one process.
 #[derive(Debug)]
-pub struct Spans {
+pub struct SpanRecorder {
     provider: SdkTracerProvider,
     tracer: SdkTracer,
     propagator: TraceContextPropagator,
 }
 
-impl Spans {
+impl SpanRecorder {
     /// Records the part `ratio` of traces that begin here, and every trace that a caller records.
     pub fn new(ratio: f64, instance: &str) -> Self {
         let sampler = Sampler::ParentBased(Box::new(Sampler::TraceIdRatioBased(ratio)));
@@ -80,7 +80,7 @@
     }
 
     /// Starts the span of a call as a child of the caller's, if it sent one.
-    pub fn call(&self, headers: &HeaderMap, request: &str) -> Context {
+    pub fn start_call(&self, headers: &HeaderMap, request: &str) -> Context {
         let parent = self.propagator.extract(&Headers(headers));
         let span = self
             .tracer
@@ -92,7 +92,7 @@
     }
 
     /// Starts a span below `parent`.
-    pub fn child(&self, parent: &Context, name: &'static str) -> Context {
+    pub fn start_child(&self, parent: &Context, name: &'static str) -> Context {
         let span = self
             .tracer
             .span_builder(name)
@@ -102,7 +102,7 @@
     }
 
     /// Writes the `traceparent` of `context` into `headers`.
-    pub fn carry(&self, context: &Context, headers: &mut HeaderMap) {
+    pub fn inject_context(&self, context: &Context, headers: &mut HeaderMap) {
         if context.span().span_context().is_valid() {
             self.propagator
                 .inject_context(context, &mut HeadersMut(headers));
--- a/crates/hawthornmill-net/src/telemetry/usage.rs
+++ b/crates/hawthornmill-net/src/telemetry/usage.rs
@@ -7,7 +7,7 @@
 
 use hawthornmill::usage::{OpenCalls, UsageCheckpoint, UsageLine, UsageRecord, WaitTracker};
 
-use super::logs::RAW;
+use super::logs::RAW_TARGET;
 
 /// Time between two marks.
 pub const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(500);
@@ -89,7 +89,7 @@
 
 fn print(line: &UsageLine) {
     match serde_json::to_string(line) {
-        Ok(text) => log::info!(target: RAW, "{text}"),
+        Ok(text) => log::info!(target: RAW_TARGET, "{text}"),
         Err(error) => log::error!(target: "usage", "line can't be written: {error}"),
     }
 }
