--- a/crates/hawthornmill-gateway/src/daemon.rs
+++ b/crates/hawthornmill-gateway/src/daemon.rs
@@ -7,8 +7,8 @@
 use hawthornmill::clock::Clock;
 use hawthornmill::ini::Diagnostic;
 use hawthornmill::wire::Sealer;
-use hawthornmill_process::run::incarnation;
-use hawthornmill_process::settings::{report, unbound};
+use hawthornmill_process::incarnation::new_incarnation;
+use hawthornmill_process::settings::{bind_error, print_diagnostics};
 use hawthornmill_process::sockets;
 use serde_json::json;
 use tokio::net::{TcpListener, UdpSocket};
@@ -38,7 +38,7 @@
 pub fn main(config: &Path, adapter: Adapter) -> u8 {
     let settings = match Settings::load(config) {
         Ok(settings) => settings,
-        Err(faults) => return report(&faults),
+        Err(faults) => return print_diagnostics(&faults),
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -61,7 +61,7 @@
 
 async fn bind(settings: &Settings) -> Result<Sockets, Vec<Diagnostic>> {
     let bind_tcp =
-        |address| sockets::listen(address).map_err(|e| unbound(&address.to_string(), &e));
+        |address| sockets::listen(address).map_err(|e| bind_error(&address.to_string(), &e));
     let listen = settings.listen;
     let mut endpoints = vec![
         (bind_tcp(listen.ready)?, Endpoint::Ready),
@@ -76,20 +76,20 @@
         peer: bind_tcp(listen.peer)?,
         datagrams: UdpSocket::bind(listen.peer)
             .await
-            .map_err(|e| unbound(&listen.peer.to_string(), &e))?,
+            .map_err(|e| bind_error(&listen.peer.to_string(), &e))?,
     })
 }
 
 async fn run(settings: Settings, config: &Path, adapter: &Adapter) -> u8 {
     let sockets = match bind(&settings).await {
         Ok(sockets) => sockets,
-        Err(faults) => return report(&faults),
+        Err(faults) => return print_diagnostics(&faults),
     };
     let (Ok(signals), Ok(())) = (Signals::new(), event_log::init(settings.level)) else {
         eprintln!("can't install signal handlers or start the log");
         return 1;
     };
-    let gateway = Gateway::new(settings, *adapter, Clock::system(), incarnation());
+    let gateway = Gateway::new(settings, *adapter, Clock::system(), new_incarnation());
     let instance_name = gateway.settings().name.clone();
     event_log::state_change(
         "start",
--- a/crates/hawthornmill-gateway/src/pool.rs
+++ b/crates/hawthornmill-gateway/src/pool.rs
@@ -191,7 +191,7 @@
 /// # Errors
 /// If the connection can't be opened in time.
 pub async fn connect_timeout(address: SocketAddr, time: Duration) -> io::Result<TcpStream> {
-    let socket = sockets::socket(address)?;
+    let socket = sockets::new_socket(address)?;
     let stream = tokio::time::timeout(time, socket.connect(address))
         .await
         .map_err(|_elapsed| io::Error::from(io::ErrorKind::TimedOut))??;
--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -9,8 +9,8 @@
 use hawthornmill::ident::{PoolId, ServerId};
 use hawthornmill::ini::Diagnostic;
 use hawthornmill::pools::{owner, tick};
-use hawthornmill_process::run::incarnation;
-use hawthornmill_process::settings::{report, unbound};
+use hawthornmill_process::incarnation::new_incarnation;
+use hawthornmill_process::settings::{bind_error, print_diagnostics};
 use poem::Server;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
@@ -34,7 +34,7 @@
 pub fn main(config: &Path) -> u8 {
     let settings = match Settings::load(config) {
         Ok(settings) => settings,
-        Err(faults) => return report(&faults),
+        Err(faults) => return print_diagnostics(&faults),
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -58,18 +58,20 @@
 async fn bind(settings: &Settings) -> Result<Sockets, Vec<Diagnostic>> {
     let (http, peer) = (&*settings.contact.http, &*settings.contact.peer);
     Ok(Sockets {
-        http: bind_http(http).map_err(|e| unbound(http, &e))?,
+        http: bind_http(http).map_err(|e| bind_error(http, &e))?,
         tcp: TcpListener::bind(peer)
             .await
-            .map_err(|e| unbound(peer, &e))?,
-        udp: UdpSocket::bind(peer).await.map_err(|e| unbound(peer, &e))?,
+            .map_err(|e| bind_error(peer, &e))?,
+        udp: UdpSocket::bind(peer)
+            .await
+            .map_err(|e| bind_error(peer, &e))?,
     })
 }
 
 async fn run(settings: Settings) -> u8 {
     let sockets = match bind(&settings).await {
         Ok(sockets) => sockets,
-        Err(faults) => return report(&faults),
+        Err(faults) => return print_diagnostics(&faults),
     };
     if logs::init(settings.telemetry.level).is_err() {
         eprintln!("logging can't start");
@@ -80,7 +82,7 @@
     let fleet = Fleet::new(
         settings,
         Clock::system(),
-        incarnation(),
+        new_incarnation(),
         Outgoing::default(),
         telemetry,
     );
--- a/crates/hawthornmill-process/src/lib.rs
+++ b/crates/hawthornmill-process/src/lib.rs
@@ -5,9 +5,9 @@
 //! | [`frames`] | frames with a length before them, on streams between instances |
 //! | [`settings`] | reads a settings file and tells its faults |
 //! | [`sockets`] | listens |
-//! | [`run`] | numbers the runs of a process |
+//! | [`incarnation`] | numbers the runs of a process |
 
 pub mod frames;
-pub mod run;
+pub mod incarnation;
 pub mod settings;
 pub mod sockets;
--- a/crates/hawthornmill-process/src/settings.rs
+++ b/crates/hawthornmill-process/src/settings.rs
@@ -6,7 +6,7 @@
 use hawthornmill::ini::Diagnostic;
 
 /// Exit code of a process whose settings have faults.
-pub const FAULTY: u8 = 2;
+pub const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// Reads the file at `path` and gives its name and text to `parse`.
 ///
@@ -22,7 +22,7 @@
 }
 
 /// The fault of an address that can't be bound, and why.
-pub fn unbound(address: &str, error: &std::io::Error) -> Vec<Diagnostic> {
+pub fn bind_error(address: &str, error: &std::io::Error) -> Vec<Diagnostic> {
     vec![Diagnostic {
         code: Code::BindFailed,
         file: address.into(),
@@ -33,9 +33,9 @@
 }
 
 /// Writes faults to standard error and returns the exit code.
-pub fn report(faults: &[Diagnostic]) -> u8 {
+pub fn print_diagnostics(faults: &[Diagnostic]) -> u8 {
     for fault in faults {
         eprintln!("{fault}");
     }
-    FAULTY
+    EXIT_INVALID_SETTINGS
 }
--- a/crates/hawthornmill-process/src/sockets.rs
+++ b/crates/hawthornmill-process/src/sockets.rs
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 /// When the process has no descriptor left.
-pub fn socket(address: SocketAddr) -> io::Result<TcpSocket> {
+pub fn new_socket(address: SocketAddr) -> io::Result<TcpSocket> {
     match address {
         SocketAddr::V4(_) => TcpSocket::new_v4(),
         SocketAddr::V6(_) => TcpSocket::new_v6(),
@@ -28,7 +28,7 @@
 /// # Errors
 /// When the address is in use or can't be bound.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = socket(address)?;
+    let socket = new_socket(address)?;
     socket.set_reuseaddr(true)?;
     socket.set_nodelay(true)?;
     socket.bind(address)?;
