--- a/crates/hawthornmill-gateway/src/proxy/progress.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -28,7 +28,7 @@
         "lack": decision.unmet_cost, "standing": decision.share.status.log_name(), "lead": decision.share.usage_ratio,
         "asked": decision.usage.requested, "got": decision.usage.served, "registrations": scheduler.registry.latest_revision(),
         "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway),
-        "link_wait_ms": gateway.link.borrow().queueing_delay(now).as_millis() as u64,
+        "link_wait_ms": gateway.link_monitor.borrow().queueing_delay(now).as_millis() as u64,
     });
     event_log::request_problem("refused", &context.request.attempt_id, fields);
 }
--- a/crates/hawthornmill/src/lib.rs
+++ b/crates/hawthornmill/src/lib.rs
@@ -1,6 +1,6 @@
 //! Decision logic of the hawthornmill router fleet, without I/O.
 //!
-//! Every instance runs the same daemon. Its state is one [`board::Board`]: the accepted
+//! Every instance runs the same daemon. Its state is one [`blackboard::Blackboard`]: the accepted
 //! configuration, the members, the queues of waiting requests, the pools that this instance owns,
 //! the fairness ledger, and the outgoing messages. Controllers are plain functions that read and
 //! update the board and take `now` as an argument, so tests run them in a fixed order, without
@@ -14,7 +14,7 @@
 //! | [`limits`] | queue bounds, retry budgets, retry delays |
 //! | [`membership`] | who is live, leaving or dead, and who owns or relays what |
 //! | [`keys`] | at-most-once calls: idempotency keys and the table of their home instance |
-//! | [`notes`] | events that operators should read in the log |
+//! | [`events`] | events that operators should read in the log |
 //! | [`routing`] | the gateway: routes, registered servers, placement, admission |
 //! | [`usage`] | one record for each finished request |
 //! | [`wire`] | typed messages between instances and their authenticated frames |
