--- a/crates/hawthornmill-net/src/api/accounting.rs
+++ b/crates/hawthornmill-net/src/api/accounting.rs
@@ -73,7 +73,7 @@
     let estimate = estimated_cost(fleet, call);
     let admitted = &call.admitted;
     let usage = &fleet.telemetry.usage;
-    usage.begin(&admitted.service_name, &admitted.account_name, estimate);
+    usage.call_started(&admitted.service_name, &admitted.account_name, estimate);
 }
 
 /// Releases the slot, charges the call and writes its usage record.
@@ -93,9 +93,11 @@
     slot.set_cost(cost);
     count_call(fleet, result.code);
     let waited = slot.acquired_at.duration_since(slot.dispatch.arrived);
-    let meters = &fleet.telemetry.meters;
-    meters.waited.record(waited.as_secs_f64() * 1000.0, &[]);
-    meters.cost.record(cost, &[]);
+    let instruments = &fleet.telemetry.instruments;
+    instruments
+        .wait_ms
+        .record(waited.as_secs_f64() * 1000.0, &[]);
+    instruments.cost.record(cost, &[]);
     let (server, owner) = server_and_owner(fleet, &slot);
     let mut record = new_record(fleet, call);
     record.server = server;
@@ -116,8 +118,8 @@
     fleet
         .telemetry
         .usage
-        .end(&record.service, &record.account, record.estimate);
-    fleet.telemetry.usage.write(record);
+        .call_ended(&record.service, &record.account, record.estimate);
+    fleet.telemetry.usage.write_record(record);
 }
 
 /// Writes the usage record of an admitted call that got no slot and waited since `since`.
@@ -130,7 +132,7 @@
     record.code = problem.code.number();
     record.reason =
         Reason::from_code(problem.code).unwrap_or_else(|| wait_reason(fleet, call, since, now));
-    fleet.telemetry.usage.write(record);
+    fleet.telemetry.usage.write_record(record);
 }
 
 fn millis_between(from: Instant, to: Instant) -> f64 {
@@ -140,7 +142,7 @@
 fn wait_reason(fleet: &Fleet, call: &Call, since: Instant, until: Instant) -> Reason {
     let admitted = &call.admitted;
     fleet.view(|board| {
-        let causes = fleet.telemetry.usage.causes();
+        let causes = fleet.telemetry.usage.wait_tracker();
         causes.reason(board, admitted.service, admitted.account, since, until)
     })
 }
--- a/crates/hawthornmill-net/src/api/call.rs
+++ b/crates/hawthornmill-net/src/api/call.rs
@@ -18,7 +18,7 @@
 use super::stream::{self, CallerConnection};
 use super::{accounting, addresses, body, idempotency, retries};
 use crate::fleet::{Fleet, QueuedRequest, SlotGuard};
-use crate::upstream::{Outbound, SendError, passed_on};
+use crate::upstream::{OutboundRequest, SendError, forwarded_headers};
 
 /// Response header with which a server announces that it is shutting down.
 const LEAVING_HEADER: &str = "hawthornmill-leaving";
@@ -52,7 +52,7 @@
     /// The admitted request.
     pub admitted: Admitted,
     /// The request to the server.
-    pub outbound: Outbound,
+    pub outbound: OutboundRequest,
     /// Tracing span of the call.
     pub span: Context,
     /// The caller's `Authorization` header, sent to the home of a key but never to a server.
@@ -90,8 +90,16 @@
     }
     match retries::run(fleet, &call).await {
         Ok((slot, response)) => {
-            let cutter = fleet.connections.cutter(request);
-            stream::respond(call, slot, response, CallerConnection { in_flight, cutter })
+            let abort_handle = fleet.connections.abort_handle(request);
+            stream::respond(
+                call,
+                slot,
+                response,
+                CallerConnection {
+                    in_flight,
+                    abort_handle,
+                },
+            )
         }
         Err(problem) => reject(fleet, &problem),
     }
@@ -117,11 +125,11 @@
     body: Bytes,
     id: Box<str>,
 ) -> Call {
-    let span = fleet.telemetry.spans.call(request.headers(), &id);
-    let outbound = Outbound {
+    let span = fleet.telemetry.spans.start_call(request.headers(), &id);
+    let outbound = OutboundRequest {
         method: request.method().clone(),
         path: admitted.path.clone(),
-        headers: passed_on(request.headers()),
+        headers: forwarded_headers(request.headers()),
         body,
         id,
     };
@@ -143,7 +151,7 @@
 /// Counts a call by its code.
 pub fn count_call(fleet: &Fleet, code: u16) {
     let attribute = opentelemetry::KeyValue::new("code", i64::from(code));
-    fleet.telemetry.meters.calls.add(1, &[attribute]);
+    fleet.telemetry.instruments.calls.add(1, &[attribute]);
 }
 
 fn rejection(fleet: &Fleet, code: Code, detail: Option<Box<str>>, id: &str) -> Problem {
@@ -190,7 +198,7 @@
     call: &Call,
     queued: Result<QueuedRequest, Code>,
 ) -> Result<SlotGuard, Problem> {
-    let span = fleet.telemetry.spans.child(&call.span, "wait");
+    let span = fleet.telemetry.spans.start_child(&call.span, "wait");
     let started = fleet.clock.now();
     let result = match queued {
         Ok(queued) => queued.wait().await,
@@ -245,9 +253,12 @@
         // connection is made below, so no byte was sent.
         return Err(Problem::not_run(Code::DeadlinePassed, &call.outbound.id));
     }
-    let span = fleet.telemetry.spans.child(&call.span, "server");
+    let span = fleet.telemetry.spans.start_child(&call.span, "server");
     let mut outbound = call.outbound.clone();
-    fleet.telemetry.spans.carry(&span, &mut outbound.headers);
+    fleet
+        .telemetry
+        .spans
+        .inject_context(&span, &mut outbound.headers);
     let result = tokio::time::timeout(
         remaining,
         fleet.upstream.send(&address, &outbound, at_most_once),
@@ -265,7 +276,7 @@
                 &call.outbound.id,
             ))
         }
-        Ok(Err(SendError::Broken(code))) => {
+        Ok(Err(SendError::Failed(code))) => {
             Err(Problem::new(code, Outcome::Unknown, &call.outbound.id))
         }
         Err(_elapsed) => Err(Problem::new(
--- a/crates/hawthornmill-net/src/api/call_result.rs
+++ b/crates/hawthornmill-net/src/api/call_result.rs
@@ -3,7 +3,7 @@
 use hawthornmill::codes::Outcome;
 
 pub use super::accounting::finish;
-use crate::upstream::COST;
+use crate::upstream::COST_HEADER;
 
 /// The result of a call.
 #[derive(Debug, Clone, Copy)]
@@ -16,7 +16,7 @@
 
 /// Returns the cost that a response's headers report.
 pub fn reported_cost(response: &reqwest::Response) -> Option<f64> {
-    let value = response.headers().get(COST)?.to_str().ok()?;
+    let value = response.headers().get(COST_HEADER)?.to_str().ok()?;
     value
         .parse()
         .ok()
--- a/crates/hawthornmill-net/src/api/idempotency.rs
+++ b/crates/hawthornmill-net/src/api/idempotency.rs
@@ -19,15 +19,14 @@
 use poem::{Body, Request, Response};
 use tokio::sync::watch;
 
-use super::accounting;
 use super::admission::TIMEOUT_HEADER;
 use super::call::{Call, InFlightGuard, acquire_slot, attempt, reject};
 use super::call_result::{self, CallResult};
 use super::key_store::fresh_prefix;
 use super::problem::Problem;
-use super::stream as response_stream;
+use super::{accounting, stream as response_stream};
 use crate::fleet::{Fleet, SlotGuard};
-use crate::upstream::REQUEST_ID;
+use crate::upstream::REQUEST_ID_HEADER;
 
 /// Header with the caller's idempotency key.
 pub const KEY_HEADER: &str = "idempotency-key";
@@ -257,7 +256,7 @@
     let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
     let mut response = Response::builder()
         .status(status)
-        .header(REQUEST_ID, &*stored.request_id);
+        .header(REQUEST_ID_HEADER, &*stored.request_id);
     if let Some(kind) = &stored.content_type {
         response = response.content_type(kind);
     }
@@ -384,7 +383,7 @@
     );
     let result = fleet
         .upstream
-        .client()
+        .unpooled_client()
         .request(call.outbound.method.clone(), url)
         .headers(call.outbound.headers.clone())
         .header(KEY_HEADER, key)
@@ -405,8 +404,8 @@
         }
     })?;
     let status = response.status();
-    let headers = crate::upstream::passed_on(response.headers());
-    let request_id = response.headers().get(REQUEST_ID).cloned();
+    let headers = crate::upstream::forwarded_headers(response.headers());
+    let request_id = response.headers().get(REQUEST_ID_HEADER).cloned();
     let body = response
         .bytes()
         .await
@@ -414,7 +413,7 @@
     let mut response = Response::builder().status(status).body(body);
     response.headers_mut().extend(headers);
     if let Some(request_id) = request_id {
-        response.headers_mut().insert(REQUEST_ID, request_id);
+        response.headers_mut().insert(REQUEST_ID_HEADER, request_id);
     }
     Ok(response)
 }
--- a/crates/hawthornmill-net/src/api/problem.rs
+++ b/crates/hawthornmill-net/src/api/problem.rs
@@ -6,7 +6,7 @@
 use poem::Response;
 use poem::http::StatusCode;
 
-use crate::upstream::REQUEST_ID;
+use crate::upstream::REQUEST_ID_HEADER;
 
 /// An error response.
 #[derive(Debug, Clone)]
@@ -101,7 +101,7 @@
         }
         let mut response = Response::builder()
             .status(status)
-            .header(REQUEST_ID, &*self.request_id);
+            .header(REQUEST_ID_HEADER, &*self.request_id);
         if let Some(delay) = self.retry_after {
             body["retry_after_ms"] = (delay.as_millis() as u64).into();
             // The header holds whole seconds; the body has the delay in milliseconds.
--- a/crates/hawthornmill-net/src/api/stream.rs
+++ b/crates/hawthornmill-net/src/api/stream.rs
@@ -23,9 +23,9 @@
 use super::call::{Call, InFlightGuard, acquire_slot, attempt};
 use super::call_result::{CallResult, finish, reported_cost};
 use super::problem::Problem;
-use crate::connections::Cutter;
+use crate::connections::AbortHandle;
 use crate::fleet::{Fleet, SlotGuard};
-use crate::upstream::{REQUEST_ID, Tail, passed_on};
+use crate::upstream::{REQUEST_ID_HEADER, ResponseTail, forwarded_headers};
 
 /// Maximum number of times that one response is resumed.
 const MAX_RESUMES: u32 = 3;
@@ -49,7 +49,7 @@
     requires_last_line: bool,
     resume_filter: ResumeFilter,
     resumes: u32,
-    tail: Tail,
+    tail: ResponseTail,
     reported: Option<f64>,
     idle_timer: Pin<Box<Sleep>>,
     is_idle: bool,
@@ -62,7 +62,7 @@
     /// Counts the call as in flight.
     pub in_flight: InFlightGuard,
     /// Aborts the caller's connection.
-    pub cutter: Cutter,
+    pub abort_handle: AbortHandle,
 }
 
 impl ResponseStream {
@@ -103,7 +103,7 @@
     /// Aborts the caller's connection so that the truncation is visible, and ends the stream.
     fn abort(&mut self, reason: &str) -> io::Error {
         self.source = Source::Finished;
-        self.connection.cutter.cut();
+        self.connection.abort_handle.abort();
         io::Error::other(reason)
     }
 
@@ -129,7 +129,7 @@
 
     fn continue_with(&mut self, slot: SlotGuard, response: reqwest::Response) {
         self.reported = reported_cost(&response);
-        self.tail = Tail::default();
+        self.tail = ResponseTail::default();
         self.slot = Some(slot);
         self.is_idle = false;
         self.source = Source::Chunks(Box::pin(response.bytes_stream()));
@@ -270,9 +270,11 @@
 ) -> Response {
     let mut response = Response::builder()
         .status(upstream.status())
-        .header(REQUEST_ID, &*call.outbound.id)
+        .header(REQUEST_ID_HEADER, &*call.outbound.id)
         .finish();
-    response.headers_mut().extend(passed_on(upstream.headers()));
+    response
+        .headers_mut()
+        .extend(forwarded_headers(upstream.headers()));
     let length = upstream.headers().get("content-length").cloned();
     if let Some(length) = length {
         response.headers_mut().insert("content-length", length);
@@ -286,7 +288,7 @@
         requires_last_line,
         resume_filter: ResumeFilter::default(),
         resumes: 0,
-        tail: Tail::default(),
+        tail: ResponseTail::default(),
         reported: reported_cost(&upstream),
         idle_timer: Box::pin(sleep(call.admitted.response.idle_timeout)),
         is_idle: false,
--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -9,8 +9,8 @@
 use hawthornmill::ident::{PoolId, ServerId};
 use hawthornmill::ini::Diagnostic;
 use hawthornmill::pools::{owner, tick};
-use hawthornmill_process::run::incarnation;
-use hawthornmill_process::settings::{report, unbound};
+use hawthornmill_process::incarnation::new_incarnation;
+use hawthornmill_process::settings::{bind_error, print_diagnostics};
 use poem::Server;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
@@ -22,7 +22,7 @@
 use crate::platform;
 use crate::settings::Settings;
 use crate::sockets::bind_http;
-use crate::telemetry::usage::MARK;
+use crate::telemetry::usage::CHECKPOINT_INTERVAL;
 use crate::telemetry::{Telemetry, gauges, logs};
 
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
@@ -34,7 +34,7 @@
 pub fn main(config: &Path) -> u8 {
     let settings = match Settings::load(config) {
         Ok(settings) => settings,
-        Err(faults) => return report(&faults),
+        Err(faults) => return print_diagnostics(&faults),
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -58,20 +58,22 @@
 async fn bind(settings: &Settings) -> Result<Sockets, Vec<Diagnostic>> {
     let (http, peer) = (&*settings.contact.http, &*settings.contact.peer);
     Ok(Sockets {
-        http: bind_http(http).map_err(|e| unbound(http, &e))?,
+        http: bind_http(http).map_err(|e| bind_error(http, &e))?,
         tcp: TcpListener::bind(peer)
             .await
-            .map_err(|e| unbound(peer, &e))?,
-        udp: UdpSocket::bind(peer).await.map_err(|e| unbound(peer, &e))?,
+            .map_err(|e| bind_error(peer, &e))?,
+        udp: UdpSocket::bind(peer)
+            .await
+            .map_err(|e| bind_error(peer, &e))?,
     })
 }
 
 async fn run(settings: Settings) -> u8 {
     let sockets = match bind(&settings).await {
         Ok(sockets) => sockets,
-        Err(faults) => return report(&faults),
+        Err(faults) => return print_diagnostics(&faults),
     };
-    if logs::start(settings.telemetry.level).is_err() {
+    if logs::init(settings.telemetry.level).is_err() {
         eprintln!("cannot start logging");
         return 1;
     }
@@ -80,12 +82,12 @@
     let fleet = Fleet::new(
         settings,
         Clock::system(),
-        incarnation(),
+        new_incarnation(),
         Outgoing::default(),
         telemetry,
     );
     log::info!(target: "daemon", "instance {} starts", fleet.settings.contact.name);
-    gauges::start(&fleet);
+    gauges::register(&fleet);
     udp::start(&fleet, sockets.udp);
     tcp::start(&fleet, sockets.tcp);
     platform::start(&fleet);
@@ -129,7 +131,7 @@
         timer.tick().await;
         fleet.feed(|board, now| {
             // This must come first, since the tick removes the state of what it completes.
-            fleet.telemetry.usage.causes().observe(board, now);
+            fleet.telemetry.usage.wait_tracker().observe(board, now);
             tick::tick(board, now);
         });
         fleet.update_readiness();
@@ -137,7 +139,7 @@
 }
 
 async fn write_checkpoints(fleet: Arc<Fleet>) {
-    let mut timer = tokio::time::interval(MARK);
+    let mut timer = tokio::time::interval(CHECKPOINT_INTERVAL);
     loop {
         timer.tick().await;
         write_checkpoint(&fleet, false);
@@ -146,7 +148,10 @@
 
 fn write_checkpoint(fleet: &Fleet, end: bool) {
     let name = &fleet.settings.contact.name;
-    fleet.telemetry.usage.mark(name, fleet.incarnation.0, end);
+    fleet
+        .telemetry
+        .usage
+        .write_checkpoint(name, fleet.incarnation.0, end);
 }
 
 /// Removes expired keys, and retry budgets of services and servers that are no longer configured.
@@ -183,7 +188,7 @@
         for (pool, server, address) in targets {
             let fleet = Arc::clone(&fleet);
             tokio::spawn(async move {
-                if let Some(load) = fleet.upstream.load(&address).await {
+                if let Some(load) = fleet.upstream.fetch_load(&address).await {
                     fleet.feed(|board, _| {
                         owner::on_load_reading(board, pool, server, load.running);
                         owner::on_leaving_reading(board, pool, server, load.leaving);
--- a/crates/hawthornmill-net/src/platform.rs
+++ b/crates/hawthornmill-net/src/platform.rs
@@ -91,7 +91,7 @@
 
 async fn get(fleet: &Fleet, path: &str, max_bytes: usize, timeout: Duration) -> Option<Vec<u8>> {
     let url = format!("http://{}{path}", fleet.settings.platform);
-    let request = fleet.upstream.client().get(url).timeout(timeout);
+    let request = fleet.upstream.unpooled_client().get(url).timeout(timeout);
     let mut response = request.send().await.ok()?;
     if !response.status().is_success() {
         return None;
