--- a/crates/hawthornmill-tools/src/explain/mod.rs
+++ b/crates/hawthornmill-tools/src/explain/mod.rs
@@ -39,7 +39,7 @@
 
 /// Everything that the tool tells.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Explained {
+pub struct UsageReport {
     /// Intervals in the order of time.
     pub intervals: Vec<Interval>,
     /// What each process run left out.
@@ -52,7 +52,7 @@
     pub unreadable: u64,
 }
 
-impl Explained {
+impl UsageReport {
     /// Works out everything from `log`, in intervals of `seconds`.
     pub fn new(log: &UsageLog, seconds: u64) -> Self {
         Self {
@@ -65,7 +65,7 @@
     }
 
     /// Tells whether every record is there.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.missing.is_empty() && self.unreadable == 0
     }
 }
@@ -78,7 +78,7 @@
         return request::main(&id.to_string_lossy(), files, args.json);
     }
     match run(args) {
-        Ok(explained) if explained.is_whole() => 0,
+        Ok(explained) if explained.is_complete() => 0,
         Ok(_) => 1,
         Err(fault) => {
             eprintln!("{fault}");
@@ -87,13 +87,13 @@
     }
 }
 
-fn run(args: &ExplainArgs) -> Result<Explained, Diagnostic> {
+fn run(args: &ExplainArgs) -> Result<UsageReport, Diagnostic> {
     let mut log = UsageLog::default();
     for file in &args.files {
         read::read_file(file, &mut log)
             .map_err(|e| Diagnostic::unreadable(file, &e.to_string()))?;
     }
-    let explained = Explained::new(&log, args.interval);
+    let explained = UsageReport::new(&log, args.interval);
     if let Some(file) = &args.plot {
         // Steps of a second show what an interval's sum hides.
         let steps = intervals(&log, 1000);
--- a/crates/hawthornmill-tools/src/explain/read.rs
+++ b/crates/hawthornmill-tools/src/explain/read.rs
@@ -50,6 +50,6 @@
 ///
 /// # Panics
 /// Never: a usage line has only names and numbers in it.
-pub fn write_line(line: &UsageLine) -> String {
+pub fn format_line(line: &UsageLine) -> String {
     serde_json::to_string(line).expect("names and numbers can be written")
 }
--- a/crates/hawthornmill-tools/src/explain/text.rs
+++ b/crates/hawthornmill-tools/src/explain/text.rs
@@ -5,16 +5,16 @@
 
 use hawthornmill::usage::explain::{AccountLine, Interval, summary};
 
-use super::Explained;
+use super::UsageReport;
 
 /// Everything as tables, one for each interval and service.
-pub fn table(explained: &Explained) -> String {
+pub fn table(explained: &UsageReport) -> String {
     let mut out = String::new();
     let _infallible = write_all(&mut out, explained);
     out
 }
 
-fn write_all(out: &mut String, explained: &Explained) -> std::fmt::Result {
+fn write_all(out: &mut String, explained: &UsageReport) -> std::fmt::Result {
     for interval in &explained.intervals {
         let mut services: BTreeMap<&str, Vec<&AccountLine>> = BTreeMap::new();
         for line in &interval.lines {
@@ -33,7 +33,7 @@
     service: &str,
     lines: &[&AccountLine],
     interval: &Interval,
-    explained: &Explained,
+    explained: &UsageReport,
 ) -> std::fmt::Result {
     let seconds = interval.length_ms / 1000;
     let start = utc(interval.start_ms);
@@ -65,7 +65,7 @@
     writeln!(out)
 }
 
-fn write_totals(out: &mut String, explained: &Explained) -> std::fmt::Result {
+fn write_totals(out: &mut String, explained: &UsageReport) -> std::fmt::Result {
     let mut totals: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
     for line in explained.intervals.iter().flat_map(|i| &i.lines) {
         let total = totals.entry(&line.service).or_default();
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-fn write_missing(out: &mut String, explained: &Explained) -> std::fmt::Result {
+fn write_missing(out: &mut String, explained: &UsageReport) -> std::fmt::Result {
     writeln!(
         out,
         "{} process runs, {} duplicates dropped, {} lines unreadable",
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -11,8 +11,8 @@
 use hawthornmill_lab::load::plan::parse;
 use hawthornmill_lab::load::{Plan, Watcher, run};
 use hawthornmill_test_support::procs::{DOMAINS, small_fleet, small_site, start};
-use hawthornmill_tools::explain::read::{read_file, read_text, write_line};
-use hawthornmill_tools::explain::{Explained, plot, text};
+use hawthornmill_tools::explain::read::{format_line, read_file, read_text};
+use hawthornmill_tools::explain::{UsageReport, plot, text};
 use nix::sys::signal::{Signal, kill};
 
 use crate::{ROUTER, block_on};
@@ -44,7 +44,7 @@
 }
 
 fn line(record: UsageRecord) -> String {
-    write_line(&UsageLine::Usage { usage: record })
+    format_line(&UsageLine::Usage { usage: record })
 }
 
 fn mark(entry: &str, seq: u64, at_ms: u64, calls: u64, end: bool) -> String {
@@ -54,7 +54,7 @@
         calls,
         estimate: 100.0 * calls as f64,
     };
-    write_line(&UsageLine::Checkpoint {
+    format_line(&UsageLine::Checkpoint {
         checkpoint: UsageCheckpoint {
             entry: entry.into(),
             incarnation: 7,
@@ -108,14 +108,14 @@
         json.contains("\"kind\":\"usage_mark\",\"mark\":{"),
         "{json}"
     );
-    let explained = Explained::new(&read_text(&small_log()), 10);
+    let explained = UsageReport::new(&read_text(&small_log()), 10);
     let json = serde_json::to_value(&explained.intervals).expect("it can be encoded");
     assert_eq!(json[0]["lines"][0]["owed"], 360.0, "{json}");
 }
 
 #[test]
 fn report_names_shares_reasons_and_missing_records() {
-    let explained = Explained::new(&read_text(&small_log()), 10);
+    let explained = UsageReport::new(&read_text(&small_log()), 10);
 
     insta::assert_snapshot!(text::table(&explained), @r"
 drafting, 10 s from 2026-12-03T00:00:00Z
@@ -152,8 +152,8 @@
     let mut lines: Vec<&str> = text.lines().chain(text.lines()).collect();
     lines.reverse();
 
-    let once = Explained::new(&read_text(&text), 10);
-    let twice = Explained::new(&read_text(&lines.join("\n")), 10);
+    let once = UsageReport::new(&read_text(&text), 10);
+    let twice = UsageReport::new(&read_text(&lines.join("\n")), 10);
 
     assert_eq!(twice.intervals, once.intervals);
     assert_eq!(twice.missing, once.missing);
@@ -203,7 +203,7 @@
     });
     let lines: Vec<String> = alone.chain(both).chain(more).map(line).collect();
 
-    let explained = Explained::new(&read_text(&lines.join("\n")), 60);
+    let explained = UsageReport::new(&read_text(&lines.join("\n")), 60);
 
     let parts = explained.intervals[0].lines.iter().map(|l| &l.part);
     let sums: Vec<(f64, f64)> = parts.map(|p| (p.entitled, p.received)).collect();
@@ -230,7 +230,7 @@
     };
     let lines: Vec<String> = (0..20).flat_map(second).collect();
 
-    let explained = Explained::new(&read_text(&lines.join("\n")), 10);
+    let explained = UsageReport::new(&read_text(&lines.join("\n")), 10);
 
     let lines = explained.intervals.iter().flat_map(|i| &i.lines);
     let parts: Vec<(f64, f64)> = lines.map(|l| (l.part.share, l.part.entitled)).collect();
@@ -255,7 +255,7 @@
     late.waited_ms = 2000.0;
     let lines: Vec<String> = large.chain([late]).map(line).collect();
 
-    let explained = Explained::new(&read_text(&lines.join("\n")), 60);
+    let explained = UsageReport::new(&read_text(&lines.join("\n")), 60);
 
     let parts = explained.intervals.iter().flat_map(|i| &i.lines);
     for part in parts.filter(|l| &*l.account == "small").map(|l| &l.part) {
@@ -265,7 +265,7 @@
 
 #[test]
 fn plot_has_both_lines_of_every_account() {
-    let svg = plot::svg(&Explained::new(&read_text(&small_log()), 1).intervals);
+    let svg = plot::svg(&UsageReport::new(&read_text(&small_log()), 1).intervals);
 
     let svg = svg.expect("the plot can be drawn");
     for word in [
@@ -318,15 +318,15 @@
     sums
 }
 
-fn explain(site: &Site) -> Explained {
+fn explain(site: &Site) -> UsageReport {
     let mut log = UsageLog::default();
     for router in &site.routers {
         read_file(&router.log, &mut log).expect("the log can be read");
     }
-    Explained::new(&log, 60)
+    UsageReport::new(&log, 60)
 }
 
-fn received(explained: &Explained) -> BTreeMap<Box<str>, f64> {
+fn received(explained: &UsageReport) -> BTreeMap<Box<str>, f64> {
     let mut sums: BTreeMap<Box<str>, f64> = BTreeMap::new();
     let lines = explained.intervals.iter().flat_map(|i| &i.lines);
     for line in lines.filter(|l| &*l.service == "drafting") {
@@ -372,7 +372,7 @@
         let lines = explained.intervals.iter().flat_map(|i| &i.lines);
         let cost: f64 = lines.map(|l| l.part.received).sum();
         assert!(cost > 400.0, "{explained:?}");
-        assert!(explained.is_whole(), "{:?}", explained.missing);
+        assert!(explained.is_complete(), "{:?}", explained.missing);
     });
 }
 
@@ -387,7 +387,7 @@
 
         let explained = explain(&site);
 
-        assert!(explained.is_whole(), "{:?}", explained.missing);
+        assert!(explained.is_complete(), "{:?}", explained.missing);
         let (counted, records) = (server_cost(&site), received(&explained));
         assert!(counted.values().sum::<f64>() > 1000.0, "{counted:?}");
         for (account, cost) in &counted {
