--- a/crates/hawthornmill-tools/src/request/mod.rs
+++ b/crates/hawthornmill-tools/src/request/mod.rs
@@ -36,7 +36,7 @@
 
 /// One line of a log that matters.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Line {
+pub struct LogEvent {
     /// Milliseconds of Unix time by the instance's own clock.
     pub time: u64,
     /// What happened.
@@ -47,45 +47,47 @@
 
 /// What one instance did with the request.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Part {
+pub struct InstanceTrace {
     /// The instance, or its log's name where it never said.
     pub instance: Box<str>,
     /// What it believed when the request came, the latest word on each matter.
-    pub believed: Vec<Line>,
+    #[serde(rename = "believed")]
+    pub known_state: Vec<LogEvent>,
     /// The request's own lines in order.
-    pub steps: Vec<Line>,
+    pub steps: Vec<LogEvent>,
     /// Lines that should be there and are not.
     pub missing: Vec<Box<str>>,
 }
 
 /// The story of one request.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Story {
+pub struct RequestTrace {
     /// The request.
     pub request: Box<str>,
     /// One part for each instance that has lines of it, the earliest first.
-    pub parts: Vec<Part>,
+    #[serde(rename = "parts")]
+    pub instances: Vec<InstanceTrace>,
 }
 
 /// Reads one log and takes from it what concerns `request`; none when nothing does.
-pub fn read(name: &str, text: &str, request: &str) -> Option<Part> {
-    let lines: Vec<Line> = text.lines().filter_map(line).collect();
-    let own = |l: &Line| concerns(l, request);
+pub fn read(name: &str, text: &str, request: &str) -> Option<InstanceTrace> {
+    let lines: Vec<LogEvent> = text.lines().filter_map(line).collect();
+    let own = |l: &LogEvent| concerns(l, request);
     let first = lines.iter().position(own)?;
-    let steps: Vec<Line> = lines.iter().filter(|l| own(l)).cloned().collect();
+    let steps: Vec<LogEvent> = lines.iter().filter(|l| own(l)).cloned().collect();
     let before = &lines[..first];
     let started = before.iter().rposition(|l| &*l.event == "start");
     let instance = started.and_then(|at| before[at].fields.get("instance")?.as_str());
-    Some(Part {
+    Some(InstanceTrace {
         instance: instance.unwrap_or(name).into(),
-        believed: believed(&before[started.unwrap_or(0)..], &steps),
+        known_state: known_state(&before[started.unwrap_or(0)..], &steps),
         missing: missing(&lines, &steps, started.is_some()),
         steps,
     })
 }
 
 /// Tells whether a line is about `request`, alone or as one of several.
-fn concerns(line: &Line, request: &str) -> bool {
+fn concerns(line: &LogEvent, request: &str) -> bool {
     let list = line.fields.get(SEVERAL).and_then(Value::as_array);
     let mut several = list.into_iter().flatten();
     line.fields.get("request").and_then(Value::as_str) == Some(request)
@@ -95,7 +97,7 @@
 /// A line of the log; none where there is no object on it.
 ///
 /// The collector of the logs may have put its own words before the object.
-fn line(text: &str) -> Option<Line> {
+fn line(text: &str) -> Option<LogEvent> {
     let object = &text[text.find('{')?..];
     let mut fields: BTreeMap<Box<str>, Value> = serde_json::from_str(object).ok()?;
     let event = fields.remove("event")?.as_str()?.into();
@@ -103,7 +105,7 @@
         .remove("time_ms")
         .and_then(|t| t.as_u64())
         .unwrap_or(0);
-    Some(Line {
+    Some(LogEvent {
         time,
         event,
         fields,
@@ -111,8 +113,8 @@
 }
 
 /// The latest word on each matter.
-fn believed(before: &[Line], steps: &[Line]) -> Vec<Line> {
-    let servers = |l: &Line| -> Vec<Box<str>> {
+fn known_state(before: &[LogEvent], steps: &[LogEvent]) -> Vec<LogEvent> {
+    let servers = |l: &LogEvent| -> Vec<Box<str>> {
         let one = l.fields.get("server").and_then(Value::as_str);
         one.into_iter().map(Into::into).collect()
     };
@@ -139,7 +141,7 @@
     places.into_iter().map(|at| before[at].clone()).collect()
 }
 
-fn missing(all: &[Line], steps: &[Line], started: bool) -> Vec<Box<str>> {
+fn missing(all: &[LogEvent], steps: &[LogEvent], started: bool) -> Vec<Box<str>> {
     let mut missing: Vec<Box<str>> = Vec::new();
     if !started {
         missing.push("the log begins after the process's start".into());
@@ -148,7 +150,7 @@
         missing.push("no last line: the process was killed, or the line was dropped".into());
     }
     let dropped = all.iter().filter(|l| &*l.event == "lines_dropped");
-    let count = |name: &str, l: &Line| l.fields.get(name).and_then(Value::as_u64).unwrap_or(0);
+    let count = |name: &str, l: &LogEvent| l.fields.get(name).and_then(Value::as_u64).unwrap_or(0);
     let total: u64 = dropped
         .map(|l| count("ordinary", l) + count("others", l))
         .sum();
@@ -159,18 +161,18 @@
 }
 
 /// The story as text.
-pub fn text(story: &Story) -> String {
-    let mut text = format!("request {}\n", story.request);
-    if story.parts.is_empty() {
+pub fn render(trace: &RequestTrace) -> String {
+    let mut text = format!("request {}\n", trace.request);
+    if trace.instances.is_empty() {
         text.push_str("  no line of it in these logs\n");
     }
-    if story.parts.len() > 1 {
+    if trace.instances.len() > 1 {
         text.push_str("  lines of several instances; their clocks may differ\n");
     }
-    for part in &story.parts {
+    for part in &trace.instances {
         // Writing to memory can't fail.
         let _ok = write!(text, "\nat {}\n  believed when it came:\n", part.instance);
-        part.believed
+        part.known_state
             .iter()
             .for_each(|l| text.push_str(&show(l, None)));
         text.push_str("  what became of it:\n");
@@ -185,7 +187,7 @@
     text
 }
 
-fn show(line: &Line, begin: Option<u64>) -> String {
+fn show(line: &LogEvent, begin: Option<u64>) -> String {
     let time = match begin {
         Some(begin) => format!("+{} ms", line.time.saturating_sub(begin)),
         None => line.time.to_string(),
@@ -212,20 +214,20 @@
         }
     }
     parts.sort_by_key(|p| p.steps.first().map(|l| l.time));
-    let story = Story {
+    let trace = RequestTrace {
         request: request.into(),
-        parts,
+        instances: parts,
     };
     if json {
-        println!("{}", serde_json::to_string(&story).unwrap_or_default());
+        println!("{}", serde_json::to_string(&trace).unwrap_or_default());
     } else {
-        print!("{}", text(&story));
+        print!("{}", render(&trace));
     }
-    let whole = !story.parts.is_empty() && story.parts.iter().all(|p| p.missing.is_empty());
+    let whole = !trace.instances.is_empty() && trace.instances.iter().all(|p| p.missing.is_empty());
     u8::from(!whole)
 }
 
-fn read_file(file: &Path, request: &str) -> Result<Option<Part>, Diagnostic> {
+fn read_file(file: &Path, request: &str) -> Result<Option<InstanceTrace>, Diagnostic> {
     let name = file.display().to_string();
     let bytes = std::fs::read(file).map_err(|e| Diagnostic::unreadable(file, &e.to_string()))?;
     Ok(read(&name, &String::from_utf8_lossy(&bytes), request))
--- a/tests/testsuite/gateway/fleet.rs
+++ b/tests/testsuite/gateway/fleet.rs
@@ -301,7 +301,7 @@
 
     /// Returns what the gateways logged about the attempt `id`, as text.
     pub fn request_history(&self, id: &str) -> String {
-        let mut parts: Vec<_> = self
+        let mut instances: Vec<_> = self
             .gateways
             .iter()
             .filter_map(|gateway| {
@@ -309,10 +309,10 @@
                 hawthornmill_tools::request::read(&gateway.log.to_string_lossy(), &text, id)
             })
             .collect();
-        parts.sort_by_key(|p| p.steps.first().map(|l| l.time));
-        hawthornmill_tools::request::text(&hawthornmill_tools::request::Story {
+        instances.sort_by_key(|p| p.steps.first().map(|l| l.time));
+        hawthornmill_tools::request::render(&hawthornmill_tools::request::RequestTrace {
             request: id.into(),
-            parts,
+            instances,
         })
     }
 
