--- a/crates/hawthornmill-tools/src/check/catalog.rs
+++ b/crates/hawthornmill-tools/src/check/catalog.rs
@@ -1,4 +1,4 @@
-//! Checks a catalog of the gateway as the platform publishes it, and shows what it would change.
+//! Validates a gateway catalog in the platform's format and compares it with another.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -8,27 +8,27 @@
 use hawthornmill::ini::Diagnostic;
 use hawthornmill::routing::catalog::{Account, Catalog, Route, validate};
 
-/// Reads and checks the catalog in `file`.
+/// Reads and validates the catalog in `file`.
 ///
 /// # Errors
-/// The first fault of the file.
+/// The first error in the file.
 pub fn read(file: &Path) -> Result<Catalog, Vec<Diagnostic>> {
     let bytes =
         std::fs::read(file).map_err(|e| vec![Diagnostic::unreadable(file, &e.to_string())])?;
-    let fault = |code: Code, what: Box<str>| {
+    let diagnostic = |code: Code, message: Box<str>| {
         vec![Diagnostic {
             code,
-            message: what,
+            message,
             ..Diagnostic::unreadable(file, "")
         }]
     };
     let catalog = hawthornmill_platform::catalog::parse(&bytes)
-        .map_err(|what| fault(Code::BadValue, what))?;
-    validate(&catalog).map_err(|(code, what)| fault(code, what))?;
+        .map_err(|message| diagnostic(Code::BadValue, message))?;
+    validate(&catalog).map_err(|(code, message)| diagnostic(code, message))?;
     Ok(catalog)
 }
 
-/// What a catalog holds.
+/// Returns the version of a catalog and the number of its entries.
 pub fn describe(catalog: &Catalog) -> String {
     format!(
         "version {}: {} routes, {} services, {} accounts\n",
@@ -39,24 +39,23 @@
     )
 }
 
-/// What `candidate` would change in place of `present`.
+/// Lists the routes and accounts that differ between `present` and `candidate`.
 pub fn changes(present: &Catalog, candidate: &Catalog) -> String {
     let mut text = String::new();
-    let place = |r: &Route| format!("route {}{}", r.host, r.prefix);
+    let route_key = |r: &Route| format!("route {}{}", r.host, r.prefix);
     let (before, after) = (
-        keyed(&present.routes, place),
-        keyed(&candidate.routes, place),
+        index_by(&present.routes, route_key),
+        index_by(&candidate.routes, route_key),
     );
-    tell(&mut text, &before, &after);
-    let name = |a: &Account| format!("account {}", a.name);
+    write_differences(&mut text, &before, &after);
+    let account_key = |a: &Account| format!("account {}", a.name);
     let (before, after) = (
-        keyed(&present.accounts, name),
-        keyed(&candidate.accounts, name),
+        index_by(&present.accounts, account_key),
+        index_by(&candidate.accounts, account_key),
     );
-    tell(&mut text, &before, &after);
+    write_differences(&mut text, &before, &after);
     if candidate.version <= present.version {
-        // Writing to memory can't fail.
-        let _ok = writeln!(
+        let _infallible = writeln!(
             text,
             "never in force: version {} is not above {}",
             candidate.version, present.version
@@ -65,24 +64,24 @@
     text
 }
 
-fn keyed<T>(list: &[T], key: impl Fn(&T) -> String) -> BTreeMap<String, &T> {
+fn index_by<T>(list: &[T], key: impl Fn(&T) -> String) -> BTreeMap<String, &T> {
     list.iter().map(|entry| (key(entry), entry)).collect()
 }
 
-fn tell<T: PartialEq>(
+fn write_differences<T: PartialEq>(
     text: &mut String,
     before: &BTreeMap<String, &T>,
     after: &BTreeMap<String, &T>,
 ) {
     for (key, entry) in after {
-        let word = match before.get(key) {
+        let change = match before.get(key) {
             None => "added",
             Some(old) if old != entry => "changed",
             Some(_) => continue,
         };
-        let _ok = writeln!(text, "{word}: {key}");
+        let _infallible = writeln!(text, "{change}: {key}");
     }
     for key in before.keys().filter(|k| !after.contains_key(*k)) {
-        let _ok = writeln!(text, "removed: {key}");
+        let _infallible = writeln!(text, "removed: {key}");
     }
 }
--- a/crates/hawthornmill-tools/src/check/mod.rs
+++ b/crates/hawthornmill-tools/src/check/mod.rs
@@ -1,6 +1,6 @@
-//! Checks settings and fleet configurations before they are used.
+//! Validates settings, fleet configurations and catalogs before they are deployed.
 //!
-//! Exit codes: 0 good, 1 good with warnings where `--strict` was given, 2 faults.
+//! Exit codes: 0 valid, 1 valid but with warnings under `--strict`, 2 invalid or unreadable.
 
 mod catalog;
 mod show;
@@ -16,17 +16,17 @@
 use hawthornmill_gateway::settings::Settings as GatewaySettings;
 use hawthornmill_net::settings::Settings;
 
-/// Check settings and fleet configurations. Exit codes: 0 good, 1 good with warnings and --strict,
-/// 2 faults.
+/// Check settings and fleet configurations. Exit codes: 0 valid, 1 valid but with warnings under
+/// --strict, 2 invalid or unreadable.
 #[derive(Debug, FromArgs)]
 pub struct CheckArgs {
     #[argh(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
-enum What {
+enum Command {
     Settings(SettingsArgs),
     Fleet(FleetArgs),
     Token(TokenArgs),
@@ -43,17 +43,17 @@
     file: PathBuf,
 }
 
-/// Check the values of a fleet configuration together.
+/// Check a fleet configuration, all its values together.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "fleet")]
 struct FleetArgs {
     /// files, one for each value
     #[argh(positional)]
     files: Vec<PathBuf>,
-    /// file of the configuration in force, to compare with; once for each value
+    /// file of the configuration in force, to compare with; repeat for each value
     #[argh(option)]
     present: Vec<PathBuf>,
-    /// end with 1 when there are warnings
+    /// exit with 1 when there are warnings
     #[argh(switch)]
     strict: bool,
 }
@@ -67,19 +67,19 @@
     file: PathBuf,
 }
 
-/// Check a catalog of the gateway, as the platform publishes it.
+/// Check a gateway catalog in the platform's format.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "catalog")]
 struct CatalogArgs {
-    /// the catalog
+    /// catalog file
     #[argh(positional)]
     file: PathBuf,
-    /// the catalog in force, to compare with
+    /// file of the catalog in force, to compare with
     #[argh(option)]
     present: Option<PathBuf>,
 }
 
-/// Print the hash of a bearer token, as the configuration holds it.
+/// Print the hash of a bearer token, for the configuration.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "token")]
 struct TokenArgs {
@@ -88,29 +88,29 @@
     token: String,
 }
 
-/// Runs the tool; the result is the process's exit code.
+/// Runs the tool and returns the exit code of the process.
 pub fn main(args: &CheckArgs) -> u8 {
-    let result = match &args.what {
-        What::Settings(args) => Settings::load(&args.file).map(|_| good()),
-        What::Gateway(args) => GatewaySettings::load(&args.file).map(|_| good()),
-        What::Catalog(args) => check_catalog(args),
-        What::Fleet(args) => check_fleet(args),
-        What::Token(args) => Ok(Verdict {
+    let result = match &args.command {
+        Command::Settings(args) => Settings::load(&args.file).map(|_| settings_valid()),
+        Command::Gateway(args) => GatewaySettings::load(&args.file).map(|_| settings_valid()),
+        Command::Catalog(args) => check_catalog(args),
+        Command::Fleet(args) => check_fleet(args),
+        Command::Token(args) => Ok(CheckReport {
             text: format!("{}\n", blake3::hash(args.token.as_bytes()).to_hex()),
-            ..Verdict::default()
+            ..CheckReport::default()
         }),
     };
     match result {
-        Ok(verdict) => {
-            print!("{}", verdict.text);
-            for warning in &verdict.warnings {
+        Ok(report) => {
+            print!("{}", report.text);
+            for warning in &report.warnings {
                 eprintln!("warning: {warning}");
             }
-            u8::from(verdict.strict && !verdict.warnings.is_empty())
+            u8::from(report.strict && !report.warnings.is_empty())
         }
-        Err(faults) => {
-            for fault in faults {
-                eprintln!("{fault}");
+        Err(errors) => {
+            for error in errors {
+                eprintln!("{error}");
             }
             2
         }
@@ -118,59 +118,59 @@
 }
 
 #[derive(Debug, Default)]
-struct Verdict {
+struct CheckReport {
     text: String,
     warnings: Vec<String>,
     strict: bool,
 }
 
-fn good() -> Verdict {
-    Verdict {
+fn settings_valid() -> CheckReport {
+    CheckReport {
         text: "settings are good\n".into(),
-        ..Verdict::default()
+        ..CheckReport::default()
     }
 }
 
-fn check_catalog(args: &CatalogArgs) -> Result<Verdict, Vec<Diagnostic>> {
+fn check_catalog(args: &CatalogArgs) -> Result<CheckReport, Vec<Diagnostic>> {
     let candidate = catalog::read(&args.file)?;
     let mut text = catalog::describe(&candidate);
     if let Some(present) = &args.present {
         text += &catalog::changes(&catalog::read(present)?, &candidate);
     }
-    Ok(Verdict {
+    Ok(CheckReport {
         text,
-        ..Verdict::default()
+        ..CheckReport::default()
     })
 }
 
-fn check_fleet(args: &FleetArgs) -> Result<Verdict, Vec<Diagnostic>> {
+fn check_fleet(args: &FleetArgs) -> Result<CheckReport, Vec<Diagnostic>> {
     let candidate = read_fleet(&args.files)?;
     let mut text = show::describe(&candidate);
     if !args.present.is_empty() {
         let present = read_fleet(&args.present)?;
         text += &show::changes(&compare(&present, &candidate));
     }
-    Ok(Verdict {
+    Ok(CheckReport {
         text,
         warnings: warnings(&candidate),
         strict: args.strict,
     })
 }
 
-/// Reads and checks the values of a fleet configuration.
+/// Reads and validates the values of a fleet configuration.
 ///
 /// # Errors
-/// Every fault of every file.
+/// All errors of all files.
 pub fn read_fleet(files: &[PathBuf]) -> Result<FleetConfig, Vec<Diagnostic>> {
     let mut values = Values::new();
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for file in files {
         let name = file.display().to_string();
         match std::fs::read_to_string(file) {
             Ok(text) => {
                 values.insert(name.into(), text.into());
             }
-            Err(error) => faults.push(Diagnostic {
+            Err(error) => errors.push(Diagnostic {
                 code: Code::FileUnreadable,
                 file: name.into(),
                 line: 0,
@@ -179,8 +179,8 @@
             }),
         }
     }
-    if !faults.is_empty() {
-        return Err(faults);
+    if !errors.is_empty() {
+        return Err(errors);
     }
     accept(&manifest(1, &values), &values)
 }
--- a/crates/hawthornmill-tools/src/check/show.rs
+++ b/crates/hawthornmill-tools/src/check/show.rs
@@ -1,14 +1,14 @@
-//! The text that the tool prints.
+//! Formats a fleet configuration and its changes as text.
 
 use std::fmt::Write;
 
 use hawthornmill::config::FleetConfig;
 use hawthornmill::config::compare::{Access, Comparison};
 
-/// Names that a line lists; the rest is counted.
-const LISTED: usize = 8;
+/// Maximum number of names listed on one line; the others are only counted.
+const MAX_LISTED_NAMES: usize = 8;
 
-/// How much a good configuration holds.
+/// Returns the number of entries of each kind in a valid configuration.
 pub fn describe(config: &FleetConfig) -> String {
     format!(
         "configuration is good: {} accounts, {} services, {} servers, {} grants, {} pools\n",
@@ -20,7 +20,7 @@
     )
 }
 
-/// What a candidate would change.
+/// Lists the accounts that gain or lose servers, and the entitlements that change.
 pub fn changes(comparison: &Comparison) -> String {
     let mut out = String::new();
     let _infallible = write_changes(&mut out, comparison);
@@ -32,12 +32,12 @@
         writeln!(out, "no account gains or loses a server")?;
     }
     for (Access { gained, lost }, accounts) in &comparison.access {
-        writeln!(out, "{}:", list("account", accounts))?;
+        writeln!(out, "{}:", format_names("account", accounts))?;
         if !gained.is_empty() {
-            writeln!(out, "  gained: {}", list("server", gained))?;
+            writeln!(out, "  gained: {}", format_names("server", gained))?;
         }
         if !lost.is_empty() {
-            writeln!(out, "  lost: {}", list("server", lost))?;
+            writeln!(out, "  lost: {}", format_names("server", lost))?;
         }
     }
     if comparison.entitlements.is_empty() {
@@ -65,11 +65,11 @@
     writeln!(out, "  {} others stay as they are", comparison.unchanged)
 }
 
-fn list(what: &str, names: &[Box<str>]) -> String {
-    let more = names.len().saturating_sub(LISTED);
-    let listed: Vec<&str> = names.iter().take(LISTED).map(|n| &**n).collect();
+fn format_names(kind: &str, names: &[Box<str>]) -> String {
+    let more = names.len().saturating_sub(MAX_LISTED_NAMES);
+    let listed: Vec<&str> = names.iter().take(MAX_LISTED_NAMES).map(|n| &**n).collect();
     let plural = if names.len() == 1 { "" } else { "s" };
-    let mut text = format!("{} {what}{plural} ({}", names.len(), listed.join(", "));
+    let mut text = format!("{} {kind}{plural} ({}", names.len(), listed.join(", "));
     if more > 0 {
         let _infallible = write!(text, " and {more} more");
     }
--- a/crates/hawthornmill-tools/src/explain/mod.rs
+++ b/crates/hawthornmill-tools/src/explain/mod.rs
@@ -1,6 +1,6 @@
-//! Explains from routers' logs who was owed and who received what.
+//! Reports from the routers' logs the service that each account was entitled to and received.
 //!
-//! [`read`] finds usage lines among others, [`text`] and [`plot`] show the result.
+//! [`read`] extracts the usage lines from a log; [`text`] and [`plot`] format the report.
 
 pub mod plot;
 pub mod read;
@@ -16,14 +16,14 @@
 use crate::request;
 
 /// Explain from routers' logs what each account was owed and received. Exit codes: 0 nothing is
-/// missing, 1 records are missing or unreadable, 2 a file can't be read or written. With the words
-/// `request ID` before the files it tells what became of one request at the gateways that wrote them.
+/// missing, 1 records are missing or unreadable, 2 a file can't be read or written. With `request ID`
+/// before the files, show what the gateways that wrote them logged about one request.
 #[derive(Debug, FromArgs)]
 pub struct ExplainArgs {
     /// logs of routers; or `request`, a request's id, and logs of gateways
     #[argh(positional)]
     files: Vec<PathBuf>,
-    /// seconds of one interval; default 60
+    /// length of an interval in seconds; default 60
     #[argh(option, default = "60")]
     interval: u64,
     /// print one JSON object
@@ -34,26 +34,27 @@
     plot: Option<PathBuf>,
 }
 
-/// Word before a request's id; a log of this name is given as `./request`.
-const REQUEST: &str = "request";
+/// First argument that selects the trace of one request; a log file of this name is given as
+/// `./request`.
+const REQUEST_COMMAND: &str = "request";
 
-/// Everything that the tool tells.
+/// Usage by interval, and how complete the records are.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct UsageReport {
-    /// Intervals in the order of time.
+    /// Intervals in chronological order.
     pub intervals: Vec<Interval>,
-    /// What each process run left out.
+    /// Missing records of each process run.
     pub missing: Vec<MissingRecords>,
-    /// Process runs from which any line came.
+    /// Number of process runs with at least one usage line.
     pub runs: usize,
-    /// Records that came more than once and were counted once.
+    /// Number of duplicate records that were ignored.
     pub duplicates: u64,
-    /// Usage lines that could not be read.
+    /// Number of usage lines that could not be parsed.
     pub unreadable: u64,
 }
 
 impl UsageReport {
-    /// Works out everything from `log`, in intervals of `seconds`.
+    /// Evaluates `log` in intervals of `seconds`.
     pub fn new(log: &UsageLog, seconds: u64) -> Self {
         Self {
             intervals: intervals(log, seconds.saturating_mul(1000)),
@@ -64,24 +65,24 @@
         }
     }
 
-    /// Tells whether every record is there.
+    /// Returns whether no record is missing or unreadable.
     pub fn is_complete(&self) -> bool {
         self.missing.is_empty() && self.unreadable == 0
     }
 }
 
-/// Runs the tool; the result is the process's exit code.
+/// Runs the tool and returns the exit code of the process.
 pub fn main(args: &ExplainArgs) -> u8 {
-    if let [word, id, files @ ..] = &*args.files
-        && word.as_os_str() == REQUEST
+    if let [command, id, files @ ..] = &*args.files
+        && command.as_os_str() == REQUEST_COMMAND
     {
         return request::main(&id.to_string_lossy(), files, args.json);
     }
     match run(args) {
-        Ok(explained) if explained.is_complete() => 0,
+        Ok(report) if report.is_complete() => 0,
         Ok(_) => 1,
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             2
         }
     }
@@ -93,20 +94,20 @@
         read::read_file(file, &mut log)
             .map_err(|e| Diagnostic::unreadable(file, &e.to_string()))?;
     }
-    let explained = UsageReport::new(&log, args.interval);
+    let report = UsageReport::new(&log, args.interval);
     if let Some(file) = &args.plot {
-        // Steps of a second show what an interval's sum hides.
-        let steps = intervals(&log, 1000);
+        // One point per second shows changes that the sum over an interval hides.
+        let seconds = intervals(&log, 1000);
         std::fs::write(
             file,
-            plot::svg(&steps).map_err(|e| Diagnostic::unreadable(file, &e))?,
+            plot::svg(&seconds).map_err(|e| Diagnostic::unreadable(file, &e))?,
         )
         .map_err(|e| Diagnostic::unreadable(file, &e.to_string()))?;
     }
     if args.json {
-        println!("{}", serde_json::to_string(&explained).unwrap_or_default());
+        println!("{}", serde_json::to_string(&report).unwrap_or_default());
     } else {
-        print!("{}", text::table(&explained));
+        print!("{}", text::table(&report));
     }
-    Ok(explained)
+    Ok(report)
 }
--- a/crates/hawthornmill-tools/src/explain/read.rs
+++ b/crates/hawthornmill-tools/src/explain/read.rs
@@ -1,8 +1,8 @@
-//! Finds usage lines in a router's log.
+//! Extracts usage records from a router's log.
 //!
-//! A log holds other lines too, and may begin or end in the middle of one. When a killed router's
-//! successor appends to the same file, its first line stands behind the half of another. So each
-//! place of a line at which a usage object begins is tried.
+//! A log also holds other lines, and may begin or end with a partial one. When a router is killed and
+//! its successor appends to the same file, the first new line follows a partial one without a line
+//! break. Therefore a line is parsed from each position at which a usage object may begin.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
@@ -11,13 +11,13 @@
 use hawthornmill::usage::UsageLine;
 use hawthornmill::usage::explain::UsageLog;
 
-/// How every usage line begins.
-const BEGIN: &str = "{\"kind\":\"usage";
+/// Prefix of every usage object.
+const USAGE_PREFIX: &str = "{\"kind\":\"usage";
 
-/// Takes every usage line of a file.
+/// Adds the usage records of a file to `log`.
 ///
 /// # Errors
-/// When the file can't be read.
+/// If the file can't be read.
 pub fn read_file(file: &Path, log: &mut UsageLog) -> io::Result<()> {
     let mut reader = BufReader::new(File::open(file)?);
     let mut bytes = Vec::new();
@@ -28,28 +28,28 @@
     Ok(())
 }
 
-/// Takes the usage objects of one line.
+/// Adds the usage records of one line to `log`.
 pub fn read_line(line: &str, log: &mut UsageLog) {
-    for (at, _) in line.match_indices(BEGIN) {
-        let mut objects = serde_json::Deserializer::from_str(&line[at..]).into_iter();
+    for (offset, _) in line.match_indices(USAGE_PREFIX) {
+        let mut objects = serde_json::Deserializer::from_str(&line[offset..]).into_iter();
         match objects.next() {
-            Some(Ok(found)) => log.insert(found),
+            Some(Ok(record)) => log.insert(record),
             _ => log.unreadable += 1,
         }
     }
 }
 
-/// Takes every usage line of a text.
+/// Returns the usage records of a text.
 pub fn read_text(text: &str) -> UsageLog {
     let mut log = UsageLog::default();
     text.lines().for_each(|line| read_line(line, &mut log));
     log
 }
 
-/// The line that a router writes.
+/// Formats a usage record as the line that a router logs.
 ///
 /// # Panics
-/// Never: a usage line has only names and numbers in it.
+/// Never: a usage record holds only strings and numbers, which JSON can represent.
 pub fn format_line(line: &UsageLine) -> String {
-    serde_json::to_string(line).expect("names and numbers can be written")
+    serde_json::to_string(line).expect("strings and numbers are valid JSON")
 }
--- a/crates/hawthornmill-tools/src/explain/text.rs
+++ b/crates/hawthornmill-tools/src/explain/text.rs
@@ -1,4 +1,4 @@
-//! The text that the tool prints.
+//! Formats a usage report as text.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -7,25 +7,25 @@
 
 use super::UsageReport;
 
-/// Everything as tables, one for each interval and service.
-pub fn table(explained: &UsageReport) -> String {
+/// Formats `report` as one table for each interval and service, and totals.
+pub fn table(report: &UsageReport) -> String {
     let mut out = String::new();
-    let _infallible = write_all(&mut out, explained);
+    let _infallible = write_report(&mut out, report);
     out
 }
 
-fn write_all(out: &mut String, explained: &UsageReport) -> std::fmt::Result {
-    for interval in &explained.intervals {
+fn write_report(out: &mut String, report: &UsageReport) -> std::fmt::Result {
+    for interval in &report.intervals {
         let mut services: BTreeMap<&str, Vec<&AccountLine>> = BTreeMap::new();
         for line in &interval.lines {
             services.entry(&line.service).or_default().push(line);
         }
         for (service, lines) in services {
-            write_service(out, service, &lines, interval, explained)?;
+            write_service(out, service, &lines, interval, report)?;
         }
     }
-    write_totals(out, explained)?;
-    write_missing(out, explained)
+    write_totals(out, report)?;
+    write_missing(out, report)
 }
 
 fn write_service(
@@ -33,7 +33,7 @@
     service: &str,
     lines: &[&AccountLine],
     interval: &Interval,
-    explained: &UsageReport,
+    report: &UsageReport,
 ) -> std::fmt::Result {
     let seconds = interval.length_ms / 1000;
     let start = utc(interval.start_ms);
@@ -44,9 +44,9 @@
         "account", "share", "owed", "received", "diff %", "backlogged s"
     )?;
     for line in lines {
-        let part = &line.part;
-        let difference = if part.entitled > 0.0 {
-            100.0 * (part.received - part.entitled) / part.entitled
+        let usage = &line.part;
+        let difference = if usage.entitled > 0.0 {
+            100.0 * (usage.received - usage.entitled) / usage.entitled
         } else {
             0.0
         };
@@ -54,20 +54,20 @@
             out,
             "  {:<18} {:>6} {:>12.1} {:>12.1} {:>8.1} {:>12.1}  {}",
             line.account,
-            part.share,
-            part.entitled,
-            part.received,
+            usage.share,
+            usage.entitled,
+            usage.received,
             difference,
-            part.backlogged_ms / 1000.0,
-            summary::explain_line(line, interval, &explained.missing)
+            usage.backlogged_ms / 1000.0,
+            summary::explain_line(line, interval, &report.missing)
         )?;
     }
     writeln!(out)
 }
 
-fn write_totals(out: &mut String, explained: &UsageReport) -> std::fmt::Result {
+fn write_totals(out: &mut String, report: &UsageReport) -> std::fmt::Result {
     let mut totals: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
-    for line in explained.intervals.iter().flat_map(|i| &i.lines) {
+    for line in report.intervals.iter().flat_map(|i| &i.lines) {
         let total = totals.entry(&line.service).or_default();
         total.0 += line.part.received;
         total.1 += line.part.estimated;
@@ -81,38 +81,38 @@
     Ok(())
 }
 
-fn write_missing(out: &mut String, explained: &UsageReport) -> std::fmt::Result {
+fn write_missing(out: &mut String, report: &UsageReport) -> std::fmt::Result {
     writeln!(
         out,
         "{} process runs, {} duplicates dropped, {} lines unreadable",
-        explained.runs, explained.duplicates, explained.unreadable
+        report.runs, report.duplicates, report.unreadable
     )?;
-    if explained.missing.is_empty() {
+    if report.missing.is_empty() {
         return writeln!(out, "no records are missing");
     }
-    for sentence in summary::describe_missing(&explained.missing) {
+    for sentence in summary::describe_missing(&report.missing) {
         writeln!(out, "{sentence}")?;
     }
     Ok(())
 }
 
-/// Wall-clock time as `YYYY-MM-DDThh:mm:ssZ`.
+/// Formats Unix time in milliseconds as `YYYY-MM-DDThh:mm:ssZ`.
 fn utc(ms: u64) -> String {
     let seconds = ms / 1000;
-    let (year, month, day) = civil(seconds / 86_400);
+    let (year, month, day) = civil_date(seconds / 86_400);
     let (hour, minute, second) = (seconds / 3600 % 24, seconds / 60 % 60, seconds % 60);
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}Z")
 }
 
-/// Year, month and day of a day counted from 1970-01-01.
-fn civil(mut days: u64) -> (u64, u64, u64) {
+/// Returns year, month and day of the date `days` after 1970-01-01.
+fn civil_date(mut days: u64) -> (u64, u64, u64) {
     let mut year = 1970;
-    let leap = |y: u64| y.is_multiple_of(4) && (!y.is_multiple_of(100) || y.is_multiple_of(400));
-    while days >= 365 + u64::from(leap(year)) {
-        days -= 365 + u64::from(leap(year));
+    let is_leap = |y: u64| y.is_multiple_of(4) && (!y.is_multiple_of(100) || y.is_multiple_of(400));
+    while days >= 365 + u64::from(is_leap(year)) {
+        days -= 365 + u64::from(is_leap(year));
         year += 1;
     }
-    let february = 28 + u64::from(leap(year));
+    let february = 28 + u64::from(is_leap(year));
     let lengths = [31, february, 31, 30, 31, 30, 31, 31, 30, 31, 30, 31];
     let mut month = 1;
     for length in lengths {
--- a/crates/hawthornmill-tools/src/lib.rs
+++ b/crates/hawthornmill-tools/src/lib.rs
@@ -1,4 +1,4 @@
-//! Operators' tools: one module for each operation.
+//! Command-line tools for operators, one module each.
 
 pub mod check;
 pub mod explain;
--- a/crates/hawthornmill-tools/src/request/mod.rs
+++ b/crates/hawthornmill-tools/src/request/mod.rs
@@ -1,9 +1,9 @@
-//! Tells the story of one request from the logs of gateways.
+//! Collects the events of one request from the logs of gateways.
 //!
-//! Logs may come in any order, from any number of processes whose clocks differ. Within one log the
-//! order of lines is the order of events; between logs only the times can be compared, and the story
-//! says so. A request has its lines in one log, that of the instance that took it in; what that
-//! instance believed then stands in the lines before.
+//! Logs may be given in any order, from any number of processes whose clocks differ. Within one log the
+//! order of lines is the order of events; events of different logs can only be compared by their
+//! times, and the output warns about this. A request is logged by the instance that received it; the
+//! lines before show the state that this instance had then.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -13,8 +13,10 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// Beliefs that a story repeats, and by which field two lines are about different things.
-const BELIEFS: &[(&str, &str)] = &[
+/// Events that change an instance's state, each with the field that names the object it is about.
+///
+/// Only the latest event for each object is shown. An empty field: the event concerns the instance.
+const STATE_EVENTS: &[(&str, &str)] = &[
     ("start", ""),
     ("leaving", ""),
     ("catalog_in_force", ""),
@@ -26,78 +28,78 @@
     ("store_history_lost", "topic"),
     ("settings_refused", ""),
 ];
-/// Registrations of other servers than the request's are left out, unless it had none.
-const REGISTRATION: &str = "registration";
+/// Event of a registration; shown only for servers of the request, or for all if it had none.
+const REGISTRATION_EVENT: &str = "registration";
 
-/// Field of a line that is about several requests.
-const SEVERAL: &str = "requests";
-/// Events after which a request has no further line.
-const LAST: &[&str] = &["ended", "turned_away"];
+/// Field that lists the ids of an event that concerns several requests.
+const REQUESTS_FIELD: &str = "requests";
+/// Events that end a request.
+const FINAL_EVENTS: &[&str] = &["ended", "turned_away"];
 
-/// One line of a log that matters.
+/// One event of a log.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct LogEvent {
-    /// Milliseconds of Unix time by the instance's own clock.
+    /// Unix time in milliseconds by the instance's own clock.
     pub time: u64,
-    /// What happened.
+    /// Name of the event.
     pub event: Box<str>,
-    /// Everything else that the line says.
+    /// All other fields of the line.
     pub fields: BTreeMap<Box<str>, Value>,
 }
 
-/// What one instance did with the request.
+/// Events of the request at one instance.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct InstanceTrace {
-    /// The instance, or its log's name where it never said.
+    /// Name of the instance, or of its log if the log doesn't name it.
     pub instance: Box<str>,
-    /// What it believed when the request came, the latest word on each matter.
+    /// State of the instance when the request arrived: the latest event for each object.
     #[serde(rename = "believed")]
     pub known_state: Vec<LogEvent>,
-    /// The request's own lines in order.
+    /// Events of the request in order.
     pub steps: Vec<LogEvent>,
-    /// Lines that should be there and are not.
+    /// Descriptions of lines that are missing from the log.
     pub missing: Vec<Box<str>>,
 }
 
-/// The story of one request.
+/// Events of one request at all instances.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RequestTrace {
-    /// The request.
+    /// Id of the request.
     pub request: Box<str>,
-    /// One part for each instance that has lines of it, the earliest first.
+    /// Instances that logged the request, the earliest first.
     #[serde(rename = "parts")]
     pub instances: Vec<InstanceTrace>,
 }
 
-/// Reads one log and takes from it what concerns `request`; none when nothing does.
+/// Extracts the events of `request` from the log `text`; `None` if it has none.
 pub fn read(name: &str, text: &str, request: &str) -> Option<InstanceTrace> {
-    let lines: Vec<LogEvent> = text.lines().filter_map(line).collect();
-    let own = |l: &LogEvent| concerns(l, request);
-    let first = lines.iter().position(own)?;
-    let steps: Vec<LogEvent> = lines.iter().filter(|l| own(l)).cloned().collect();
+    let lines: Vec<LogEvent> = text.lines().filter_map(parse_line).collect();
+    let is_own = |l: &LogEvent| concerns(l, request);
+    let first = lines.iter().position(is_own)?;
+    let steps: Vec<LogEvent> = lines.iter().filter(|l| is_own(l)).cloned().collect();
     let before = &lines[..first];
-    let started = before.iter().rposition(|l| &*l.event == "start");
-    let instance = started.and_then(|at| before[at].fields.get("instance")?.as_str());
+    let start = before.iter().rposition(|l| &*l.event == "start");
+    let instance = start.and_then(|at| before[at].fields.get("instance")?.as_str());
     Some(InstanceTrace {
         instance: instance.unwrap_or(name).into(),
-        known_state: known_state(&before[started.unwrap_or(0)..], &steps),
-        missing: missing(&lines, &steps, started.is_some()),
+        known_state: known_state(&before[start.unwrap_or(0)..], &steps),
+        missing: missing_lines(&lines, &steps, start.is_some()),
         steps,
     })
 }
 
-/// Tells whether a line is about `request`, alone or as one of several.
+/// Returns whether an event concerns `request`, alone or among others.
 fn concerns(line: &LogEvent, request: &str) -> bool {
-    let list = line.fields.get(SEVERAL).and_then(Value::as_array);
-    let mut several = list.into_iter().flatten();
+    let list = line.fields.get(REQUESTS_FIELD).and_then(Value::as_array);
+    let mut listed = list.into_iter().flatten();
     line.fields.get("request").and_then(Value::as_str) == Some(request)
-        || several.any(|r| r.as_str() == Some(request))
+        || listed.any(|r| r.as_str() == Some(request))
 }
 
-/// A line of the log; none where there is no object on it.
+/// Parses a line of a log; `None` if it holds no event.
 ///
-/// The collector of the logs may have put its own words before the object.
-fn line(text: &str) -> Option<LogEvent> {
+/// A log collector may have put a prefix of its own before the JSON object.
+fn parse_line(text: &str) -> Option<LogEvent> {
     let object = &text[text.find('{')?..];
     let mut fields: BTreeMap<Box<str>, Value> = serde_json::from_str(object).ok()?;
     let event = fields.remove("event")?.as_str()?.into();
@@ -112,42 +114,42 @@
     })
 }
 
-/// The latest word on each matter.
+/// Returns the latest state event for each object, in log order.
 fn known_state(before: &[LogEvent], steps: &[LogEvent]) -> Vec<LogEvent> {
     let servers = |l: &LogEvent| -> Vec<Box<str>> {
-        let one = l.fields.get("server").and_then(Value::as_str);
-        one.into_iter().map(Into::into).collect()
+        let server = l.fields.get("server").and_then(Value::as_str);
+        server.into_iter().map(Into::into).collect()
     };
-    let involved: Vec<Box<str>> = steps.iter().flat_map(servers).collect();
+    let request_servers: Vec<Box<str>> = steps.iter().flat_map(servers).collect();
     let mut latest: BTreeMap<(&str, Box<str>), usize> = BTreeMap::new();
-    for (at, line) in before.iter().enumerate() {
-        let Some((event, about)) = BELIEFS.iter().find(|(e, _)| **e == *line.event) else {
+    for (index, line) in before.iter().enumerate() {
+        let Some((event, key_field)) = STATE_EVENTS.iter().find(|(e, _)| **e == *line.event) else {
             continue;
         };
-        let about = line
+        let object = line
             .fields
-            .get(*about)
+            .get(*key_field)
             .and_then(Value::as_str)
             .unwrap_or_default();
-        let other = !involved.is_empty() && !involved.iter().any(|s| **s == *about);
-        if *event == REGISTRATION && other {
+        let other = !request_servers.is_empty() && !request_servers.iter().any(|s| **s == *object);
+        if *event == REGISTRATION_EVENT && other {
             continue;
         }
-        latest.insert((event, about.into()), at);
+        latest.insert((event, object.into()), index);
     }
-    // The order of lines is that of events; the clock may have been set back between them.
-    let mut places: Vec<usize> = latest.into_values().collect();
-    places.sort_unstable();
-    places.into_iter().map(|at| before[at].clone()).collect()
+    // Sorted by position, not by time: the clock may have been set back between two lines.
+    let mut indexes: Vec<usize> = latest.into_values().collect();
+    indexes.sort_unstable();
+    indexes.into_iter().map(|i| before[i].clone()).collect()
 }
 
-fn missing(all: &[LogEvent], steps: &[LogEvent], started: bool) -> Vec<Box<str>> {
+fn missing_lines(all: &[LogEvent], steps: &[LogEvent], has_start: bool) -> Vec<Box<str>> {
     let mut missing: Vec<Box<str>> = Vec::new();
-    if !started {
+    if !has_start {
         missing.push("the log begins after the process's start".into());
     }
-    if !steps.iter().any(|l| LAST.contains(&&*l.event)) {
-        missing.push("no last line: the process was killed, or the line was dropped".into());
+    if !steps.iter().any(|l| FINAL_EVENTS.contains(&&*l.event)) {
+        missing.push("no final event: the process was killed, or the line was dropped".into());
     }
     let dropped = all.iter().filter(|l| &*l.event == "lines_dropped");
     let count = |name: &str, l: &LogEvent| l.fields.get(name).and_then(Value::as_u64).unwrap_or(0);
@@ -160,34 +162,35 @@
     missing
 }
 
-/// The story as text.
+/// Formats a trace as text.
 pub fn render(trace: &RequestTrace) -> String {
     let mut text = format!("request {}\n", trace.request);
     if trace.instances.is_empty() {
-        text.push_str("  no line of it in these logs\n");
+        text.push_str("  not found in these logs\n");
     }
     if trace.instances.len() > 1 {
-        text.push_str("  lines of several instances; their clocks may differ\n");
+        text.push_str("  events of several instances; their clocks may differ\n");
     }
-    for part in &trace.instances {
-        // Writing to memory can't fail.
-        let _ok = write!(text, "\nat {}\n  believed when it came:\n", part.instance);
-        part.known_state
+    for instance in &trace.instances {
+        let _infallible = write!(text, "\nat {}\n  state on arrival:\n", instance.instance);
+        instance
+            .known_state
             .iter()
-            .for_each(|l| text.push_str(&show(l, None)));
-        text.push_str("  what became of it:\n");
-        let begin = part.steps.first().map(|l| l.time);
-        part.steps
+            .for_each(|l| text.push_str(&format_event(l, None)));
+        text.push_str("  events:\n");
+        let begin = instance.steps.first().map(|l| l.time);
+        instance
+            .steps
             .iter()
-            .for_each(|l| text.push_str(&show(l, begin)));
-        for what in &part.missing {
-            let _ok = writeln!(text, "  missing: {what}");
+            .for_each(|l| text.push_str(&format_event(l, begin)));
+        for description in &instance.missing {
+            let _infallible = writeln!(text, "  missing: {description}");
         }
     }
     text
 }
 
-fn show(line: &LogEvent, begin: Option<u64>) -> String {
+fn format_event(line: &LogEvent, begin: Option<u64>) -> String {
     let time = match begin {
         Some(begin) => format!("+{} ms", line.time.saturating_sub(begin)),
         None => line.time.to_string(),
@@ -195,36 +198,38 @@
     let fields = line
         .fields
         .iter()
-        .filter(|(k, v)| &***k != "request" && &***k != SEVERAL && !v.is_null());
+        .filter(|(k, v)| &***k != "request" && &***k != REQUESTS_FIELD && !v.is_null());
     let fields: Vec<String> = fields.map(|(k, v)| format!("{k}={v}")).collect();
     format!("    {time:>14}  {:<22} {}\n", line.event, fields.join(" "))
 }
 
-/// Reads `files` and prints the story; the result is the process's exit code: 0 when it is whole, 1
-/// when lines are missing, 2 when a file can't be read.
+/// Prints the trace of `request` from `files` and returns the exit code of the process.
+///
+/// 0: the trace is complete; 1: lines are missing; 2: a file can't be read.
 pub fn main(request: &str, files: &[PathBuf], json: bool) -> u8 {
-    let mut parts = Vec::new();
+    let mut instances = Vec::new();
     for file in files {
         match read_file(file, request) {
-            Ok(part) => parts.extend(part),
-            Err(fault) => {
-                eprintln!("{fault}");
+            Ok(instance) => instances.extend(instance),
+            Err(error) => {
+                eprintln!("{error}");
                 return 2;
             }
         }
     }
-    parts.sort_by_key(|p| p.steps.first().map(|l| l.time));
+    instances.sort_by_key(|p| p.steps.first().map(|l| l.time));
     let trace = RequestTrace {
         request: request.into(),
-        instances: parts,
+        instances,
     };
     if json {
         println!("{}", serde_json::to_string(&trace).unwrap_or_default());
     } else {
         print!("{}", render(&trace));
     }
-    let whole = !trace.instances.is_empty() && trace.instances.iter().all(|p| p.missing.is_empty());
-    u8::from(!whole)
+    let is_complete =
+        !trace.instances.is_empty() && trace.instances.iter().all(|p| p.missing.is_empty());
+    u8::from(!is_complete)
 }
 
 fn read_file(file: &Path, request: &str) -> Result<Option<InstanceTrace>, Diagnostic> {
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -269,7 +269,7 @@
 
     let svg = svg.expect("the plot can be drawn");
     for word in [
-        "drafting: received (whole) and owed (broken)",
+        "drafting: received (solid) and owed (dashed)",
         "big",
         "small",
         "seconds",
