--- a/crates/hawthornmill-test-support/src/lib.rs
+++ b/crates/hawthornmill-test-support/src/lib.rs
@@ -1,10 +1,10 @@
 //! Fixtures for the tests of hawthornmill.
 //!
-//! [`fleet`] builds configuration texts, [`steps`] drives the decisions of several instances in a
+//! [`fleet`] builds configuration texts, [`simulation`] drives the decisions of several instances in a
 //! fixed order with a clock of its own, and [`procs`] starts real router processes around stand-ins.
 
 pub mod fleet;
 pub mod loads;
 pub mod news;
 pub mod procs;
-pub mod steps;
+pub mod simulation;
--- a/crates/hawthornmill-test-support/src/loads.rs
+++ b/crates/hawthornmill-test-support/src/loads.rs
@@ -3,7 +3,7 @@
 use hawthornmill::ident::mix;
 
 use crate::fleet::FleetText;
-use crate::steps::Steps;
+use crate::simulation::Simulation;
 
 /// Eight instances in three failure domains and two regions.
 pub const EIGHT: &[(&str, &str)] = &[
@@ -94,41 +94,41 @@
     }
 
     /// Counts the gap from now on.
-    pub fn mark(&mut self, steps: &Steps) {
-        self.base = self.backlogs.iter().map(|b| steps.got(b.account)).collect();
+    pub fn mark(&mut self, sim: &Simulation) {
+        self.base = self.backlogs.iter().map(|b| sim.got(b.account)).collect();
         self.gap = 0.0;
     }
 
     /// Lets `millis` pass; callers send nothing to instances that are dead or frozen.
-    pub fn run(&mut self, steps: &mut Steps, millis: u64) {
-        steps.run(millis, |s| {
+    pub fn run(&mut self, sim: &mut Simulation, millis: u64) {
+        sim.run(millis, |s| {
             self.send(s);
             self.measure(s);
         });
     }
 
-    fn send(&mut self, steps: &mut Steps) {
+    fn send(&mut self, sim: &mut Simulation) {
         for backlog in &self.backlogs {
             for entry in backlog.entries {
-                if steps.dead.contains(entry) || steps.frozen.contains(entry) {
+                if sim.dead.contains(entry) || sim.frozen.contains(entry) {
                     continue;
                 }
-                while steps.waiting(*entry, backlog.account, "drafting") < backlog.depth {
+                while sim.waiting(*entry, backlog.account, "drafting") < backlog.depth {
                     let cost = COSTS[self.calls % COSTS.len()];
                     self.calls += 1;
-                    let sent = steps.arrive(*entry, backlog.account, "drafting", cost, 600_000);
+                    let sent = sim.arrive(*entry, backlog.account, "drafting", cost, 600_000);
                     assert_eq!(sent, Ok(()), "{}", backlog.account);
                 }
             }
         }
     }
 
-    fn measure(&mut self, steps: &Steps) {
+    fn measure(&mut self, sim: &Simulation) {
         let services = self
             .backlogs
             .iter()
             .zip(&self.base)
-            .map(|(b, base)| (steps.got(b.account) - base) / b.share);
+            .map(|(b, base)| (sim.got(b.account) - base) / b.share);
         let (least, most) = services.fold((f64::INFINITY, f64::NEG_INFINITY), |(l, m), s| {
             (l.min(s), m.max(s))
         });
--- a/crates/hawthornmill-test-support/src/steps.rs
+++ b/crates/hawthornmill-test-support/src/simulation.rs
@@ -51,7 +51,7 @@
 
 /// Several instances and the servers behind them.
 #[derive(Debug)]
-pub struct Steps {
+pub struct Simulation {
     /// The instances' boards.
     pub boards: Vec<Blackboard>,
     /// Milliseconds since the start.
@@ -92,7 +92,7 @@
     }
 }
 
-impl Steps {
+impl Simulation {
     /// Instances `i0`, `i1`, … in the given failure domains and regions, all with `fleet` in force.
     pub fn new(fleet: &FleetText, places: &[(&str, &str)], tuning: &Tuning) -> Self {
         let start = Instant::now();
@@ -101,7 +101,7 @@
             .enumerate()
             .map(|(n, (domain, region))| contact(&format!("i{n}"), domain, region))
             .collect();
-        let mut steps = Self {
+        let mut sim = Self {
             boards: Vec::new(),
             now: 0,
             frozen: BTreeSet::new(),
@@ -128,9 +128,9 @@
             }
             let (config, manifest, values) = fleet.accept(1);
             board.install(config, manifest, values);
-            steps.boards.push(board);
+            sim.boards.push(board);
         }
-        steps
+        sim
     }
 
     /// The present instant of the decisions.
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -13,7 +13,7 @@
 use hawthornmill_lab::standin::platform::Mode;
 use hawthornmill_test_support::fleet::FleetText;
 use hawthornmill_test_support::procs::{small_fleet, small_site};
-use hawthornmill_test_support::steps::{Steps, contact};
+use hawthornmill_test_support::simulation::{Simulation, contact};
 
 use crate::{ROUTER, block_on};
 
@@ -238,26 +238,26 @@
         ("b", "north"),
         ("c", "south"),
     ];
-    let load = |steps: &mut Steps| {
+    let load = |sim: &mut Simulation| {
         for entry in 0..locations.len() {
-            while steps.waiting(entry, "big", "drafting") < 8 {
-                let accepted = steps.arrive(entry, "big", "drafting", 50, 60_000);
+            while sim.waiting(entry, "big", "drafting") < 8 {
+                let accepted = sim.arrive(entry, "big", "drafting", 50, 60_000);
                 assert_eq!(accepted, Ok(()));
             }
         }
     };
-    let mut steps = Steps::new(&small_fleet(), &locations, &Tuning::default());
-    steps.run(6000, load);
-    let before = steps.busy;
-    steps.run(5000, load);
-    let usual = steps.busy - before;
-    let before = steps.busy;
+    let mut sim = Simulation::new(&small_fleet(), &locations, &Tuning::default());
+    sim.run(6000, load);
+    let before = sim.busy;
+    sim.run(5000, load);
+    let usual = sim.busy - before;
+    let before = sim.busy;
 
     for change in 0..1000_u64 {
         let fleet = changed(change);
         for position in 0..locations.len() {
             let index = (position + change as usize) % locations.len();
-            let board = &mut steps.boards[index];
+            let board = &mut sim.boards[index];
             let had = board.config.revision;
             let (config, manifest, values) = fleet.accept(change + 2);
             assert!(board.install(config, manifest, values));
@@ -265,11 +265,11 @@
             assert!(!board.install(config, manifest, values));
             assert!(board.config.revision > had);
         }
-        steps.run(5, load);
+        sim.run(5, load);
     }
 
-    let utilization = (steps.busy - before) as f64 / usual as f64;
-    let digests: Vec<_> = steps.boards.iter().map(|b| b.manifest.clone()).collect();
+    let utilization = (sim.busy - before) as f64 / usual as f64;
+    let digests: Vec<_> = sim.boards.iter().map(|b| b.manifest.clone()).collect();
     assert!(digests.windows(2).all(|d| d[0] == d[1]));
     assert!(utilization > 0.98, "utilization {utilization}");
 }
--- a/tests/testsuite/conservation.rs
+++ b/tests/testsuite/conservation.rs
@@ -5,7 +5,7 @@
 use hawthornmill_test_support::loads::{
     Backlog, Drive, EIGHT, MEAN_COST, Stream, WIDE_SLOTS, wide_fleet, wide_fleet_with,
 };
-use hawthornmill_test_support::steps::Steps;
+use hawthornmill_test_support::simulation::Simulation;
 
 /// Accounts and the instance that a caller of each uses.
 const CALLERS: &[(&str, usize)] = &[
@@ -35,37 +35,37 @@
     backlog("lab-2", 1.0, &[2, 6]),
 ];
 
-fn warmed_up() -> (Steps, Drive) {
-    let mut steps = Steps::new(&wide_fleet(), EIGHT, &Tuning::default());
+fn warmed_up() -> (Simulation, Drive) {
+    let mut sim = Simulation::new(&wide_fleet(), EIGHT, &Tuning::default());
     let mut drive = Drive::new(TWO_ENTRIES_EACH);
-    drive.run(&mut steps, 5000);
-    drive.mark(&steps);
-    steps.peak.clear();
-    (steps, drive)
+    drive.run(&mut sim, 5000);
+    drive.mark(&sim);
+    sim.peak.clear();
+    (sim, drive)
 }
 
 /// Idle fraction of all slots in each of `tenths` tenths of a second.
-fn idle_tenths(steps: &mut Steps, drive: &mut Drive, tenths: usize) -> Vec<f64> {
+fn idle_tenths(sim: &mut Simulation, drive: &mut Drive, tenths: usize) -> Vec<f64> {
     let mut list = Vec::new();
     for _ in 0..tenths {
-        let before = steps.busy;
-        drive.run(steps, 100);
-        list.push(1.0 - (steps.busy - before) as f64 / (100.0 * f64::from(WIDE_SLOTS)));
+        let before = sim.busy;
+        drive.run(sim, 100);
+        list.push(1.0 - (sim.busy - before) as f64 / (100.0 * f64::from(WIDE_SLOTS)));
     }
     list
 }
 
 /// The owner of the drafting pool in `domain`, as seen by most entries.
-fn owner_of(steps: &Steps, domain: &str) -> usize {
+fn owner_of(sim: &Simulation, domain: &str) -> usize {
     let pool = PoolId::of(ServiceId::of("drafting"), DomainId::of(domain));
-    let owners = steps
+    let owners = sim
         .boards
         .iter()
         .enumerate()
-        .filter(|(n, _)| !steps.dead.contains(n) && !steps.frozen.contains(n))
+        .filter(|(n, _)| !sim.dead.contains(n) && !sim.frozen.contains(n))
         .filter_map(|(_, b)| b.sessions.get(&pool)?.owner)
-        .map(|(id, _)| steps.index(id));
-    let mut counts = vec![0; steps.boards.len()];
+        .map(|(id, _)| sim.index(id));
+    let mut counts = vec![0; sim.boards.len()];
     for owner in owners {
         counts[owner] += 1;
     }
@@ -101,8 +101,8 @@
     idle.iter().rposition(|i| *i > 0.05).map_or(0, |n| n + 1)
 }
 
-fn assert_no_overcommit(steps: &Steps) {
-    assert!(steps.peak.values().all(|n| *n <= 8), "{:?}", steps.peak);
+fn assert_no_overcommit(sim: &Simulation) {
+    assert!(sim.peak.values().all(|n| *n <= 8), "{:?}", sim.peak);
 }
 
 /// At startup every instance briefly regards itself as the owner and then switches to the real one.
@@ -110,9 +110,9 @@
 /// idled from then on.
 #[test]
 fn slots_granted_to_an_entry_that_switched_owner_are_not_lost() {
-    let (mut steps, mut drive) = warmed_up();
+    let (mut sim, mut drive) = warmed_up();
 
-    let idle = idle_tenths(&mut steps, &mut drive, 100);
+    let idle = idle_tenths(&mut sim, &mut drive, 100);
 
     let mean = idle.iter().sum::<f64>() / idle.len() as f64;
     println!("idle {mean:.4}");
@@ -120,7 +120,7 @@
 }
 
 /// Fractions of all slot time that a run used, and that idled while a call waited.
-fn utilization(mut steps: Steps, rate: f64, entry: impl Fn(usize) -> usize) -> (f64, f64) {
+fn utilization(mut sim: Simulation, rate: f64, entry: impl Fn(usize) -> usize) -> (f64, f64) {
     let mut stream = Stream::new(rate);
     let (warm, all) = (4000, 24_000);
     let (mut used, mut idle) = (0, 0);
@@ -128,12 +128,12 @@
         for (pick, cost) in stream.due(now) {
             let (account, at) = CALLERS[pick % CALLERS.len()];
             // A call rejected by a full queue is lost for both schedulers.
-            let _full = steps.arrive(entry(at), account, "drafting", cost, 600_000);
+            let _full = sim.arrive(entry(at), account, "drafting", cost, 600_000);
         }
-        let before = steps.busy;
-        steps.step();
-        let running = steps.busy - before;
-        let waiting: usize = steps.boards.iter().map(|b| b.waiting.len()).sum();
+        let before = sim.busy;
+        sim.step();
+        let running = sim.busy - before;
+        let waiting: usize = sim.boards.iter().map(|b| b.waiting.len()).sum();
         if now >= warm {
             used += running;
             idle += (u64::from(WIDE_SLOTS) - running).min(waiting as u64);
@@ -150,8 +150,8 @@
     for load in [0.9, 1.1] {
         let rate = load * f64::from(WIDE_SLOTS) / MEAN_COST;
         let tuning = Tuning::default();
-        let exact = Steps::new(&wide_fleet_with("north"), &EIGHT[..1], &tuning);
-        let fleet = Steps::new(&wide_fleet(), EIGHT, &tuning);
+        let exact = Simulation::new(&wide_fleet_with("north"), &EIGHT[..1], &tuning);
+        let fleet = Simulation::new(&wide_fleet(), EIGHT, &tuning);
 
         let (best, _) = utilization(exact, rate, |_| 0);
         let (used, idle) = utilization(fleet, rate, |at| at);
@@ -166,13 +166,13 @@
 /// hold, and servers would be overloaded if the next owner granted before it has collected those.
 #[test]
 fn slots_stay_busy_when_an_owner_is_killed() {
-    let (mut steps, _) = warmed_up();
-    let owner = owner_of(&steps, "a");
+    let (mut sim, _) = warmed_up();
+    let owner = owner_of(&sim, "a");
     let mut drive = without(&[owner]);
-    drive.run(&mut steps, 2000);
+    drive.run(&mut sim, 2000);
 
-    steps.kill(owner);
-    let idle = idle_tenths(&mut steps, &mut drive, 40);
+    sim.kill(owner);
+    let idle = idle_tenths(&mut sim, &mut drive, 40);
 
     println!(
         "killed: worst {:.3} for {} tenths {idle:.2?}",
@@ -180,22 +180,22 @@
         tenths_until_busy(&idle)
     );
     assert!(worst(&idle) < 0.05, "{idle:?}");
-    assert_no_overcommit(&steps);
+    assert_no_overcommit(&sim);
 }
 
 /// The owner of a pool is paused for three seconds and resumes with a stale view, while another
 /// instance has taken over: slots may idle or be granted twice.
 #[test]
 fn slots_stay_busy_when_an_owner_pauses_and_resumes() {
-    let (mut steps, _) = warmed_up();
-    let owner = owner_of(&steps, "b");
+    let (mut sim, _) = warmed_up();
+    let owner = owner_of(&sim, "b");
     let mut drive = without(&[owner]);
-    drive.run(&mut steps, 2000);
+    drive.run(&mut sim, 2000);
 
-    steps.frozen.insert(owner);
-    let mut idle = idle_tenths(&mut steps, &mut drive, 30);
-    steps.frozen.remove(&owner);
-    idle.extend(idle_tenths(&mut steps, &mut drive, 50));
+    sim.frozen.insert(owner);
+    let mut idle = idle_tenths(&mut sim, &mut drive, 30);
+    sim.frozen.remove(&owner);
+    idle.extend(idle_tenths(&mut sim, &mut drive, 50));
 
     println!(
         "frozen: worst {:.3} for {} tenths {idle:.2?}",
@@ -211,27 +211,27 @@
         rest.iter().sum::<f64>() / (rest.len() as f64) < 0.02,
         "{idle:?}"
     );
-    assert_no_overcommit(&steps);
+    assert_no_overcommit(&sim);
 }
 
 /// A partition leaves owners on both sides that grant slots of the same servers. Servers would be
 /// overloaded if the owners didn't limit their grants by the load that servers report.
 #[test]
 fn both_sides_of_a_partition_share_slots_by_reported_load() {
-    let (mut steps, mut drive) = warmed_up();
+    let (mut sim, mut drive) = warmed_up();
     let left = [0, 3, 6];
     let right = [1, 2, 4, 5, 7];
-    steps.cut_between(&left, &right);
-    drive.run(&mut steps, 5000);
-    let before = steps.busy;
-    drive.run(&mut steps, 5000);
-    let running = (steps.busy - before) as f64 / 5000.0;
-    let worst = steps.peak.values().max().copied().unwrap_or(0);
-    steps.cut.clear();
-    drive.run(&mut steps, 5000);
-    steps.peak.clear();
-
-    let idle = idle_tenths(&mut steps, &mut drive, 20);
+    sim.cut_between(&left, &right);
+    drive.run(&mut sim, 5000);
+    let before = sim.busy;
+    drive.run(&mut sim, 5000);
+    let running = (sim.busy - before) as f64 / 5000.0;
+    let worst = sim.peak.values().max().copied().unwrap_or(0);
+    sim.cut.clear();
+    drive.run(&mut sim, 5000);
+    sim.peak.clear();
+
+    let idle = idle_tenths(&mut sim, &mut drive, 20);
 
     println!(
         "cut: {running:.1} of 48 run on both sides, most on one server {worst}, after {idle:.2?}"
@@ -239,5 +239,5 @@
     assert!(running < 1.1 * f64::from(WIDE_SLOTS), "{running}");
     assert!(worst <= 16, "{worst} on one server of 8 slots");
     assert!(idle.iter().all(|i| *i < 0.03), "{idle:?}");
-    assert_no_overcommit(&steps);
+    assert_no_overcommit(&sim);
 }
--- a/tests/testsuite/fleet_shares.rs
+++ b/tests/testsuite/fleet_shares.rs
@@ -2,14 +2,14 @@
 
 use hawthornmill::blackboard::Tuning;
 use hawthornmill_test_support::procs::small_fleet;
-use hawthornmill_test_support::steps::Steps;
+use hawthornmill_test_support::simulation::Simulation;
 
 const PLACES: &[(&str, &str)] = &[("a", "north"), ("b", "north"), ("c", "south")];
 
 /// Keeps `count` requests of `account` waiting at `entry`.
-fn keep_waiting(steps: &mut Steps, entry: usize, account: &str, count: usize) {
-    while steps.waiting(entry, account, "drafting") < count {
-        let accepted = steps.arrive(entry, account, "drafting", 50, 60_000);
+fn keep_waiting(sim: &mut Simulation, entry: usize, account: &str, count: usize) {
+    while sim.waiting(entry, account, "drafting") < count {
+        let accepted = sim.arrive(entry, account, "drafting", 50, 60_000);
         assert_eq!(accepted, Ok(()));
     }
 }
@@ -18,14 +18,14 @@
 /// callers connect, the ratio of service would not be 4.
 #[test]
 fn accounts_at_different_instances_get_their_shares() {
-    let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
+    let mut sim = Simulation::new(&small_fleet(), PLACES, &Tuning::default());
 
-    steps.run(10_000, |s| {
+    sim.run(10_000, |s| {
         keep_waiting(s, 0, "big", 20);
         keep_waiting(s, 1, "small-1", 20);
     });
 
-    let ratio = steps.got("big") / steps.got("small-1");
+    let ratio = sim.got("big") / sim.got("small-1");
     assert!((3.5..4.5).contains(&ratio), "ratio {ratio}");
 }
 
@@ -33,21 +33,20 @@
 /// slots of its region would idle.
 #[test]
 fn slots_do_not_idle_while_a_request_waits_in_the_region() {
-    let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
-    steps.run(2000, |s| keep_waiting(s, 0, "big", 20));
-    let before = steps.busy;
+    let mut sim = Simulation::new(&small_fleet(), PLACES, &Tuning::default());
+    sim.run(2000, |s| keep_waiting(s, 0, "big", 20));
+    let before = sim.busy;
 
-    steps.run(4000, |s| keep_waiting(s, 0, "big", 20));
+    sim.run(4000, |s| keep_waiting(s, 0, "big", 20));
 
-    let used = (steps.busy - before) as f64 / (4000.0 * 8.0);
+    let used = (sim.busy - before) as f64 / (4000.0 * 8.0);
     assert!(used > 0.94, "used {used}");
-    assert!(steps.peak.values().all(|n| *n <= 4), "{:?}", steps.peak);
+    assert!(sim.peak.values().all(|n| *n <= 4), "{:?}", sim.peak);
 }
 
 /// Slots that active owners count as used.
-fn used_slots(steps: &Steps) -> u32 {
-    steps
-        .boards
+fn used_slots(sim: &Simulation) -> u32 {
+    sim.boards
         .iter()
         .flat_map(|b| b.owned_pools.values())
         .filter(|o| o.active)
@@ -62,22 +61,22 @@
 fn no_slot_is_lost_when_owners_change() {
     let places: Vec<_> = PLACES.iter().chain(PLACES).copied().collect();
     let fleet = small_fleet();
-    let mut steps = Steps::new(&fleet, &places, &Tuning::default());
+    let mut sim = Simulation::new(&fleet, &places, &Tuning::default());
     for late in 3..6 {
-        steps.kill(late);
+        sim.kill(late);
     }
-    steps.run(3000, |s| keep_waiting(s, 0, "big", 20));
+    sim.run(3000, |s| keep_waiting(s, 0, "big", 20));
     for late in 3..6 {
-        steps.restart(late, &fleet, 1);
+        sim.restart(late, &fleet, 1);
     }
 
-    steps.run(6000, |s| {
+    sim.run(6000, |s| {
         keep_waiting(s, 0, "big", 20);
         keep_waiting(s, 5, "small-1", 20);
     });
-    steps.run(3000, |_| {});
+    sim.run(3000, |_| {});
 
-    assert_eq!(used_slots(&steps), 0);
+    assert_eq!(used_slots(&sim), 0);
 }
 
 /// An entry loses contact with the owner, switches to another one and back, which the first owner
@@ -87,20 +86,20 @@
 #[test]
 fn no_slot_is_lost_when_an_entry_switches_owner_and_back() {
     let places: Vec<_> = PLACES.iter().chain(PLACES).copied().collect();
-    let mut steps = Steps::new(&small_fleet(), &places, &Tuning::default());
-    steps.run(4000, |_| {});
+    let mut sim = Simulation::new(&small_fleet(), &places, &Tuning::default());
+    sim.run(4000, |_| {});
     for _ in 0..16 {
-        let accepted = steps.arrive(0, "big", "drafting", 900, 60_000);
+        let accepted = sim.arrive(0, "big", "drafting", 900, 60_000);
         assert_eq!(accepted, Ok(()));
     }
-    steps.run(100, |_| {});
+    sim.run(100, |_| {});
 
     for other in 1..6 {
-        steps.cut.insert((other, 0));
+        sim.cut.insert((other, 0));
     }
-    steps.run(1000, |_| {});
-    steps.cut.clear();
-    steps.run(6000, |_| {});
+    sim.run(1000, |_| {});
+    sim.cut.clear();
+    sim.run(6000, |_| {});
 
-    assert_eq!(used_slots(&steps), 0);
+    assert_eq!(used_slots(&sim), 0);
 }
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -11,25 +11,25 @@
 use hawthornmill_lab::standin::platform::Mode;
 use hawthornmill_test_support::fleet::FleetText;
 use hawthornmill_test_support::procs::{send, small_fleet, small_site};
-use hawthornmill_test_support::steps::{Steps, contact};
+use hawthornmill_test_support::simulation::{Simulation, contact};
 
 use crate::{ROUTER, block_on};
 
 const PLACES: &[(&str, &str)] = &[("a", "north"), ("a", "north"), ("b", "north")];
 
-fn keep_waiting(steps: &mut Steps) {
+fn keep_waiting(sim: &mut Simulation) {
     for entry in 0..PLACES.len() {
-        while steps.waiting(entry, "big", "drafting") < 8 {
-            let accepted = steps.arrive(entry, "big", "drafting", 50, 60_000);
+        while sim.waiting(entry, "big", "drafting") < 8 {
+            let accepted = sim.arrive(entry, "big", "drafting", 50, 60_000);
             assert_eq!(accepted, Ok(()));
         }
     }
 }
 
 /// Calls that `server` runs, according to the entries.
-fn running(steps: &Steps, server: &str) -> usize {
+fn running(sim: &Simulation, server: &str) -> usize {
     let id = ServerId::of(server);
-    let sessions = steps.boards.iter().flat_map(|b| b.sessions.values());
+    let sessions = sim.boards.iter().flat_map(|b| b.sessions.values());
     sessions
         .flat_map(|l| l.held.values())
         .filter(|slot| slot.busy && slot.server == id)
@@ -48,35 +48,33 @@
 /// server, the owner would grant them again at once, in an endless loop of messages.
 #[test]
 fn entries_return_grants_for_a_leaving_server() {
-    let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
-    steps.run(6000, keep_waiting);
-    let pool = steps.boards[0].sessions.iter().find(|(id, _)| {
+    let mut sim = Simulation::new(&small_fleet(), PLACES, &Tuning::default());
+    sim.run(6000, keep_waiting);
+    let pool = sim.boards[0].sessions.iter().find(|(id, _)| {
         let server = ServerId::of("draft-a");
-        steps.boards[0].config.pools[id].servers.contains(&server)
+        sim.boards[0].config.pools[id].servers.contains(&server)
     });
-    let owner = pool
-        .and_then(|(_, l)| l.owner)
-        .map(|(id, _)| steps.index(id));
+    let owner = pool.and_then(|(_, l)| l.owner).map(|(id, _)| sim.index(id));
     let newer = without_draft_a();
     for index in (0..PLACES.len()).filter(|n| Some(*n) != owner) {
         let (config, manifest, values) = newer.accept(2);
-        steps.boards[index].install(config, manifest, values);
+        sim.boards[index].install(config, manifest, values);
     }
     let own = owner.expect("the pool has an owner");
 
-    steps.run(100, keep_waiting);
-    let sent = steps.sent["grants"];
-    steps.run(1000, keep_waiting);
+    sim.run(100, keep_waiting);
+    let sent = sim.sent["grants"];
+    sim.run(1000, keep_waiting);
 
     let others = (0..PLACES.len()).filter(|n| *n != own);
     let id = ServerId::of("draft-a");
     let held = others
-        .flat_map(|n| steps.boards[n].sessions.values())
+        .flat_map(|n| sim.boards[n].sessions.values())
         .flat_map(|l| l.held.values())
         .filter(|s| s.server == id)
         .count();
     assert_eq!(held, 0);
-    let grants = steps.sent["grants"] - sent;
+    let grants = sim.sent["grants"] - sent;
     assert!(grants < 150, "{grants} grants in a second");
 }
 
@@ -85,13 +83,13 @@
 #[test]
 fn leaving_state_announced_by_the_server_is_sufficient() {
     for by_answer in [false, true] {
-        let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
-        steps.run(6000, keep_waiting);
-        assert!(running(&steps, "draft-a") > 0);
+        let mut sim = Simulation::new(&small_fleet(), PLACES, &Tuning::default());
+        sim.run(6000, keep_waiting);
+        assert!(running(&sim, "draft-a") > 0);
         let server = ServerId::of("draft-a");
 
-        let now = steps.instant();
-        for board in &mut steps.boards {
+        let now = sim.instant();
+        for board in &mut sim.boards {
             let pools: Vec<_> = board.owned_pools.keys().copied().collect();
             if by_answer {
                 entry::on_server_leaving(board, server, now);
@@ -101,9 +99,9 @@
                 owner::on_leaving_reading(board, pool, server, true);
             }
         }
-        steps.run(60, keep_waiting);
+        sim.run(60, keep_waiting);
         let mut seen = 0;
-        steps.run(2000, |s| {
+        sim.run(2000, |s| {
             keep_waiting(s);
             seen += running(s, "draft-a");
         });
--- a/tests/testsuite/liveness.rs
+++ b/tests/testsuite/liveness.rs
@@ -4,7 +4,7 @@
 
 use hawthornmill::ident::{Incarnation, InstanceId};
 use hawthornmill::membership::{LivenessUpdate, Members};
-use hawthornmill_test_support::steps::contact;
+use hawthornmill_test_support::simulation::contact;
 
 /// A view with one other instance, `i1`, and the time of its creation.
 fn view() -> (Members, Instant) {
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -9,7 +9,7 @@
 use hawthornmill::wire::message::ProbeAck;
 use hawthornmill_test_support::fleet::FleetText;
 use hawthornmill_test_support::procs::small_fleet;
-use hawthornmill_test_support::steps::{Steps, contact};
+use hawthornmill_test_support::simulation::{Simulation, contact};
 
 /// Four instances in one failure domain, one in each of two others.
 const PLACES: &[(&str, &str)] = &[
@@ -22,10 +22,10 @@
 ];
 const SLOTS_OF_A: u64 = 4;
 
-fn steps() -> Steps {
-    let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
-    steps.run(5000, |_| {});
-    steps
+fn simulation() -> Simulation {
+    let mut sim = Simulation::new(&small_fleet(), PLACES, &Tuning::default());
+    sim.run(5000, |_| {});
+    sim
 }
 
 fn pool_of_a() -> PoolId {
@@ -33,12 +33,12 @@
 }
 
 /// Running instances that grant slots of the pool in failure domain `a`.
-fn owners(steps: &Steps) -> Vec<usize> {
-    let now = steps.instant();
+fn owners(sim: &Simulation) -> Vec<usize> {
+    let now = sim.instant();
     (0..PLACES.len())
-        .filter(|n| !steps.dead.contains(n) && !steps.frozen.contains(n))
+        .filter(|n| !sim.dead.contains(n) && !sim.frozen.contains(n))
         .filter(|n| {
-            let owned = steps.boards[*n].owned_pools.get(&pool_of_a());
+            let owned = sim.boards[*n].owned_pools.get(&pool_of_a());
             owned.is_some_and(|o| o.active && o.ready_at.is_some_and(|r| r <= now))
         })
         .collect()
@@ -54,8 +54,8 @@
 }
 
 impl OwnerStats {
-    fn sample(&mut self, steps: &Steps) {
-        match owners(steps)[..] {
+    fn sample(&mut self, sim: &Simulation) {
+        match owners(sim)[..] {
             [] => self.none += 1,
             [one] => {
                 self.changes += u64::from(self.last.is_some_and(|last| last != one));
@@ -67,13 +67,13 @@
 }
 
 /// Keeps requests waiting at two instances of failure domain `a` and at one of `b`.
-fn load(steps: &mut Steps) {
+fn load(sim: &mut Simulation) {
     for entry in [0, 1, 4] {
-        if steps.dead.contains(&entry) || steps.frozen.contains(&entry) {
+        if sim.dead.contains(&entry) || sim.frozen.contains(&entry) {
             continue;
         }
-        while steps.waiting(entry, "big", "drafting") < 8 {
-            let accepted = steps.arrive(entry, "big", "drafting", 50, 60_000);
+        while sim.waiting(entry, "big", "drafting") < 8 {
+            let accepted = sim.arrive(entry, "big", "drafting", 50, 60_000);
             assert_eq!(accepted, Ok(()));
         }
     }
@@ -83,27 +83,27 @@
 /// held slots from all entries, while freed slots idle.
 #[test]
 fn handover_of_a_leaving_owner_keeps_throughput() {
-    let mut steps = steps();
-    steps.run(1000, load);
-    let old = owners(&steps)[0];
-    let before = steps.busy;
-    steps.run(500, load);
-    let usual = steps.busy - before;
-
-    let me = steps.boards[old].me();
-    steps.boards[old].members.set_leaving(me);
+    let mut sim = simulation();
+    sim.run(1000, load);
+    let old = owners(&sim)[0];
+    let before = sim.busy;
+    sim.run(500, load);
+    let usual = sim.busy - before;
+
+    let me = sim.boards[old].me();
+    sim.boards[old].members.set_leaving(me);
     let mut stats = OwnerStats::default();
-    let before = steps.busy;
-    steps.run(500, |s| {
+    let before = sim.busy;
+    sim.run(500, |s| {
         load(s);
         stats.sample(s);
     });
 
-    let used = (steps.busy - before) as f64 / usual as f64;
+    let used = (sim.busy - before) as f64 / usual as f64;
     assert_ne!(stats.last, Some(old));
     assert!(used > 0.95, "used {used}, {stats:?}");
     assert!(stats.none <= 5 && stats.several <= 105, "{stats:?}");
-    assert!(steps.peak.values().all(|n| u64::from(*n) <= SLOTS_OF_A));
+    assert!(sim.peak.values().all(|n| u64::from(*n) <= SLOTS_OF_A));
 }
 
 /// The instance that the hash prefers restarts without state. If it regarded all others as just
@@ -111,14 +111,14 @@
 /// owners would grant the same slots until the instance counts as stable everywhere.
 #[test]
 fn a_restarted_instance_and_the_others_agree_on_the_owner() {
-    let mut steps = steps();
-    let old = owners(&steps)[0];
-    steps.kill(old);
-    steps.run(2000, load);
+    let mut sim = simulation();
+    let old = owners(&sim)[0];
+    sim.kill(old);
+    sim.run(2000, load);
 
-    steps.restart(old, &small_fleet(), 1);
+    sim.restart(old, &small_fleet(), 1);
     let mut stats = OwnerStats::default();
-    steps.run(6000, |s| {
+    sim.run(6000, |s| {
         load(s);
         stats.sample(s);
     });
@@ -136,20 +136,20 @@
 /// each time, every round would cause two changes of owner and a drop in throughput.
 #[test]
 fn a_flapping_instance_does_not_make_ownership_flap() {
-    let mut steps = steps();
-    let old = owners(&steps)[0];
-    steps.kill(old);
-    steps.run(2000, load);
+    let mut sim = simulation();
+    let old = owners(&sim)[0];
+    sim.kill(old);
+    sim.run(2000, load);
     let mut stats = OwnerStats::default();
 
     for _ in 0..5 {
-        steps.restart(old, &small_fleet(), 1);
-        steps.run(2000, |s| {
+        sim.restart(old, &small_fleet(), 1);
+        sim.run(2000, |s| {
             load(s);
             stats.sample(s);
         });
-        steps.kill(old);
-        steps.run(1000, |s| {
+        sim.kill(old);
+        sim.run(1000, |s| {
             load(s);
             stats.sample(s);
         });
@@ -164,17 +164,17 @@
 /// restarted. If it took its pools back at once, there would be two owners.
 #[test]
 fn partitioned_instance_does_not_reclaim_its_pools_at_once() {
-    let mut steps = steps();
-    let old = owners(&steps)[0];
+    let mut sim = simulation();
+    let old = owners(&sim)[0];
     let rest: Vec<usize> = (0..PLACES.len()).filter(|n| *n != old).collect();
-    steps.run(1000, load);
-    steps.cut_between(&[old], &rest);
-    steps.run(4000, load);
-    assert_eq!(owners(&steps).len(), 2, "each side has an owner");
+    sim.run(1000, load);
+    sim.cut_between(&[old], &rest);
+    sim.run(4000, load);
+    assert_eq!(owners(&sim).len(), 2, "each side has an owner");
 
-    steps.cut.clear();
+    sim.cut.clear();
     let mut stats = OwnerStats::default();
-    steps.run(2500, |s| {
+    sim.run(2500, |s| {
         load(s);
         stats.sample(s);
     });
@@ -189,29 +189,29 @@
 /// would be used twice, and a server could run more calls than it has slots.
 #[test]
 fn resumed_owner_does_not_act_on_a_stale_view() {
-    let mut steps = steps();
-    let old = owners(&steps)[0];
-    steps.run(1000, load);
+    let mut sim = simulation();
+    let old = owners(&sim)[0];
+    sim.run(1000, load);
     for _ in 0..2 {
         for _ in 0..8 {
-            let accepted = steps.arrive(old, "small-1", "drafting", 50, 60_000);
+            let accepted = sim.arrive(old, "small-1", "drafting", 50, 60_000);
             assert_eq!(accepted, Ok(()));
         }
-        steps.step();
-        steps.frozen.insert(old);
-        steps.run(3000, load);
-        steps.frozen.remove(&old);
+        sim.step();
+        sim.frozen.insert(old);
+        sim.run(3000, load);
+        sim.frozen.remove(&old);
 
-        let waiting = steps.waiting(old, "small-1", "drafting");
-        steps.step();
+        let waiting = sim.waiting(old, "small-1", "drafting");
+        sim.step();
         let mut stale = 0;
-        while steps.boards[old].stale_since.is_some() {
-            assert_eq!(steps.waiting(old, "small-1", "drafting"), waiting);
-            steps.step();
+        while sim.boards[old].stale_since.is_some() {
+            assert_eq!(sim.waiting(old, "small-1", "drafting"), waiting);
+            sim.step();
             stale += 1;
         }
         let mut stats = OwnerStats::default();
-        steps.run(1500, |s| {
+        sim.run(1500, |s| {
             load(s);
             stats.sample(s);
         });
@@ -219,8 +219,8 @@
         assert!(waiting > 0 && (1..10).contains(&stale), "{stale}");
         assert_eq!((stats.several, stats.none), (0, 0), "{stats:?}");
         assert_ne!(stats.last, Some(old));
-        assert_eq!(steps.waiting(old, "small-1", "drafting"), 0);
-        steps.run(3000, load);
+        assert_eq!(sim.waiting(old, "small-1", "drafting"), 0);
+        sim.run(3000, load);
     }
 }
 
@@ -230,59 +230,59 @@
 /// left in the socket buffer, must not count.
 #[test]
 fn resumed_sole_owner_waits_for_a_fresh_probe_response() {
-    let mut steps = steps();
+    let mut sim = simulation();
     let pool = PoolId::of(ServiceId::of("drafting"), DomainId::of("b"));
-    steps.run(1000, load);
-    steps.frozen.insert(4);
-    steps.run(3000, load);
-    steps.frozen.remove(&4);
-    let granted = |steps: &Steps| steps.boards[4].owned_pools[&pool].seq;
-    let before = granted(&steps);
-
-    steps.step();
+    sim.run(1000, load);
+    sim.frozen.insert(4);
+    sim.run(3000, load);
+    sim.frozen.remove(&4);
+    let granted = |sim: &Simulation| sim.boards[4].owned_pools[&pool].seq;
+    let before = granted(&sim);
+
+    sim.step();
     let stale_ack = ProbeAck {
-        number: steps.boards[4].pause_count - 1,
+        number: sim.boards[4].pause_count - 1,
         revision: 1,
         serving: true,
     };
-    let now = steps.instant();
-    tick::on_probe_ack(&mut steps.boards[4], stale_ack, now);
-    let stale = steps.boards[4].stale_since.is_some();
-    let held_back = granted(&steps);
-    steps.run(1500, load);
+    let now = sim.instant();
+    tick::on_probe_ack(&mut sim.boards[4], stale_ack, now);
+    let stale = sim.boards[4].stale_since.is_some();
+    let held_back = granted(&sim);
+    sim.run(1500, load);
 
     assert!(stale, "a response to an earlier probe confirms nothing");
     assert_eq!(held_back, before);
-    assert!(steps.boards[4].stale_since.is_none() && granted(&steps) > before);
+    assert!(sim.boards[4].stale_since.is_none() && granted(&sim) > before);
 }
 
 /// A server is removed while an instance is paused. If a probe response confirmed the view without
 /// comparing configuration revisions, the resumed instance would send requests to that server.
 #[test]
 fn resumed_instance_waits_for_the_configuration_of_its_peers() {
-    let mut steps = steps();
-    steps.run(1000, load);
-    steps.frozen.insert(0);
-    steps.run(1000, load);
+    let mut sim = simulation();
+    sim.run(1000, load);
+    sim.frozen.insert(0);
+    sim.run(1000, load);
     let newer = leaving_fleet();
     for index in 1..PLACES.len() {
         let (config, manifest, values) = newer.accept(2);
-        steps.boards[index].install(config, manifest, values);
+        sim.boards[index].install(config, manifest, values);
     }
-    steps.run(2000, load);
-    steps.frozen.remove(&0);
+    sim.run(2000, load);
+    sim.frozen.remove(&0);
 
-    steps.run(500, load);
-    let before = steps.boards[0].stale_since.is_some();
+    sim.run(500, load);
+    let before = sim.boards[0].stale_since.is_some();
     let (config, manifest, values) = newer.accept(2);
-    steps.boards[0].install(config, manifest, values);
-    steps.run(100, load);
+    sim.boards[0].install(config, manifest, values);
+    sim.run(100, load);
 
     assert!(
         before,
         "the view is not confirmed without the latest revision"
     );
-    assert!(steps.boards[0].stale_since.is_none());
+    assert!(sim.boards[0].stale_since.is_none());
 }
 
 /// The small fleet with one server of failure domain `a` leaving.
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -5,7 +5,7 @@
 use hawthornmill::ident::{AccountId, ServiceId};
 use hawthornmill::pools::entry;
 use hawthornmill_test_support::procs::small_fleet;
-use hawthornmill_test_support::steps::Steps;
+use hawthornmill_test_support::simulation::Simulation;
 
 const PLACES: &[(&str, &str)] = &[("a", "north"), ("b", "north"), ("c", "south")];
 const ACCOUNTS: &[&str] = &["big", "small-1", "small-2"];
@@ -26,9 +26,9 @@
 /// are busy, but hardly any response is in time.
 #[test]
 fn threefold_overload_keeps_goodput_and_bounds_the_backlog() {
-    let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
+    let mut sim = Simulation::new(&small_fleet(), PLACES, &Tuning::default());
     let mut turn = 0;
-    let mut offer = |s: &mut Steps| {
+    let mut offer = |s: &mut Simulation| {
         // 18 calls in 25 ms: three times 12 slots / 50 ms.
         if s.now * 18 % 25 < 18 {
             let (entry, account) = (turn % 3, ACCOUNTS[turn / 3 % 3]);
@@ -36,22 +36,22 @@
             let _refused = s.arrive(entry, account, "drafting", COST_MS, DEADLINE_MS);
         }
     };
-    steps.run(3000, &mut offer);
-    steps.ended.clear();
+    sim.run(3000, &mut offer);
+    sim.ended.clear();
     let mut most = (0, 0);
 
-    steps.run(6000, |s| {
+    sim.run(6000, |s| {
         offer(s);
         for (count, bytes) in s.boards.iter().map(backlog) {
             most = (most.0.max(count), most.1.max(bytes));
         }
     });
 
-    let good = |e: &&hawthornmill_test_support::steps::Ended| {
+    let good = |e: &&hawthornmill_test_support::simulation::Ended| {
         e.code.is_none() && e.waited + COST_MS <= DEADLINE_MS
     };
     let goodput =
-        (steps.ended.iter().filter(good).count() as u64 * COST_MS) as f64 / (6000 * SLOTS) as f64;
+        (sim.ended.iter().filter(good).count() as u64 * COST_MS) as f64 / (6000 * SLOTS) as f64;
     assert!(goodput > 0.97, "goodput {goodput}");
     assert!(most.0 < 60, "most that waited at one instance: {most:?}");
 }
@@ -65,46 +65,46 @@
         max_waiting: 300,
         ..Tuning::default()
     };
-    let mut steps = Steps::new(&fleet, PLACES, &tuning);
-    while steps.arrive(0, "flood", "booking", COST_MS, 60_000).is_ok() {}
+    let mut sim = Simulation::new(&fleet, PLACES, &tuning);
+    while sim.arrive(0, "flood", "booking", COST_MS, 60_000).is_ok() {}
 
-    let mine = (0..100).map(|_| steps.arrive(0, "small-1", "booking", COST_MS, 60_000));
+    let mine = (0..100).map(|_| sim.arrive(0, "small-1", "booking", COST_MS, 60_000));
 
     assert!(mine.into_iter().all(|r| r.is_ok()));
-    let (count, _) = backlog(&steps.boards[0]);
+    let (count, _) = backlog(&sim.boards[0]);
     assert_eq!(count, 300);
-    steps.run(1, |_| {});
-    let refused = |e: &&hawthornmill_test_support::steps::Ended| {
+    sim.run(1, |_| {});
+    let refused = |e: &&hawthornmill_test_support::simulation::Ended| {
         e.account == AccountId::of("flood") && e.code == Some(Code::InstanceFull)
     };
-    assert_eq!(steps.ended.iter().filter(refused).count(), 100);
+    assert_eq!(sim.ended.iter().filter(refused).count(), 100);
 }
 
 /// Seconds after which a caller of `account` that is rejected now should retry.
-fn retry_after_seconds(steps: &Steps, account: &str) -> f64 {
+fn retry_after_seconds(sim: &Simulation, account: &str) -> f64 {
     let (service, account) = (ServiceId::of("drafting"), AccountId::of(account));
-    let board = &steps.boards[0];
-    entry::retry_after(board, service, account, 0.0, steps.instant()).as_secs_f64()
+    let board = &sim.boards[0];
+    entry::retry_after(board, service, account, 0.0, sim.instant()).as_secs_f64()
 }
 
 /// Two accounts have queues of the same length, but one is served four times as fast. If both got the
 /// same retry time, callers of the slower one would retry in vain.
 #[test]
 fn retry_after_follows_the_rate_of_the_account() {
-    let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
-    let fill = |s: &mut Steps| {
+    let mut sim = Simulation::new(&small_fleet(), PLACES, &Tuning::default());
+    let fill = |s: &mut Simulation| {
         for account in ["big", "small-1"] {
             while s.waiting(0, account, "drafting") < 40 {
                 assert_eq!(s.arrive(0, account, "drafting", COST_MS, 60_000), Ok(()));
             }
         }
     };
-    steps.run(4000, fill);
+    sim.run(4000, fill);
 
     // All calls cost the same, so slots are granted in bursts. A single sample at the end of a burst
     // would be too low, so the time is averaged over several.
     let (mut big, mut small) = (0.0, 0.0);
-    steps.run(4 * COST_MS, |s| {
+    sim.run(4 * COST_MS, |s| {
         fill(s);
         big += retry_after_seconds(s, "big");
         small += retry_after_seconds(s, "small-1");
@@ -118,16 +118,16 @@
 /// is free for the call, callers would hang and the queue would stay full.
 #[test]
 fn expired_call_is_rejected_at_once() {
-    let mut steps = Steps::new(&small_fleet(), PLACES, &Tuning::default());
-    steps.run(1000, |_| {});
+    let mut sim = Simulation::new(&small_fleet(), PLACES, &Tuning::default());
+    sim.run(1000, |_| {});
     for _ in 0..60 {
-        let accepted = steps.arrive(0, "big", "drafting", 5000, 200);
+        let accepted = sim.arrive(0, "big", "drafting", 5000, 200);
         assert_eq!(accepted, Ok(()));
     }
 
-    steps.run(230, |_| {});
+    sim.run(230, |_| {});
 
-    let late: Vec<u64> = steps
+    let late: Vec<u64> = sim
         .ended
         .iter()
         .filter(|e| e.code == Some(Code::DeadlinePassed))
@@ -135,5 +135,5 @@
         .collect();
     assert!(late.len() >= 40, "{} expired", late.len());
     assert!(late.iter().all(|w| (200..=220).contains(w)), "{late:?}");
-    assert_eq!(backlog(&steps.boards[0]), (0, 0));
+    assert_eq!(backlog(&sim.boards[0]), (0, 0));
 }
--- a/tests/testsuite/retries.rs
+++ b/tests/testsuite/retries.rs
@@ -7,7 +7,7 @@
 use hawthornmill::limits::retry::{FailedAttempt, Failure, MAX_ATTEMPTS, Retries};
 use hawthornmill::pools::entry;
 use hawthornmill_test_support::procs::small_fleet;
-use hawthornmill_test_support::steps::Steps;
+use hawthornmill_test_support::simulation::Simulation;
 
 const DRAW: f64 = 0.5;
 
@@ -154,13 +154,12 @@
 }
 
 fn retry_away_from(name: &str) {
-    let mut steps = Steps::new(&small_fleet(), &[("a", "north")], &Tuning::default());
+    let mut sim = Simulation::new(&small_fleet(), &[("a", "north")], &Tuning::default());
     let (service, account) = (ServiceId::of("drafting"), AccountId::of("big"));
-    let start = steps.instant();
-    steps.run(1000, |_| {});
-    while steps.waiting(0, "big", "drafting") < 3 {
-        steps
-            .arrive(0, "big", "drafting", 500, 60_000)
+    let start = sim.instant();
+    sim.run(1000, |_| {});
+    while sim.waiting(0, "big", "drafting") < 3 {
+        sim.arrive(0, "big", "drafting", 500, 60_000)
             .expect("there is room");
     }
     let arrived = start;
@@ -168,29 +167,29 @@
         service,
         account,
         bytes: 100,
-        deadline: steps.instant() + Duration::from_mins(1),
+        deadline: sim.instant() + Duration::from_mins(1),
     };
     let avoid = ServerId::of(name);
 
     let retried = entry::requeue(
-        &mut steps.boards[0],
+        &mut sim.boards[0],
         arrival,
         arrived,
         [avoid].into_iter().collect(),
     );
 
-    let queue = &steps.boards[0].queues[&(service, account)];
+    let queue = &sim.boards[0].queues[&(service, account)];
     assert_eq!(queue.front(), Some(&retried));
     let mut servers = Vec::new();
     for _ in 0..100 {
-        let now = steps.instant();
-        hawthornmill::pools::run_due(&mut steps.boards[0], now);
-        let of = steps.boards[0]
+        let now = sim.instant();
+        hawthornmill::pools::run_due(&mut sim.boards[0], now);
+        let of = sim.boards[0]
             .dispatches
             .iter()
             .filter(|d| d.request == retried);
         servers.extend(of.map(|d| d.server));
-        steps.step();
+        sim.step();
     }
     assert_eq!(servers.len(), 1, "it is dispatched once");
     assert_ne!(servers[0], avoid);
@@ -206,9 +205,9 @@
         .server("only", "drafting", "a", 2, "std")
         .account("big", "large")
         .grant("all", "size=large", "pool=std", 1.0);
-    let mut steps = Steps::new(&fleet, &[("a", "north")], &Tuning::default());
-    steps.run(1000, |_| {});
-    let now = steps.instant();
+    let mut sim = Simulation::new(&fleet, &[("a", "north")], &Tuning::default());
+    sim.run(1000, |_| {});
+    let now = sim.instant();
     let arrival = entry::Arrival {
         service: ServiceId::of("drafting"),
         account: AccountId::of("big"),
@@ -217,14 +216,14 @@
     };
 
     entry::requeue(
-        &mut steps.boards[0],
+        &mut sim.boards[0],
         arrival,
         now,
         [ServerId::of("only")].into_iter().collect(),
     );
-    steps.run(600, |_| {});
+    sim.run(600, |_| {});
 
-    assert_eq!(steps.waiting(0, "big", "drafting"), 0);
-    let grants: u32 = steps.boards[0].owned_pools.values().map(|o| o.seq).sum();
+    assert_eq!(sim.waiting(0, "big", "drafting"), 0);
+    let grants: u32 = sim.boards[0].owned_pools.values().map(|o| o.seq).sum();
     assert!(grants <= 5, "{grants} grants for one call");
 }
--- a/tests/testsuite/shares.rs
+++ b/tests/testsuite/shares.rs
@@ -4,7 +4,7 @@
 use hawthornmill::fairness::CostKey;
 use hawthornmill::ident::{AccountId, ServiceId};
 use hawthornmill_test_support::loads::{Backlog, Drive, EIGHT, WIDE_SLOTS, gap_bound, wide_fleet};
-use hawthornmill_test_support::steps::Steps;
+use hawthornmill_test_support::simulation::Simulation;
 
 /// Age of the oldest counter: three report intervals.
 const STALENESS_MS: u64 = 750;
@@ -36,33 +36,33 @@
     }
 }
 
-fn warmed_up(policy: Policy) -> (Steps, Drive) {
-    let mut steps = Steps::new(&wide_fleet(), EIGHT, &tuning(policy));
+fn warmed_up(policy: Policy) -> (Simulation, Drive) {
+    let mut sim = Simulation::new(&wide_fleet(), EIGHT, &tuning(policy));
     let mut drive = Drive::new(UNEVEN);
-    drive.run(&mut steps, 3000);
-    drive.mark(&steps);
-    (steps, drive)
+    drive.run(&mut sim, 3000);
+    drive.mark(&sim);
+    (sim, drive)
 }
 
 /// Messages sent between instances and the bytes of their payloads.
-fn traffic(steps: &Steps) -> (u64, u64) {
-    (steps.sent.values().sum(), steps.bytes)
+fn traffic(sim: &Simulation) -> (u64, u64) {
+    (sim.sent.values().sum(), sim.bytes)
 }
 
 /// One account floods every instance; the others use one or two instances each. Routers with static
 /// shares serve the flood at every instance, so it receives several times its fair share.
 #[test]
 fn service_gap_is_a_tenth_of_that_under_static_shares() {
-    let (mut static_steps, mut static_drive) = warmed_up(Policy::Static);
-    let (mut steps, mut drive) = warmed_up(Policy::Pooled);
+    let (mut static_sim, mut static_drive) = warmed_up(Policy::Static);
+    let (mut sim, mut drive) = warmed_up(Policy::Pooled);
 
-    let before = (traffic(&steps), steps.ended.len());
+    let before = (traffic(&sim), sim.ended.len());
 
-    static_drive.run(&mut static_steps, 20_000);
-    drive.run(&mut steps, 20_000);
+    static_drive.run(&mut static_sim, 20_000);
+    drive.run(&mut sim, 20_000);
 
-    let calls = (steps.ended.len() - before.1) as f64;
-    let (messages, bytes) = traffic(&steps);
+    let calls = (sim.ended.len() - before.1) as f64;
+    let (messages, bytes) = traffic(&sim);
     let messages = (messages - before.0.0) as f64 / calls;
     let bytes = (bytes - before.0.1) as f64 / calls;
     println!("a call costs {messages:.2} messages, {bytes:.0} bytes");
@@ -87,19 +87,19 @@
 /// or counted old service as new, accounts that had their share would be preferred.
 #[test]
 fn restarted_router_recovers_the_fairness_counters() {
-    let (mut steps, mut drive) = warmed_up(Policy::Pooled);
+    let (mut sim, mut drive) = warmed_up(Policy::Pooled);
     for _ in 0..2 {
-        for index in 0..steps.boards.len() {
-            steps.kill(index);
-            drive.run(&mut steps, 300);
-            steps.restart(index, &wide_fleet(), 1);
-            drive.run(&mut steps, 3000);
+        for index in 0..sim.boards.len() {
+            sim.kill(index);
+            drive.run(&mut sim, 300);
+            sim.restart(index, &wide_fleet(), 1);
+            drive.run(&mut sim, 3000);
         }
     }
 
-    steps.run(SETTLE_MS, |_| {});
+    sim.run(SETTLE_MS, |_| {});
 
-    let totals: Vec<Vec<f64>> = steps.boards.iter().map(totals).collect();
+    let totals: Vec<Vec<f64>> = sim.boards.iter().map(totals).collect();
     let most = spread(&totals);
     let bound = gap_bound(WIDE_SLOTS, STALENESS_MS, 1.0);
     println!("spread {most:.0} gap {:.0} bound {bound:.0}", drive.gap);
@@ -135,20 +135,20 @@
 /// converge afterwards, or the lag were repaid without limit, the gap would stay above its bound.
 #[test]
 fn service_gap_is_bounded_after_a_partition_heals() {
-    let (mut steps, mut drive) = warmed_up(Policy::Pooled);
-    steps.cut_between(&[0, 1, 3], &[2, 4, 5, 6, 7]);
-    drive.run(&mut steps, 10_000);
-    steps.cut.clear();
-    drive.run(&mut steps, 15_000);
-    drive.mark(&steps);
+    let (mut sim, mut drive) = warmed_up(Policy::Pooled);
+    sim.cut_between(&[0, 1, 3], &[2, 4, 5, 6, 7]);
+    drive.run(&mut sim, 10_000);
+    sim.cut.clear();
+    drive.run(&mut sim, 15_000);
+    drive.mark(&sim);
 
-    drive.run(&mut steps, 10_000);
+    drive.run(&mut sim, 10_000);
 
     let bound = gap_bound(WIDE_SLOTS, STALENESS_MS, 1.0);
     println!("gap after the cut {:.0} bound {bound:.0}", drive.gap);
     assert!(drive.gap < bound, "gap {} bound {bound}", drive.gap);
-    steps.run(SETTLE_MS, |_| {});
-    let totals: Vec<Vec<f64>> = steps.boards.iter().map(totals).collect();
+    sim.run(SETTLE_MS, |_| {});
+    let totals: Vec<Vec<f64>> = sim.boards.iter().map(totals).collect();
     assert!(spread(&totals) < 1.0, "{totals:?}");
 }
 
@@ -156,21 +156,21 @@
 /// until it had caught up, and the others would wait.
 #[test]
 fn idle_time_earns_no_credit() {
-    let (mut steps, mut others) = warmed_up(Policy::Pooled);
-    others.run(&mut steps, 20_000);
+    let (mut sim, mut others) = warmed_up(Policy::Pooled);
+    others.run(&mut sim, 20_000);
     let all: Vec<Backlog> = UNEVEN
         .iter()
         .copied()
         .chain([backlog("lab-6", 1.0, &[5])])
         .collect();
     let mut drive = Drive::new(&all);
-    drive.mark(&steps);
+    drive.mark(&sim);
 
-    drive.run(&mut steps, 6000);
+    drive.run(&mut sim, 6000);
 
     let bound = gap_bound(WIDE_SLOTS, STALENESS_MS, 1.0);
     println!("gap {:.0} bound {bound:.0}", drive.gap);
-    let lab = steps.got("lab-6");
+    let lab = sim.got("lab-6");
     // Its share is 1 of 9 of 48 slots.
     let owed = 6000.0 * 48.0 / 9.0;
     assert!((0.8..1.2).contains(&(lab / owed)), "{lab} of {owed}");
@@ -181,18 +181,18 @@
 /// low a precision, these calls would be lost to other owners, and the account would be preferred.
 #[test]
 fn large_counters_stay_exact() {
-    let mut steps = Steps::new(&wide_fleet(), EIGHT, &Tuning::default());
+    let mut sim = Simulation::new(&wide_fleet(), EIGHT, &Tuning::default());
     let key = CostKey {
         service: ServiceId::of("drafting"),
         account: AccountId::of("large"),
     };
-    steps.boards[0].ledger.charge(key, 3e10);
-    steps.run(1000, |_| {});
-    let before = steps.boards[2].ledger.total(key);
+    sim.boards[0].ledger.charge(key, 3e10);
+    sim.run(1000, |_| {});
+    let before = sim.boards[2].ledger.total(key);
 
-    steps.boards[0].ledger.charge(key, 300.0);
-    steps.run(1000, |_| {});
+    sim.boards[0].ledger.charge(key, 300.0);
+    sim.run(1000, |_| {});
 
-    let seen = steps.boards[2].ledger.total(key) - before;
+    let seen = sim.boards[2].ledger.total(key) - before;
     assert!((seen - 300.0).abs() < 1.0, "seen {seen}");
 }
--- a/tests/testsuite/starvation.rs
+++ b/tests/testsuite/starvation.rs
@@ -5,7 +5,7 @@
 use hawthornmill_test_support::loads::{
     Backlog, Drive, EIGHT, LARGEST_COST, MEAN_COST, WIDE_SLOTS, gap_bound, wide_fleet,
 };
-use hawthornmill_test_support::steps::Steps;
+use hawthornmill_test_support::simulation::Simulation;
 
 /// Longest wait of a single caller under flood, in costs of the largest call.
 const MAX_WAIT_COSTS: f64 = 2.0;
@@ -23,20 +23,20 @@
 /// the floods instead of being served next, it would wait for most of their backlog.
 #[test]
 fn single_caller_wait_is_bounded_under_flood() {
-    let mut steps = Steps::new(&wide_fleet(), EIGHT, &Tuning::default());
+    let mut sim = Simulation::new(&wide_fleet(), EIGHT, &Tuning::default());
     let all = &[0, 1, 2, 3, 4, 5, 6, 7];
     let mut drive = Drive::new(&[backlog("flood", 1.0, all), backlog("large", 4.0, all)]);
-    drive.run(&mut steps, 5000);
-    let from = steps.ended.len();
+    drive.run(&mut sim, 5000);
+    let from = sim.ended.len();
 
     for _ in 0..200 {
-        let sent = steps.arrive(4, "lab-1", "drafting", 60, 600_000);
+        let sent = sim.arrive(4, "lab-1", "drafting", 60, 600_000);
         assert_eq!(sent, Ok(()));
-        drive.run(&mut steps, 100);
+        drive.run(&mut sim, 100);
     }
 
     let lab = AccountId::of("lab-1");
-    let mut waits: Vec<u64> = steps.ended[from..]
+    let mut waits: Vec<u64> = sim.ended[from..]
         .iter()
         .filter(|e| e.account == lab)
         .map(|e| e.waited)
@@ -63,24 +63,24 @@
     let opened = confined
         .clone()
         .grant("all", "size=confined", "pool=std", 1.0);
-    let mut steps = Steps::new(&confined, EIGHT, &Tuning::default());
+    let mut sim = Simulation::new(&confined, EIGHT, &Tuning::default());
     let accounts = [
         backlog("flood", 1.0, &[0, 1, 2]),
         backlog("lab-1", 1.0, &[3]),
         backlog("lab-7", 1.0, &[6]),
     ];
     let mut drive = Drive::new(&accounts);
-    drive.run(&mut steps, 25_000);
-    let lag = steps.got("lab-1") - steps.got("lab-7");
-    for board in &mut steps.boards {
+    drive.run(&mut sim, 25_000);
+    let lag = sim.got("lab-1") - sim.got("lab-7");
+    for board in &mut sim.boards {
         let (config, manifest, values) = opened.accept(2);
         assert!(board.install(config, manifest, values));
     }
-    let before = (steps.got("lab-1"), steps.got("lab-7"));
+    let before = (sim.got("lab-1"), sim.got("lab-7"));
 
-    drive.run(&mut steps, 10_000);
+    drive.run(&mut sim, 10_000);
 
-    let ahead = (steps.got("lab-7") - before.1) - (steps.got("lab-1") - before.0);
+    let ahead = (sim.got("lab-7") - before.1) - (sim.got("lab-1") - before.0);
     // 17 slots in the largest pool, including the small server.
     let cap = Tuning::default().lag_cap * MEAN_COST * 17.0;
     println!("lag {lag:.0}, made up {ahead:.0}, cap {cap:.0}");
@@ -102,16 +102,13 @@
         backlog("lab-6", 1.0, &[2, 5]),
     ];
     let run = |tuning: &Tuning| {
-        let mut steps = Steps::new(&wide_fleet(), EIGHT, tuning);
+        let mut sim = Simulation::new(&wide_fleet(), EIGHT, tuning);
         let mut drive = Drive::new(&accounts);
-        drive.run(&mut steps, 4000);
-        drive.mark(&steps);
-        let bytes = cross_region_bytes(&steps);
-        drive.run(&mut steps, 20_000);
-        (
-            drive.gap,
-            (cross_region_bytes(&steps) - bytes) as f64 / 20.0,
-        )
+        drive.run(&mut sim, 4000);
+        drive.mark(&sim);
+        let bytes = cross_region_bytes(&sim);
+        drive.run(&mut sim, 20_000);
+        (drive.gap, (cross_region_bytes(&sim) - bytes) as f64 / 20.0)
     };
 
     let free = run(&Tuning::default());
@@ -128,10 +125,6 @@
     assert!(bounded.1 < 2.2 * 1000.0, "{} bytes a second", bounded.1);
 }
 
-fn cross_region_bytes(steps: &Steps) -> u64 {
-    steps
-        .boards
-        .iter()
-        .map(|b| b.cross_region.total_bytes)
-        .sum()
+fn cross_region_bytes(sim: &Simulation) -> u64 {
+    sim.boards.iter().map(|b| b.cross_region.total_bytes).sum()
 }
