--- a/crates/hawthornmill-test-support/src/loads.rs
+++ b/crates/hawthornmill-test-support/src/loads.rs
@@ -95,7 +95,11 @@
 
     /// Counts the gap from now on.
     pub fn mark(&mut self, sim: &Simulation) {
-        self.base = self.backlogs.iter().map(|b| sim.got(b.account)).collect();
+        self.base = self
+            .backlogs
+            .iter()
+            .map(|b| sim.received_cost(b.account))
+            .collect();
         self.gap = 0.0;
     }
 
@@ -110,13 +114,13 @@
     fn send(&mut self, sim: &mut Simulation) {
         for backlog in &self.backlogs {
             for entry in backlog.entries {
-                if sim.dead.contains(entry) || sim.frozen.contains(entry) {
+                if sim.dead.contains(entry) || sim.paused.contains(entry) {
                     continue;
                 }
-                while sim.waiting(*entry, backlog.account, "drafting") < backlog.depth {
+                while sim.queue_length(*entry, backlog.account, "drafting") < backlog.depth {
                     let cost = COSTS[self.calls % COSTS.len()];
                     self.calls += 1;
-                    let sent = sim.arrive(*entry, backlog.account, "drafting", cost, 600_000);
+                    let sent = sim.submit_call(*entry, backlog.account, "drafting", cost, 600_000);
                     assert_eq!(sent, Ok(()), "{}", backlog.account);
                 }
             }
@@ -128,7 +132,7 @@
             .backlogs
             .iter()
             .zip(&self.base)
-            .map(|(b, base)| (sim.got(b.account) - base) / b.share);
+            .map(|(b, base)| (sim.received_cost(b.account) - base) / b.share);
         let (least, most) = services.fold((f64::INFINITY, f64::NEG_INFINITY), |(l, m), s| {
             (l.min(s), m.max(s))
         });
--- a/crates/hawthornmill-test-support/src/simulation.rs
+++ b/crates/hawthornmill-test-support/src/simulation.rs
@@ -40,11 +40,11 @@
 
 /// How a call was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ended {
+pub struct CallOutcome {
     /// Account that made it.
     pub account: AccountId,
     /// Milliseconds that it waited.
-    pub waited: u64,
+    pub waited_ms: u64,
     /// Refusal, if it was not run.
     pub code: Option<Code>,
 }
@@ -55,25 +55,25 @@
     /// The instances' boards.
     pub boards: Vec<Blackboard>,
     /// Milliseconds since the start.
-    pub now: u64,
+    pub now_ms: u64,
     /// Instances that are stopped: they neither tick nor receive, and their requests go on.
-    pub frozen: BTreeSet<usize>,
+    pub paused: BTreeSet<usize>,
     /// Instances that are dead.
     pub dead: BTreeSet<usize>,
     /// Pairs of instances, from and to, between which nothing passes; streams are held up.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub broken_links: BTreeSet<(usize, usize)>,
     /// Cost that servers ran, by account.
-    pub received: BTreeMap<AccountId, f64>,
+    pub cost_by_account: BTreeMap<AccountId, f64>,
     /// Slot-milliseconds that servers ran.
-    pub busy: u64,
+    pub busy_ms: u64,
     /// Most requests that each server ran at once.
-    pub peak: BTreeMap<ServerId, u16>,
+    pub peak_running: BTreeMap<ServerId, u16>,
     /// Calls that were answered.
-    pub ended: Vec<Ended>,
+    pub outcomes: Vec<CallOutcome>,
     /// Messages sent, by kind.
-    pub sent: BTreeMap<&'static str, u64>,
+    pub messages: BTreeMap<&'static str, u64>,
     /// Bytes of their payloads.
-    pub bytes: u64,
+    pub message_bytes: u64,
     start: Instant,
     wire: VecDeque<(usize, InstanceId, Message)>,
     runs: Vec<Run>,
@@ -103,16 +103,16 @@
             .collect();
         let mut sim = Self {
             boards: Vec::new(),
-            now: 0,
-            frozen: BTreeSet::new(),
+            now_ms: 0,
+            paused: BTreeSet::new(),
             dead: BTreeSet::new(),
-            cut: BTreeSet::new(),
-            received: BTreeMap::new(),
-            busy: 0,
-            peak: BTreeMap::new(),
-            ended: Vec::new(),
-            sent: BTreeMap::new(),
-            bytes: 0,
+            broken_links: BTreeSet::new(),
+            cost_by_account: BTreeMap::new(),
+            busy_ms: 0,
+            peak_running: BTreeMap::new(),
+            outcomes: Vec::new(),
+            messages: BTreeMap::new(),
+            message_bytes: 0,
             start,
             wire: VecDeque::new(),
             runs: Vec::new(),
@@ -135,14 +135,14 @@
 
     /// The present instant of the decisions.
     pub fn instant(&self) -> Instant {
-        self.start + Duration::from_millis(self.now)
+        self.start + Duration::from_millis(self.now_ms)
     }
 
     /// Index of the instance with key `id`.
     ///
     /// # Panics
     /// When there is none.
-    pub fn index(&self, id: InstanceId) -> usize {
+    pub fn instance_index(&self, id: InstanceId) -> usize {
         self.boards
             .iter()
             .position(|b| b.me() == id)
@@ -150,11 +150,11 @@
     }
 
     /// Cuts all links between two groups of instances.
-    pub fn cut_between(&mut self, left: &[usize], right: &[usize]) {
+    pub fn partition(&mut self, left: &[usize], right: &[usize]) {
         for a in left {
             for b in right {
-                self.cut.insert((*a, *b));
-                self.cut.insert((*b, *a));
+                self.broken_links.insert((*a, *b));
+                self.broken_links.insert((*b, *a));
             }
         }
     }
@@ -163,7 +163,7 @@
     ///
     /// # Errors
     /// The code with which it was refused at once.
-    pub fn arrive(
+    pub fn submit_call(
         &mut self,
         entry: usize,
         account: &str,
@@ -184,22 +184,22 @@
         let asked = Asked {
             account,
             cost,
-            arrived: self.now,
+            arrived: self.now_ms,
         };
         self.asked.insert((entry, key), asked);
         Ok(())
     }
 
     /// Requests of `account` that wait at instance `entry`.
-    pub fn waiting(&self, entry: usize, account: &str, service: &str) -> usize {
+    pub fn queue_length(&self, entry: usize, account: &str, service: &str) -> usize {
         let key = (ServiceId::of(service), AccountId::of(account));
         self.boards[entry].queues.get(&key).map_or(0, VecDeque::len)
     }
 
     /// Cost that servers ran for `account`.
-    pub fn got(&self, account: &str) -> f64 {
+    pub fn received_cost(&self, account: &str) -> f64 {
         let id = AccountId::of(account);
-        self.received.get(&id).copied().unwrap_or_default()
+        self.cost_by_account.get(&id).copied().unwrap_or_default()
     }
 
     /// Replaces instance `index` by a new run without state.
@@ -238,12 +238,12 @@
     }
 
     fn runs_now(&self, index: usize) -> bool {
-        !self.dead.contains(&index) && !self.frozen.contains(&index)
+        !self.dead.contains(&index) && !self.paused.contains(&index)
     }
 
     /// Lets one millisecond pass.
     pub fn step(&mut self) {
-        self.now += 1;
+        self.now_ms += 1;
         self.deliver();
         self.finish_runs();
         for index in 0..self.boards.len() {
@@ -251,7 +251,7 @@
                 self.turn(index);
             }
         }
-        self.busy += self.runs.len() as u64;
+        self.busy_ms += self.runs.len() as u64;
         self.count_load();
     }
 
@@ -269,16 +269,16 @@
             let Some((from, to, message)) = self.wire.pop_front() else {
                 return;
             };
-            let target = self.index(to);
+            let target = self.instance_index(to);
             if self.dead.contains(&target) || self.dead.contains(&from) {
                 continue;
             }
-            let cut = self.cut.contains(&(from, target));
+            let cut = self.broken_links.contains(&(from, target));
             if cut && by_datagram(&message) {
                 continue;
             }
             // A connection keeps what it can't deliver and brings it late.
-            if cut || self.frozen.contains(&target) {
+            if cut || self.paused.contains(&target) {
                 self.wire.push_back((from, to, message));
                 continue;
             }
@@ -321,11 +321,11 @@
     fn finish_runs(&mut self) {
         let (due, rest): (Vec<Run>, Vec<Run>) = std::mem::take(&mut self.runs)
             .into_iter()
-            .partition(|r| r.end <= self.now && !self.frozen.contains(&r.entry));
+            .partition(|r| r.end <= self.now_ms && !self.paused.contains(&r.entry));
         self.runs = rest;
         let now = self.instant();
         for run in due {
-            *self.received.entry(run.account).or_default() += run.cost as f64;
+            *self.cost_by_account.entry(run.account).or_default() += run.cost as f64;
             let (pool, grant) = (run.dispatch.pool, run.dispatch.grant);
             let board = &mut self.boards[run.entry];
             tick::detect_pause(board, now);
@@ -335,16 +335,16 @@
 
     fn turn(&mut self, index: usize) {
         let now = self.instant();
-        if self.now.is_multiple_of(HEARTBEAT) {
+        if self.now_ms.is_multiple_of(HEARTBEAT) {
             self.beat(index);
         }
         let board = &mut self.boards[index];
         tick::detect_pause(board, now);
-        if self.now.is_multiple_of(TICK) {
+        if self.now_ms.is_multiple_of(TICK) {
             tick::tick(board, now);
         }
         let every = board.tuning.report.as_millis() as u64;
-        if self.now % every == index as u64 % every {
+        if self.now_ms % every == index as u64 % every {
             let messages = tick::build_reports(board, now);
             board.outbox.extend(messages);
         }
@@ -352,8 +352,8 @@
         self.hand_out(index);
         let out = std::mem::take(&mut self.boards[index].outbox);
         for (to, message) in out {
-            *self.sent.entry(kind(&message)).or_default() += 1;
-            self.bytes += hawthornmill::wire::frame::payload_len(&message) as u64;
+            *self.messages.entry(kind(&message)).or_default() += 1;
+            self.message_bytes += hawthornmill::wire::frame::payload_len(&message) as u64;
             self.wire.push_back((index, to, message));
         }
     }
@@ -363,24 +363,24 @@
             let Some(asked) = self.asked.remove(&(index, dispatch.request)) else {
                 continue;
             };
-            self.ended.push(Ended {
+            self.outcomes.push(CallOutcome {
                 account: asked.account,
-                waited: self.now - asked.arrived,
+                waited_ms: self.now_ms - asked.arrived,
                 code: None,
             });
             self.runs.push(Run {
                 entry: index,
                 account: asked.account,
                 cost: asked.cost,
-                end: self.now + asked.cost,
+                end: self.now_ms + asked.cost,
                 dispatch,
             });
         }
         for (request, code) in std::mem::take(&mut self.boards[index].rejections) {
             if let Some(asked) = self.asked.remove(&(index, request)) {
-                self.ended.push(Ended {
+                self.outcomes.push(CallOutcome {
                     account: asked.account,
-                    waited: self.now - asked.arrived,
+                    waited_ms: self.now_ms - asked.arrived,
                     code: Some(code),
                 });
             }
@@ -394,7 +394,10 @@
         let interval = Duration::from_millis(HEARTBEAT);
         let sign = own.members.own_liveness(own.config.revision, interval, now);
         for other in 0..self.boards.len() {
-            if other != index && self.runs_now(other) && !self.cut.contains(&(index, other)) {
+            if other != index
+                && self.runs_now(other)
+                && !self.broken_links.contains(&(index, other))
+            {
                 let board = &mut self.boards[other];
                 board.members.record_liveness(sign, now);
                 if board.broken_peers.contains(&sign.from) {
@@ -411,10 +414,10 @@
             *running.entry(run.dispatch.server).or_default() += 1;
         }
         for (server, count) in &running {
-            let peak = self.peak.entry(*server).or_default();
+            let peak = self.peak_running.entry(*server).or_default();
             *peak = (*peak).max(*count);
         }
-        if !self.now.is_multiple_of(LOAD) {
+        if !self.now_ms.is_multiple_of(LOAD) {
             return;
         }
         self.history.push_back(running);
--- a/tests/testsuite/causes.rs
+++ b/tests/testsuite/causes.rs
@@ -13,8 +13,8 @@
 /// Runs `ms` milliseconds with calls of `account` waiting at instance 0, which records the reasons.
 fn run(sim: &mut Simulation, causes: &mut WaitTracker, account: &str, ms: u64) {
     sim.run(ms, |s| {
-        while s.waiting(0, account, "drafting") < 20 {
-            let accepted = s.arrive(0, account, "drafting", 50, 60_000);
+        while s.queue_length(0, account, "drafting") < 20 {
+            let accepted = s.submit_call(0, account, "drafting", 50, 60_000);
             assert_eq!(accepted, Ok(()));
         }
         let board = &s.boards[0];
@@ -68,7 +68,7 @@
     run(&mut sim, &mut causes, "big", 4000);
 
     for pair in [(0, 2), (2, 0), (1, 2), (2, 1)] {
-        sim.cut.insert(pair);
+        sim.broken_links.insert(pair);
     }
     run(&mut sim, &mut causes, "big", 4000);
 
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -240,18 +240,18 @@
     ];
     let load = |sim: &mut Simulation| {
         for entry in 0..locations.len() {
-            while sim.waiting(entry, "big", "drafting") < 8 {
-                let accepted = sim.arrive(entry, "big", "drafting", 50, 60_000);
+            while sim.queue_length(entry, "big", "drafting") < 8 {
+                let accepted = sim.submit_call(entry, "big", "drafting", 50, 60_000);
                 assert_eq!(accepted, Ok(()));
             }
         }
     };
     let mut sim = Simulation::new(&small_fleet(), &locations, &Tuning::default());
     sim.run(6000, load);
-    let before = sim.busy;
+    let before = sim.busy_ms;
     sim.run(5000, load);
-    let usual = sim.busy - before;
-    let before = sim.busy;
+    let usual = sim.busy_ms - before;
+    let before = sim.busy_ms;
 
     for change in 0..1000_u64 {
         let fleet = changed(change);
@@ -268,7 +268,7 @@
         sim.run(5, load);
     }
 
-    let utilization = (sim.busy - before) as f64 / usual as f64;
+    let utilization = (sim.busy_ms - before) as f64 / usual as f64;
     let digests: Vec<_> = sim.boards.iter().map(|b| b.manifest.clone()).collect();
     assert!(digests.windows(2).all(|d| d[0] == d[1]));
     assert!(utilization > 0.98, "utilization {utilization}");
--- a/tests/testsuite/conservation.rs
+++ b/tests/testsuite/conservation.rs
@@ -40,7 +40,7 @@
     let mut drive = Drive::new(TWO_ENTRIES_EACH);
     drive.run(&mut sim, 5000);
     drive.mark(&sim);
-    sim.peak.clear();
+    sim.peak_running.clear();
     (sim, drive)
 }
 
@@ -48,9 +48,9 @@
 fn idle_tenths(sim: &mut Simulation, drive: &mut Drive, tenths: usize) -> Vec<f64> {
     let mut list = Vec::new();
     for _ in 0..tenths {
-        let before = sim.busy;
+        let before = sim.busy_ms;
         drive.run(sim, 100);
-        list.push(1.0 - (sim.busy - before) as f64 / (100.0 * f64::from(WIDE_SLOTS)));
+        list.push(1.0 - (sim.busy_ms - before) as f64 / (100.0 * f64::from(WIDE_SLOTS)));
     }
     list
 }
@@ -62,9 +62,9 @@
         .boards
         .iter()
         .enumerate()
-        .filter(|(n, _)| !sim.dead.contains(n) && !sim.frozen.contains(n))
+        .filter(|(n, _)| !sim.dead.contains(n) && !sim.paused.contains(n))
         .filter_map(|(_, b)| b.sessions.get(&pool)?.owner)
-        .map(|(id, _)| sim.index(id));
+        .map(|(id, _)| sim.instance_index(id));
     let mut counts = vec![0; sim.boards.len()];
     for owner in owners {
         counts[owner] += 1;
@@ -102,7 +102,11 @@
 }
 
 fn assert_no_overcommit(sim: &Simulation) {
-    assert!(sim.peak.values().all(|n| *n <= 8), "{:?}", sim.peak);
+    assert!(
+        sim.peak_running.values().all(|n| *n <= 8),
+        "{:?}",
+        sim.peak_running
+    );
 }
 
 /// At startup every instance briefly regards itself as the owner and then switches to the real one.
@@ -128,11 +132,11 @@
         for (pick, cost) in stream.due(now) {
             let (account, at) = CALLERS[pick % CALLERS.len()];
             // A call rejected by a full queue is lost for both schedulers.
-            let _full = sim.arrive(entry(at), account, "drafting", cost, 600_000);
+            let _full = sim.submit_call(entry(at), account, "drafting", cost, 600_000);
         }
-        let before = sim.busy;
+        let before = sim.busy_ms;
         sim.step();
-        let running = sim.busy - before;
+        let running = sim.busy_ms - before;
         let waiting: usize = sim.boards.iter().map(|b| b.waiting.len()).sum();
         if now >= warm {
             used += running;
@@ -192,9 +196,9 @@
     let mut drive = without(&[owner]);
     drive.run(&mut sim, 2000);
 
-    sim.frozen.insert(owner);
+    sim.paused.insert(owner);
     let mut idle = idle_tenths(&mut sim, &mut drive, 30);
-    sim.frozen.remove(&owner);
+    sim.paused.remove(&owner);
     idle.extend(idle_tenths(&mut sim, &mut drive, 50));
 
     println!(
@@ -221,15 +225,15 @@
     let (mut sim, mut drive) = warmed_up();
     let left = [0, 3, 6];
     let right = [1, 2, 4, 5, 7];
-    sim.cut_between(&left, &right);
+    sim.partition(&left, &right);
     drive.run(&mut sim, 5000);
-    let before = sim.busy;
+    let before = sim.busy_ms;
     drive.run(&mut sim, 5000);
-    let running = (sim.busy - before) as f64 / 5000.0;
-    let worst = sim.peak.values().max().copied().unwrap_or(0);
-    sim.cut.clear();
+    let running = (sim.busy_ms - before) as f64 / 5000.0;
+    let worst = sim.peak_running.values().max().copied().unwrap_or(0);
+    sim.broken_links.clear();
     drive.run(&mut sim, 5000);
-    sim.peak.clear();
+    sim.peak_running.clear();
 
     let idle = idle_tenths(&mut sim, &mut drive, 20);
 
--- a/tests/testsuite/fleet_shares.rs
+++ b/tests/testsuite/fleet_shares.rs
@@ -8,8 +8,8 @@
 
 /// Keeps `count` requests of `account` waiting at `entry`.
 fn keep_waiting(sim: &mut Simulation, entry: usize, account: &str, count: usize) {
-    while sim.waiting(entry, account, "drafting") < count {
-        let accepted = sim.arrive(entry, account, "drafting", 50, 60_000);
+    while sim.queue_length(entry, account, "drafting") < count {
+        let accepted = sim.submit_call(entry, account, "drafting", 50, 60_000);
         assert_eq!(accepted, Ok(()));
     }
 }
@@ -25,7 +25,7 @@
         keep_waiting(s, 1, "small-1", 20);
     });
 
-    let ratio = sim.got("big") / sim.got("small-1");
+    let ratio = sim.received_cost("big") / sim.received_cost("small-1");
     assert!((3.5..4.5).contains(&ratio), "ratio {ratio}");
 }
 
@@ -35,13 +35,17 @@
 fn slots_do_not_idle_while_a_request_waits_in_the_region() {
     let mut sim = Simulation::new(&small_fleet(), PLACES, &Tuning::default());
     sim.run(2000, |s| keep_waiting(s, 0, "big", 20));
-    let before = sim.busy;
+    let before = sim.busy_ms;
 
     sim.run(4000, |s| keep_waiting(s, 0, "big", 20));
 
-    let used = (sim.busy - before) as f64 / (4000.0 * 8.0);
+    let used = (sim.busy_ms - before) as f64 / (4000.0 * 8.0);
     assert!(used > 0.94, "used {used}");
-    assert!(sim.peak.values().all(|n| *n <= 4), "{:?}", sim.peak);
+    assert!(
+        sim.peak_running.values().all(|n| *n <= 4),
+        "{:?}",
+        sim.peak_running
+    );
 }
 
 /// Slots that active owners count as used.
@@ -89,16 +93,16 @@
     let mut sim = Simulation::new(&small_fleet(), &places, &Tuning::default());
     sim.run(4000, |_| {});
     for _ in 0..16 {
-        let accepted = sim.arrive(0, "big", "drafting", 900, 60_000);
+        let accepted = sim.submit_call(0, "big", "drafting", 900, 60_000);
         assert_eq!(accepted, Ok(()));
     }
     sim.run(100, |_| {});
 
     for other in 1..6 {
-        sim.cut.insert((other, 0));
+        sim.broken_links.insert((other, 0));
     }
     sim.run(1000, |_| {});
-    sim.cut.clear();
+    sim.broken_links.clear();
     sim.run(6000, |_| {});
 
     assert_eq!(used_slots(&sim), 0);
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -19,8 +19,8 @@
 
 fn keep_waiting(sim: &mut Simulation) {
     for entry in 0..PLACES.len() {
-        while sim.waiting(entry, "big", "drafting") < 8 {
-            let accepted = sim.arrive(entry, "big", "drafting", 50, 60_000);
+        while sim.queue_length(entry, "big", "drafting") < 8 {
+            let accepted = sim.submit_call(entry, "big", "drafting", 50, 60_000);
             assert_eq!(accepted, Ok(()));
         }
     }
@@ -54,7 +54,9 @@
         let server = ServerId::of("draft-a");
         sim.boards[0].config.pools[id].servers.contains(&server)
     });
-    let owner = pool.and_then(|(_, l)| l.owner).map(|(id, _)| sim.index(id));
+    let owner = pool
+        .and_then(|(_, l)| l.owner)
+        .map(|(id, _)| sim.instance_index(id));
     let newer = without_draft_a();
     for index in (0..PLACES.len()).filter(|n| Some(*n) != owner) {
         let (config, manifest, values) = newer.accept(2);
@@ -63,7 +65,7 @@
     let own = owner.expect("the pool has an owner");
 
     sim.run(100, keep_waiting);
-    let sent = sim.sent["grants"];
+    let sent = sim.messages["grants"];
     sim.run(1000, keep_waiting);
 
     let others = (0..PLACES.len()).filter(|n| *n != own);
@@ -74,7 +76,7 @@
         .filter(|s| s.server == id)
         .count();
     assert_eq!(held, 0);
-    let grants = sim.sent["grants"] - sent;
+    let grants = sim.messages["grants"] - sent;
     assert!(grants < 150, "{grants} grants in a second");
 }
 
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -36,7 +36,7 @@
 fn owners(sim: &Simulation) -> Vec<usize> {
     let now = sim.instant();
     (0..PLACES.len())
-        .filter(|n| !sim.dead.contains(n) && !sim.frozen.contains(n))
+        .filter(|n| !sim.dead.contains(n) && !sim.paused.contains(n))
         .filter(|n| {
             let owned = sim.boards[*n].owned_pools.get(&pool_of_a());
             owned.is_some_and(|o| o.active && o.ready_at.is_some_and(|r| r <= now))
@@ -69,11 +69,11 @@
 /// Keeps requests waiting at two instances of failure domain `a` and at one of `b`.
 fn load(sim: &mut Simulation) {
     for entry in [0, 1, 4] {
-        if sim.dead.contains(&entry) || sim.frozen.contains(&entry) {
+        if sim.dead.contains(&entry) || sim.paused.contains(&entry) {
             continue;
         }
-        while sim.waiting(entry, "big", "drafting") < 8 {
-            let accepted = sim.arrive(entry, "big", "drafting", 50, 60_000);
+        while sim.queue_length(entry, "big", "drafting") < 8 {
+            let accepted = sim.submit_call(entry, "big", "drafting", 50, 60_000);
             assert_eq!(accepted, Ok(()));
         }
     }
@@ -86,24 +86,28 @@
     let mut sim = simulation();
     sim.run(1000, load);
     let old = owners(&sim)[0];
-    let before = sim.busy;
+    let before = sim.busy_ms;
     sim.run(500, load);
-    let usual = sim.busy - before;
+    let usual = sim.busy_ms - before;
 
     let me = sim.boards[old].me();
     sim.boards[old].members.set_leaving(me);
     let mut stats = OwnerStats::default();
-    let before = sim.busy;
+    let before = sim.busy_ms;
     sim.run(500, |s| {
         load(s);
         stats.sample(s);
     });
 
-    let used = (sim.busy - before) as f64 / usual as f64;
+    let used = (sim.busy_ms - before) as f64 / usual as f64;
     assert_ne!(stats.last, Some(old));
     assert!(used > 0.95, "used {used}, {stats:?}");
     assert!(stats.none <= 5 && stats.several <= 105, "{stats:?}");
-    assert!(sim.peak.values().all(|n| u64::from(*n) <= SLOTS_OF_A));
+    assert!(
+        sim.peak_running
+            .values()
+            .all(|n| u64::from(*n) <= SLOTS_OF_A)
+    );
 }
 
 /// The instance that the hash prefers restarts without state. If it regarded all others as just
@@ -168,11 +172,11 @@
     let old = owners(&sim)[0];
     let rest: Vec<usize> = (0..PLACES.len()).filter(|n| *n != old).collect();
     sim.run(1000, load);
-    sim.cut_between(&[old], &rest);
+    sim.partition(&[old], &rest);
     sim.run(4000, load);
     assert_eq!(owners(&sim).len(), 2, "each side has an owner");
 
-    sim.cut.clear();
+    sim.broken_links.clear();
     let mut stats = OwnerStats::default();
     sim.run(2500, |s| {
         load(s);
@@ -194,19 +198,19 @@
     sim.run(1000, load);
     for _ in 0..2 {
         for _ in 0..8 {
-            let accepted = sim.arrive(old, "small-1", "drafting", 50, 60_000);
+            let accepted = sim.submit_call(old, "small-1", "drafting", 50, 60_000);
             assert_eq!(accepted, Ok(()));
         }
         sim.step();
-        sim.frozen.insert(old);
+        sim.paused.insert(old);
         sim.run(3000, load);
-        sim.frozen.remove(&old);
+        sim.paused.remove(&old);
 
-        let waiting = sim.waiting(old, "small-1", "drafting");
+        let waiting = sim.queue_length(old, "small-1", "drafting");
         sim.step();
         let mut stale = 0;
         while sim.boards[old].stale_since.is_some() {
-            assert_eq!(sim.waiting(old, "small-1", "drafting"), waiting);
+            assert_eq!(sim.queue_length(old, "small-1", "drafting"), waiting);
             sim.step();
             stale += 1;
         }
@@ -219,7 +223,7 @@
         assert!(waiting > 0 && (1..10).contains(&stale), "{stale}");
         assert_eq!((stats.several, stats.none), (0, 0), "{stats:?}");
         assert_ne!(stats.last, Some(old));
-        assert_eq!(sim.waiting(old, "small-1", "drafting"), 0);
+        assert_eq!(sim.queue_length(old, "small-1", "drafting"), 0);
         sim.run(3000, load);
     }
 }
@@ -233,9 +237,9 @@
     let mut sim = simulation();
     let pool = PoolId::of(ServiceId::of("drafting"), DomainId::of("b"));
     sim.run(1000, load);
-    sim.frozen.insert(4);
+    sim.paused.insert(4);
     sim.run(3000, load);
-    sim.frozen.remove(&4);
+    sim.paused.remove(&4);
     let granted = |sim: &Simulation| sim.boards[4].owned_pools[&pool].seq;
     let before = granted(&sim);
 
@@ -262,7 +266,7 @@
 fn resumed_instance_waits_for_the_configuration_of_its_peers() {
     let mut sim = simulation();
     sim.run(1000, load);
-    sim.frozen.insert(0);
+    sim.paused.insert(0);
     sim.run(1000, load);
     let newer = leaving_fleet();
     for index in 1..PLACES.len() {
@@ -270,7 +274,7 @@
         sim.boards[index].install(config, manifest, values);
     }
     sim.run(2000, load);
-    sim.frozen.remove(&0);
+    sim.paused.remove(&0);
 
     sim.run(500, load);
     let before = sim.boards[0].stale_since.is_some();
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -30,14 +30,14 @@
     let mut turn = 0;
     let mut offer = |s: &mut Simulation| {
         // 18 calls in 25 ms: three times 12 slots / 50 ms.
-        if s.now * 18 % 25 < 18 {
+        if s.now_ms * 18 % 25 < 18 {
             let (entry, account) = (turn % 3, ACCOUNTS[turn / 3 % 3]);
             turn += 1;
-            let _refused = s.arrive(entry, account, "drafting", COST_MS, DEADLINE_MS);
+            let _refused = s.submit_call(entry, account, "drafting", COST_MS, DEADLINE_MS);
         }
     };
     sim.run(3000, &mut offer);
-    sim.ended.clear();
+    sim.outcomes.clear();
     let mut most = (0, 0);
 
     sim.run(6000, |s| {
@@ -47,11 +47,11 @@
         }
     });
 
-    let good = |e: &&hawthornmill_test_support::simulation::Ended| {
-        e.code.is_none() && e.waited + COST_MS <= DEADLINE_MS
+    let good = |e: &&hawthornmill_test_support::simulation::CallOutcome| {
+        e.code.is_none() && e.waited_ms + COST_MS <= DEADLINE_MS
     };
     let goodput =
-        (sim.ended.iter().filter(good).count() as u64 * COST_MS) as f64 / (6000 * SLOTS) as f64;
+        (sim.outcomes.iter().filter(good).count() as u64 * COST_MS) as f64 / (6000 * SLOTS) as f64;
     assert!(goodput > 0.97, "goodput {goodput}");
     assert!(most.0 < 60, "most that waited at one instance: {most:?}");
 }
@@ -66,18 +66,21 @@
         ..Tuning::default()
     };
     let mut sim = Simulation::new(&fleet, PLACES, &tuning);
-    while sim.arrive(0, "flood", "booking", COST_MS, 60_000).is_ok() {}
+    while sim
+        .submit_call(0, "flood", "booking", COST_MS, 60_000)
+        .is_ok()
+    {}
 
-    let mine = (0..100).map(|_| sim.arrive(0, "small-1", "booking", COST_MS, 60_000));
+    let mine = (0..100).map(|_| sim.submit_call(0, "small-1", "booking", COST_MS, 60_000));
 
     assert!(mine.into_iter().all(|r| r.is_ok()));
     let (count, _) = backlog(&sim.boards[0]);
     assert_eq!(count, 300);
     sim.run(1, |_| {});
-    let refused = |e: &&hawthornmill_test_support::simulation::Ended| {
+    let refused = |e: &&hawthornmill_test_support::simulation::CallOutcome| {
         e.account == AccountId::of("flood") && e.code == Some(Code::InstanceFull)
     };
-    assert_eq!(sim.ended.iter().filter(refused).count(), 100);
+    assert_eq!(sim.outcomes.iter().filter(refused).count(), 100);
 }
 
 /// Seconds after which a caller of `account` that is rejected now should retry.
@@ -94,8 +97,11 @@
     let mut sim = Simulation::new(&small_fleet(), PLACES, &Tuning::default());
     let fill = |s: &mut Simulation| {
         for account in ["big", "small-1"] {
-            while s.waiting(0, account, "drafting") < 40 {
-                assert_eq!(s.arrive(0, account, "drafting", COST_MS, 60_000), Ok(()));
+            while s.queue_length(0, account, "drafting") < 40 {
+                assert_eq!(
+                    s.submit_call(0, account, "drafting", COST_MS, 60_000),
+                    Ok(())
+                );
             }
         }
     };
@@ -121,17 +127,17 @@
     let mut sim = Simulation::new(&small_fleet(), PLACES, &Tuning::default());
     sim.run(1000, |_| {});
     for _ in 0..60 {
-        let accepted = sim.arrive(0, "big", "drafting", 5000, 200);
+        let accepted = sim.submit_call(0, "big", "drafting", 5000, 200);
         assert_eq!(accepted, Ok(()));
     }
 
     sim.run(230, |_| {});
 
     let late: Vec<u64> = sim
-        .ended
+        .outcomes
         .iter()
         .filter(|e| e.code == Some(Code::DeadlinePassed))
-        .map(|e| e.waited)
+        .map(|e| e.waited_ms)
         .collect();
     assert!(late.len() >= 40, "{} expired", late.len());
     assert!(late.iter().all(|w| (200..=220).contains(w)), "{late:?}");
--- a/tests/testsuite/retries.rs
+++ b/tests/testsuite/retries.rs
@@ -158,8 +158,8 @@
     let (service, account) = (ServiceId::of("drafting"), AccountId::of("big"));
     let start = sim.instant();
     sim.run(1000, |_| {});
-    while sim.waiting(0, "big", "drafting") < 3 {
-        sim.arrive(0, "big", "drafting", 500, 60_000)
+    while sim.queue_length(0, "big", "drafting") < 3 {
+        sim.submit_call(0, "big", "drafting", 500, 60_000)
             .expect("there is room");
     }
     let arrived = start;
@@ -223,7 +223,7 @@
     );
     sim.run(600, |_| {});
 
-    assert_eq!(sim.waiting(0, "big", "drafting"), 0);
+    assert_eq!(sim.queue_length(0, "big", "drafting"), 0);
     let grants: u32 = sim.boards[0].owned_pools.values().map(|o| o.seq).sum();
     assert!(grants <= 5, "{grants} grants for one call");
 }
--- a/tests/testsuite/shares.rs
+++ b/tests/testsuite/shares.rs
@@ -46,7 +46,7 @@
 
 /// Messages sent between instances and the bytes of their payloads.
 fn traffic(sim: &Simulation) -> (u64, u64) {
-    (sim.sent.values().sum(), sim.bytes)
+    (sim.messages.values().sum(), sim.message_bytes)
 }
 
 /// One account floods every instance; the others use one or two instances each. Routers with static
@@ -56,12 +56,12 @@
     let (mut static_sim, mut static_drive) = warmed_up(Policy::Static);
     let (mut sim, mut drive) = warmed_up(Policy::Pooled);
 
-    let before = (traffic(&sim), sim.ended.len());
+    let before = (traffic(&sim), sim.outcomes.len());
 
     static_drive.run(&mut static_sim, 20_000);
     drive.run(&mut sim, 20_000);
 
-    let calls = (sim.ended.len() - before.1) as f64;
+    let calls = (sim.outcomes.len() - before.1) as f64;
     let (messages, bytes) = traffic(&sim);
     let messages = (messages - before.0.0) as f64 / calls;
     let bytes = (bytes - before.0.1) as f64 / calls;
@@ -136,9 +136,9 @@
 #[test]
 fn service_gap_is_bounded_after_a_partition_heals() {
     let (mut sim, mut drive) = warmed_up(Policy::Pooled);
-    sim.cut_between(&[0, 1, 3], &[2, 4, 5, 6, 7]);
+    sim.partition(&[0, 1, 3], &[2, 4, 5, 6, 7]);
     drive.run(&mut sim, 10_000);
-    sim.cut.clear();
+    sim.broken_links.clear();
     drive.run(&mut sim, 15_000);
     drive.mark(&sim);
 
@@ -170,7 +170,7 @@
 
     let bound = gap_bound(WIDE_SLOTS, STALENESS_MS, 1.0);
     println!("gap {:.0} bound {bound:.0}", drive.gap);
-    let lab = sim.got("lab-6");
+    let lab = sim.received_cost("lab-6");
     // Its share is 1 of 9 of 48 slots.
     let owed = 6000.0 * 48.0 / 9.0;
     assert!((0.8..1.2).contains(&(lab / owed)), "{lab} of {owed}");
--- a/tests/testsuite/starvation.rs
+++ b/tests/testsuite/starvation.rs
@@ -27,19 +27,19 @@
     let all = &[0, 1, 2, 3, 4, 5, 6, 7];
     let mut drive = Drive::new(&[backlog("flood", 1.0, all), backlog("large", 4.0, all)]);
     drive.run(&mut sim, 5000);
-    let from = sim.ended.len();
+    let from = sim.outcomes.len();
 
     for _ in 0..200 {
-        let sent = sim.arrive(4, "lab-1", "drafting", 60, 600_000);
+        let sent = sim.submit_call(4, "lab-1", "drafting", 60, 600_000);
         assert_eq!(sent, Ok(()));
         drive.run(&mut sim, 100);
     }
 
     let lab = AccountId::of("lab-1");
-    let mut waits: Vec<u64> = sim.ended[from..]
+    let mut waits: Vec<u64> = sim.outcomes[from..]
         .iter()
         .filter(|e| e.account == lab)
-        .map(|e| e.waited)
+        .map(|e| e.waited_ms)
         .collect();
     waits.sort_unstable();
     let most = waits.last().copied().unwrap_or(u64::MAX);
@@ -71,16 +71,16 @@
     ];
     let mut drive = Drive::new(&accounts);
     drive.run(&mut sim, 25_000);
-    let lag = sim.got("lab-1") - sim.got("lab-7");
+    let lag = sim.received_cost("lab-1") - sim.received_cost("lab-7");
     for board in &mut sim.boards {
         let (config, manifest, values) = opened.accept(2);
         assert!(board.install(config, manifest, values));
     }
-    let before = (sim.got("lab-1"), sim.got("lab-7"));
+    let before = (sim.received_cost("lab-1"), sim.received_cost("lab-7"));
 
     drive.run(&mut sim, 10_000);
 
-    let ahead = (sim.got("lab-7") - before.1) - (sim.got("lab-1") - before.0);
+    let ahead = (sim.received_cost("lab-7") - before.1) - (sim.received_cost("lab-1") - before.0);
     // 17 slots in the largest pool, including the small server.
     let cap = Tuning::default().lag_cap * MEAN_COST * 17.0;
     println!("lag {lag:.0}, made up {ahead:.0}, cap {cap:.0}");
