--- a/crates/hawthornmill-test-support/src/news.rs
+++ b/crates/hawthornmill-test-support/src/gossip.rs
@@ -3,7 +3,7 @@
 use hawthornmill::routing::gossip::{InstanceReport, PeerInfo, StoreRole};
 
 /// News of an instance at `mate` that takes requests, reads the store and has nothing else to tell.
-pub const fn news_of(mate: PeerInfo) -> InstanceReport {
+pub const fn instance_report(mate: PeerInfo) -> InstanceReport {
     InstanceReport {
         info: mate,
         ready: true,
--- a/crates/hawthornmill-test-support/src/lib.rs
+++ b/crates/hawthornmill-test-support/src/lib.rs
@@ -4,7 +4,7 @@
 //! fixed order with a clock of its own, and [`procs`] starts real router processes around stand-ins.
 
 pub mod fleet;
-pub mod loads;
-pub mod news;
+pub mod gossip;
 pub mod procs;
 pub mod simulation;
+pub mod workload;
--- a/crates/hawthornmill-test-support/src/loads.rs
+++ b/crates/hawthornmill-test-support/src/workload.rs
@@ -6,7 +6,7 @@
 use crate::simulation::Simulation;
 
 /// Eight instances in three failure domains and two regions.
-pub const EIGHT: &[(&str, &str)] = &[
+pub const EIGHT_INSTANCES: &[(&str, &str)] = &[
     ("a", "north"),
     ("b", "north"),
     ("c", "south"),
@@ -17,25 +17,25 @@
     ("b", "north"),
 ];
 
-/// Costs of successive calls, in milliseconds; their mean is [`MEAN_COST`].
+/// Costs of successive calls, in milliseconds; their mean is [`MEAN_COST_MS`].
 const COSTS: [u64; 5] = [40, 160, 100, 20, 180];
 /// Mean cost of the calls of [`Backlog`].
-pub const MEAN_COST: f64 = 100.0;
+pub const MEAN_COST_MS: f64 = 100.0;
 /// Largest cost of the calls of [`Backlog`].
-pub const LARGEST_COST: f64 = 180.0;
+pub const MAX_COST_MS: f64 = 180.0;
 
 /// Slots of the servers of [`wide_fleet`].
-pub const WIDE_SLOTS: u16 = 48;
+pub const WIDE_FLEET_SLOTS: u16 = 48;
 
 /// One service on six servers of eight slots; `flood`, `large` (share 4) and `lab-1` to `lab-6`.
 ///
 /// Servers `draft-c-1` and `draft-c-2` stand in the south, the others in the north.
 pub fn wide_fleet() -> FleetText {
-    wide_fleet_with("south")
+    wide_fleet_with_region("south")
 }
 
 /// The same with failure domain `c` in `region`.
-pub fn wide_fleet_with(region: &str) -> FleetText {
+pub fn wide_fleet_with_region(region: &str) -> FleetText {
     let mut fleet = FleetText::new()
         .domain("a", "north")
         .domain("b", "north")
@@ -74,15 +74,15 @@
 
 /// Drives backlogs and measures the gap between their accounts.
 #[derive(Debug, Clone)]
-pub struct Drive {
+pub struct LoadDriver {
     backlogs: Vec<Backlog>,
     calls: usize,
     base: Vec<f64>,
-    /// Largest difference of normalised service since [`Drive::mark`].
+    /// Largest difference of normalised service since [`LoadDriver::reset_gap`].
     pub gap: f64,
 }
 
-impl Drive {
+impl LoadDriver {
     /// A drive of `backlogs`.
     pub fn new(backlogs: &[Backlog]) -> Self {
         Self {
@@ -94,7 +94,7 @@
     }
 
     /// Counts the gap from now on.
-    pub fn mark(&mut self, sim: &Simulation) {
+    pub fn reset_gap(&mut self, sim: &Simulation) {
         self.base = self
             .backlogs
             .iter()
@@ -145,20 +145,20 @@
 /// `staleness` is the age of the oldest counter in milliseconds; each slot serves one unit of cost in
 /// a millisecond.
 pub fn gap_bound(slots: u16, staleness: u64, least_share: f64) -> f64 {
-    f64::from(slots) * (LARGEST_COST + staleness as f64) / least_share
+    f64::from(slots) * (MAX_COST_MS + staleness as f64) / least_share
 }
 
 /// Calls that arrive by a fixed sequence, whatever becomes of them.
 #[derive(Debug, Clone)]
-pub struct Stream {
+pub struct ArrivalProcess {
     state: u64,
     next: f64,
     /// Mean calls a millisecond.
     pub rate: f64,
 }
 
-impl Stream {
-    /// A stream with mean `rate` calls a millisecond.
+impl ArrivalProcess {
+    /// A arrivals with mean `rate` calls a millisecond.
     pub fn new(rate: f64) -> Self {
         Self {
             state: 1,
--- a/tests/testsuite/conservation.rs
+++ b/tests/testsuite/conservation.rs
@@ -2,10 +2,11 @@
 
 use hawthornmill::blackboard::Tuning;
 use hawthornmill::ident::{DomainId, PoolId, ServiceId};
-use hawthornmill_test_support::loads::{
-    Backlog, Drive, EIGHT, MEAN_COST, Stream, WIDE_SLOTS, wide_fleet, wide_fleet_with,
-};
 use hawthornmill_test_support::simulation::Simulation;
+use hawthornmill_test_support::workload::{
+    ArrivalProcess, Backlog, EIGHT_INSTANCES, LoadDriver, MEAN_COST_MS, WIDE_FLEET_SLOTS,
+    wide_fleet, wide_fleet_with_region,
+};
 
 /// Accounts and the instance that a caller of each uses.
 const CALLERS: &[(&str, usize)] = &[
@@ -35,22 +36,22 @@
     backlog("lab-2", 1.0, &[2, 6]),
 ];
 
-fn warmed_up() -> (Simulation, Drive) {
-    let mut sim = Simulation::new(&wide_fleet(), EIGHT, &Tuning::default());
-    let mut drive = Drive::new(TWO_ENTRIES_EACH);
-    drive.run(&mut sim, 5000);
-    drive.mark(&sim);
+fn warmed_up() -> (Simulation, LoadDriver) {
+    let mut sim = Simulation::new(&wide_fleet(), EIGHT_INSTANCES, &Tuning::default());
+    let mut driver = LoadDriver::new(TWO_ENTRIES_EACH);
+    driver.run(&mut sim, 5000);
+    driver.reset_gap(&sim);
     sim.peak_running.clear();
-    (sim, drive)
+    (sim, driver)
 }
 
 /// Idle fraction of all slots in each of `tenths` tenths of a second.
-fn idle_tenths(sim: &mut Simulation, drive: &mut Drive, tenths: usize) -> Vec<f64> {
+fn idle_tenths(sim: &mut Simulation, driver: &mut LoadDriver, tenths: usize) -> Vec<f64> {
     let mut list = Vec::new();
     for _ in 0..tenths {
         let before = sim.busy_ms;
-        drive.run(sim, 100);
-        list.push(1.0 - (sim.busy_ms - before) as f64 / (100.0 * f64::from(WIDE_SLOTS)));
+        driver.run(sim, 100);
+        list.push(1.0 - (sim.busy_ms - before) as f64 / (100.0 * f64::from(WIDE_FLEET_SLOTS)));
     }
     list
 }
@@ -74,8 +75,8 @@
         .expect("there are instances")
 }
 
-/// A drive whose callers use no instance of `gone`.
-fn without(gone: &[usize]) -> Drive {
+/// A driver whose callers use no instance of `gone`.
+fn without(gone: &[usize]) -> LoadDriver {
     let left: Vec<Backlog> = TWO_ENTRIES_EACH
         .iter()
         .copied()
@@ -89,7 +90,7 @@
             b
         })
         .collect();
-    Drive::new(&left)
+    LoadDriver::new(&left)
 }
 
 fn worst(idle: &[f64]) -> f64 {
@@ -114,9 +115,9 @@
 /// idled from then on.
 #[test]
 fn slots_granted_to_an_entry_that_switched_owner_are_not_lost() {
-    let (mut sim, mut drive) = warmed_up();
+    let (mut sim, mut driver) = warmed_up();
 
-    let idle = idle_tenths(&mut sim, &mut drive, 100);
+    let idle = idle_tenths(&mut sim, &mut driver, 100);
 
     let mean = idle.iter().sum::<f64>() / idle.len() as f64;
     println!("idle {mean:.4}");
@@ -125,11 +126,11 @@
 
 /// Fractions of all slot time that a run used, and that idled while a call waited.
 fn utilization(mut sim: Simulation, rate: f64, entry: impl Fn(usize) -> usize) -> (f64, f64) {
-    let mut stream = Stream::new(rate);
+    let mut arrivals = ArrivalProcess::new(rate);
     let (warm, all) = (4000, 24_000);
     let (mut used, mut idle) = (0, 0);
     for now in 0..all {
-        for (pick, cost) in stream.due(now) {
+        for (pick, cost) in arrivals.due(now) {
             let (account, at) = CALLERS[pick % CALLERS.len()];
             // A call rejected by a full queue is lost for both schedulers.
             let _full = sim.submit_call(entry(at), account, "drafting", cost, 600_000);
@@ -140,10 +141,10 @@
         let waiting: usize = sim.boards.iter().map(|b| b.waiting.len()).sum();
         if now >= warm {
             used += running;
-            idle += (u64::from(WIDE_SLOTS) - running).min(waiting as u64);
+            idle += (u64::from(WIDE_FLEET_SLOTS) - running).min(waiting as u64);
         }
     }
-    let slots = f64::from(WIDE_SLOTS) * (all - warm) as f64;
+    let slots = f64::from(WIDE_FLEET_SLOTS) * (all - warm) as f64;
     (used as f64 / slots, idle as f64 / slots)
 }
 
@@ -152,10 +153,14 @@
 #[test]
 fn fleet_utilization_matches_a_central_scheduler() {
     for load in [0.9, 1.1] {
-        let rate = load * f64::from(WIDE_SLOTS) / MEAN_COST;
+        let rate = load * f64::from(WIDE_FLEET_SLOTS) / MEAN_COST_MS;
         let tuning = Tuning::default();
-        let exact = Simulation::new(&wide_fleet_with("north"), &EIGHT[..1], &tuning);
-        let fleet = Simulation::new(&wide_fleet(), EIGHT, &tuning);
+        let exact = Simulation::new(
+            &wide_fleet_with_region("north"),
+            &EIGHT_INSTANCES[..1],
+            &tuning,
+        );
+        let fleet = Simulation::new(&wide_fleet(), EIGHT_INSTANCES, &tuning);
 
         let (best, _) = utilization(exact, rate, |_| 0);
         let (used, idle) = utilization(fleet, rate, |at| at);
@@ -172,11 +177,11 @@
 fn slots_stay_busy_when_an_owner_is_killed() {
     let (mut sim, _) = warmed_up();
     let owner = owner_of(&sim, "a");
-    let mut drive = without(&[owner]);
-    drive.run(&mut sim, 2000);
+    let mut driver = without(&[owner]);
+    driver.run(&mut sim, 2000);
 
     sim.kill(owner);
-    let idle = idle_tenths(&mut sim, &mut drive, 40);
+    let idle = idle_tenths(&mut sim, &mut driver, 40);
 
     println!(
         "killed: worst {:.3} for {} tenths {idle:.2?}",
@@ -193,13 +198,13 @@
 fn slots_stay_busy_when_an_owner_pauses_and_resumes() {
     let (mut sim, _) = warmed_up();
     let owner = owner_of(&sim, "b");
-    let mut drive = without(&[owner]);
-    drive.run(&mut sim, 2000);
+    let mut driver = without(&[owner]);
+    driver.run(&mut sim, 2000);
 
     sim.paused.insert(owner);
-    let mut idle = idle_tenths(&mut sim, &mut drive, 30);
+    let mut idle = idle_tenths(&mut sim, &mut driver, 30);
     sim.paused.remove(&owner);
-    idle.extend(idle_tenths(&mut sim, &mut drive, 50));
+    idle.extend(idle_tenths(&mut sim, &mut driver, 50));
 
     println!(
         "frozen: worst {:.3} for {} tenths {idle:.2?}",
@@ -222,25 +227,25 @@
 /// overloaded if the owners didn't limit their grants by the load that servers report.
 #[test]
 fn both_sides_of_a_partition_share_slots_by_reported_load() {
-    let (mut sim, mut drive) = warmed_up();
+    let (mut sim, mut driver) = warmed_up();
     let left = [0, 3, 6];
     let right = [1, 2, 4, 5, 7];
     sim.partition(&left, &right);
-    drive.run(&mut sim, 5000);
+    driver.run(&mut sim, 5000);
     let before = sim.busy_ms;
-    drive.run(&mut sim, 5000);
+    driver.run(&mut sim, 5000);
     let running = (sim.busy_ms - before) as f64 / 5000.0;
     let worst = sim.peak_running.values().max().copied().unwrap_or(0);
     sim.broken_links.clear();
-    drive.run(&mut sim, 5000);
+    driver.run(&mut sim, 5000);
     sim.peak_running.clear();
 
-    let idle = idle_tenths(&mut sim, &mut drive, 20);
+    let idle = idle_tenths(&mut sim, &mut driver, 20);
 
     println!(
         "cut: {running:.1} of 48 run on both sides, most on one server {worst}, after {idle:.2?}"
     );
-    assert!(running < 1.1 * f64::from(WIDE_SLOTS), "{running}");
+    assert!(running < 1.1 * f64::from(WIDE_FLEET_SLOTS), "{running}");
     assert!(worst <= 16, "{worst} on one server of 8 slots");
     assert!(idle.iter().all(|i| *i < 0.03), "{idle:?}");
     assert_no_overcommit(&sim);
--- a/tests/testsuite/gateway/missed_updates.rs
+++ b/tests/testsuite/gateway/missed_updates.rs
@@ -8,7 +8,7 @@
 use hawthornmill::routing::fragments::split_fragments;
 use hawthornmill::routing::gossip::{InstanceReport, PeerInfo, SyncResponse};
 use hawthornmill::wire::{Message, Opener, Sealer};
-use hawthornmill_test_support::news::news_of;
+use hawthornmill_test_support::gossip::instance_report;
 use serde_json::json;
 
 use super::fleet::{Fleet, PEER_PORT, config, frame_key, request, route, send_request, wait_until};
@@ -70,7 +70,7 @@
         let report = InstanceReport {
             catalog_version: version,
             revision: 0,
-            ..news_of(info)
+            ..instance_report(info)
         };
         for _ in 0..20 {
             self.send(&Message::News(Box::new(report.clone()))).await;
--- a/tests/testsuite/routing/domain_summary.rs
+++ b/tests/testsuite/routing/domain_summary.rs
@@ -10,7 +10,7 @@
 use hawthornmill::routing::usage::AccountUsage;
 use hawthornmill::wire::frame::MAX_DATAGRAM_BYTES;
 use hawthornmill::wire::{Message, Sealer};
-use hawthornmill_test_support::news::news_of;
+use hawthornmill_test_support::gossip::instance_report;
 
 use super::{millis, scheduler};
 
@@ -43,7 +43,7 @@
 }
 
 fn report(number: u16) -> InstanceReport {
-    news_of(peer_info(number))
+    instance_report(peer_info(number))
 }
 
 fn member(number: u16) -> Member {
--- a/tests/testsuite/routing/fleet_simulation.rs
+++ b/tests/testsuite/routing/fleet_simulation.rs
@@ -8,7 +8,7 @@
 use hawthornmill::routing::placement::Placement;
 use hawthornmill::routing::request::{Admission, Decision, Request, Ticket};
 use hawthornmill::routing::scheduler::Scheduler;
-use hawthornmill_test_support::news::news_of;
+use hawthornmill_test_support::gossip::instance_report;
 
 use super::{drafter, millis, request, scheduler, shape};
 
@@ -143,7 +143,7 @@
             usage: scheduler.account_usage.local(now),
             spilled: scheduler.spilled_prefixes(now),
             unmet: scheduler.unmet_demand(now),
-            ..news_of(info)
+            ..instance_report(info)
         };
         let all: Vec<InstanceReport> = self.schedulers.iter_mut().map(report).collect();
         for (from, peer_report) in all.iter().enumerate() {
--- a/tests/testsuite/routing/gossip.rs
+++ b/tests/testsuite/routing/gossip.rs
@@ -5,7 +5,7 @@
 
 use hawthornmill::ident::{DomainId, Incarnation, InstanceId};
 use hawthornmill::routing::gossip::{InstanceReport, PeerInfo, PeerTable, StoreRole};
-use hawthornmill_test_support::news::news_of;
+use hawthornmill_test_support::gossip::instance_report;
 
 use super::millis;
 
@@ -23,7 +23,7 @@
         catalog_version: version,
         revision: 0,
         known_peers,
-        ..news_of(info)
+        ..instance_report(info)
     }
 }
 
--- a/tests/testsuite/routing/scheduler.rs
+++ b/tests/testsuite/routing/scheduler.rs
@@ -8,7 +8,7 @@
 use hawthornmill::routing::request::Admission;
 use hawthornmill::routing::scheduler::Scheduler;
 use hawthornmill::routing::usage::{AccountUsage, ShareStatus};
-use hawthornmill_test_support::news::news_of;
+use hawthornmill_test_support::gossip::instance_report;
 
 use super::{drafter, millis, request, scheduler, sent, shape};
 
@@ -54,7 +54,7 @@
     InstanceReport {
         usage,
         unmet: unmet.into_iter().map(|(s, l)| (drafter(), s, l)).collect(),
-        ..news_of(info)
+        ..instance_report(info)
     }
 }
 
--- a/tests/testsuite/shares.rs
+++ b/tests/testsuite/shares.rs
@@ -3,8 +3,10 @@
 use hawthornmill::blackboard::{Policy, Tuning};
 use hawthornmill::fairness::CostKey;
 use hawthornmill::ident::{AccountId, ServiceId};
-use hawthornmill_test_support::loads::{Backlog, Drive, EIGHT, WIDE_SLOTS, gap_bound, wide_fleet};
 use hawthornmill_test_support::simulation::Simulation;
+use hawthornmill_test_support::workload::{
+    Backlog, EIGHT_INSTANCES, LoadDriver, WIDE_FLEET_SLOTS, gap_bound, wide_fleet,
+};
 
 /// Age of the oldest counter: three report intervals.
 const STALENESS_MS: u64 = 750;
@@ -36,12 +38,12 @@
     }
 }
 
-fn warmed_up(policy: Policy) -> (Simulation, Drive) {
-    let mut sim = Simulation::new(&wide_fleet(), EIGHT, &tuning(policy));
-    let mut drive = Drive::new(UNEVEN);
-    drive.run(&mut sim, 3000);
-    drive.mark(&sim);
-    (sim, drive)
+fn warmed_up(policy: Policy) -> (Simulation, LoadDriver) {
+    let mut sim = Simulation::new(&wide_fleet(), EIGHT_INSTANCES, &tuning(policy));
+    let mut driver = LoadDriver::new(UNEVEN);
+    driver.run(&mut sim, 3000);
+    driver.reset_gap(&sim);
+    (sim, driver)
 }
 
 /// Messages sent between instances and the bytes of their payloads.
@@ -53,13 +55,13 @@
 /// shares serve the flood at every instance, so it receives several times its fair share.
 #[test]
 fn service_gap_is_a_tenth_of_that_under_static_shares() {
-    let (mut static_sim, mut static_drive) = warmed_up(Policy::Static);
-    let (mut sim, mut drive) = warmed_up(Policy::Pooled);
+    let (mut static_sim, mut static_driver) = warmed_up(Policy::Static);
+    let (mut sim, mut driver) = warmed_up(Policy::Pooled);
 
     let before = (traffic(&sim), sim.outcomes.len());
 
-    static_drive.run(&mut static_sim, 20_000);
-    drive.run(&mut sim, 20_000);
+    static_driver.run(&mut static_sim, 20_000);
+    driver.run(&mut sim, 20_000);
 
     let calls = (sim.outcomes.len() - before.1) as f64;
     let (messages, bytes) = traffic(&sim);
@@ -69,17 +71,17 @@
     assert!(messages < 2.5, "{messages} messages a call");
     assert!(bytes < 100.0, "{bytes} bytes a call");
 
-    let bound = gap_bound(WIDE_SLOTS, STALENESS_MS, 1.0);
+    let bound = gap_bound(WIDE_FLEET_SLOTS, STALENESS_MS, 1.0);
     println!(
         "gap {:.0} alone {:.0} bound {bound:.0}",
-        drive.gap, static_drive.gap
+        driver.gap, static_driver.gap
     );
-    assert!(drive.gap < bound / 4.0, "gap {} bound {bound}", drive.gap);
+    assert!(driver.gap < bound / 4.0, "gap {} bound {bound}", driver.gap);
     assert!(
-        drive.gap * 10.0 <= static_drive.gap,
+        driver.gap * 10.0 <= static_driver.gap,
         "{} {}",
-        drive.gap,
-        static_drive.gap
+        driver.gap,
+        static_driver.gap
     );
 }
 
@@ -87,13 +89,13 @@
 /// or counted old service as new, accounts that had their share would be preferred.
 #[test]
 fn restarted_router_recovers_the_fairness_counters() {
-    let (mut sim, mut drive) = warmed_up(Policy::Pooled);
+    let (mut sim, mut driver) = warmed_up(Policy::Pooled);
     for _ in 0..2 {
         for index in 0..sim.boards.len() {
             sim.kill(index);
-            drive.run(&mut sim, 300);
+            driver.run(&mut sim, 300);
             sim.restart(index, &wide_fleet(), 1);
-            drive.run(&mut sim, 3000);
+            driver.run(&mut sim, 3000);
         }
     }
 
@@ -101,10 +103,10 @@
 
     let totals: Vec<Vec<f64>> = sim.boards.iter().map(totals).collect();
     let most = spread(&totals);
-    let bound = gap_bound(WIDE_SLOTS, STALENESS_MS, 1.0);
-    println!("spread {most:.0} gap {:.0} bound {bound:.0}", drive.gap);
+    let bound = gap_bound(WIDE_FLEET_SLOTS, STALENESS_MS, 1.0);
+    println!("spread {most:.0} gap {:.0} bound {bound:.0}", driver.gap);
     assert!(most < 1.0, "views differ by {most}: {totals:?}");
-    assert!(drive.gap < bound, "gap {} bound {bound}", drive.gap);
+    assert!(driver.gap < bound, "gap {} bound {bound}", driver.gap);
 }
 
 /// Normalised service of every account of [`UNEVEN`] in the view of one instance.
@@ -135,18 +137,18 @@
 /// converge afterwards, or the lag were repaid without limit, the gap would stay above its bound.
 #[test]
 fn service_gap_is_bounded_after_a_partition_heals() {
-    let (mut sim, mut drive) = warmed_up(Policy::Pooled);
+    let (mut sim, mut driver) = warmed_up(Policy::Pooled);
     sim.partition(&[0, 1, 3], &[2, 4, 5, 6, 7]);
-    drive.run(&mut sim, 10_000);
+    driver.run(&mut sim, 10_000);
     sim.broken_links.clear();
-    drive.run(&mut sim, 15_000);
-    drive.mark(&sim);
+    driver.run(&mut sim, 15_000);
+    driver.reset_gap(&sim);
 
-    drive.run(&mut sim, 10_000);
+    driver.run(&mut sim, 10_000);
 
-    let bound = gap_bound(WIDE_SLOTS, STALENESS_MS, 1.0);
-    println!("gap after the cut {:.0} bound {bound:.0}", drive.gap);
-    assert!(drive.gap < bound, "gap {} bound {bound}", drive.gap);
+    let bound = gap_bound(WIDE_FLEET_SLOTS, STALENESS_MS, 1.0);
+    println!("gap after the cut {:.0} bound {bound:.0}", driver.gap);
+    assert!(driver.gap < bound, "gap {} bound {bound}", driver.gap);
     sim.run(SETTLE_MS, |_| {});
     let totals: Vec<Vec<f64>> = sim.boards.iter().map(totals).collect();
     assert!(spread(&totals) < 1.0, "{totals:?}");
@@ -163,25 +165,25 @@
         .copied()
         .chain([backlog("lab-6", 1.0, &[5])])
         .collect();
-    let mut drive = Drive::new(&all);
-    drive.mark(&sim);
+    let mut driver = LoadDriver::new(&all);
+    driver.reset_gap(&sim);
 
-    drive.run(&mut sim, 6000);
+    driver.run(&mut sim, 6000);
 
-    let bound = gap_bound(WIDE_SLOTS, STALENESS_MS, 1.0);
-    println!("gap {:.0} bound {bound:.0}", drive.gap);
+    let bound = gap_bound(WIDE_FLEET_SLOTS, STALENESS_MS, 1.0);
+    println!("gap {:.0} bound {bound:.0}", driver.gap);
     let lab = sim.received_cost("lab-6");
     // Its share is 1 of 9 of 48 slots.
     let owed = 6000.0 * 48.0 / 9.0;
     assert!((0.8..1.2).contains(&(lab / owed)), "{lab} of {owed}");
-    assert!(drive.gap < bound);
+    assert!(driver.gap < bound);
 }
 
 /// After days, counters are in the tens of billions and grow by a few hundred per call. Sent with too
 /// low a precision, these calls would be lost to other owners, and the account would be preferred.
 #[test]
 fn large_counters_stay_exact() {
-    let mut sim = Simulation::new(&wide_fleet(), EIGHT, &Tuning::default());
+    let mut sim = Simulation::new(&wide_fleet(), EIGHT_INSTANCES, &Tuning::default());
     let key = CostKey {
         service: ServiceId::of("drafting"),
         account: AccountId::of("large"),
--- a/tests/testsuite/starvation.rs
+++ b/tests/testsuite/starvation.rs
@@ -2,10 +2,11 @@
 
 use hawthornmill::blackboard::Tuning;
 use hawthornmill::ident::AccountId;
-use hawthornmill_test_support::loads::{
-    Backlog, Drive, EIGHT, LARGEST_COST, MEAN_COST, WIDE_SLOTS, gap_bound, wide_fleet,
-};
 use hawthornmill_test_support::simulation::Simulation;
+use hawthornmill_test_support::workload::{
+    Backlog, EIGHT_INSTANCES, LoadDriver, MAX_COST_MS, MEAN_COST_MS, WIDE_FLEET_SLOTS, gap_bound,
+    wide_fleet,
+};
 
 /// Longest wait of a single caller under flood, in costs of the largest call.
 const MAX_WAIT_COSTS: f64 = 2.0;
@@ -23,16 +24,16 @@
 /// the floods instead of being served next, it would wait for most of their backlog.
 #[test]
 fn single_caller_wait_is_bounded_under_flood() {
-    let mut sim = Simulation::new(&wide_fleet(), EIGHT, &Tuning::default());
+    let mut sim = Simulation::new(&wide_fleet(), EIGHT_INSTANCES, &Tuning::default());
     let all = &[0, 1, 2, 3, 4, 5, 6, 7];
-    let mut drive = Drive::new(&[backlog("flood", 1.0, all), backlog("large", 4.0, all)]);
-    drive.run(&mut sim, 5000);
+    let mut driver = LoadDriver::new(&[backlog("flood", 1.0, all), backlog("large", 4.0, all)]);
+    driver.run(&mut sim, 5000);
     let from = sim.outcomes.len();
 
     for _ in 0..200 {
         let sent = sim.submit_call(4, "lab-1", "drafting", 60, 600_000);
         assert_eq!(sent, Ok(()));
-        drive.run(&mut sim, 100);
+        driver.run(&mut sim, 100);
     }
 
     let lab = AccountId::of("lab-1");
@@ -49,7 +50,7 @@
         waits[waits.len() / 2]
     );
     assert!(waits.len() >= 195, "{} answered", waits.len());
-    assert!((most as f64) < MAX_WAIT_COSTS * LARGEST_COST, "{most} ms");
+    assert!((most as f64) < MAX_WAIT_COSTS * MAX_COST_MS, "{most} ms");
 }
 
 /// An account is confined to one small server for a long time and may then use all servers. If its
@@ -63,14 +64,14 @@
     let opened = confined
         .clone()
         .grant("all", "size=confined", "pool=std", 1.0);
-    let mut sim = Simulation::new(&confined, EIGHT, &Tuning::default());
+    let mut sim = Simulation::new(&confined, EIGHT_INSTANCES, &Tuning::default());
     let accounts = [
         backlog("flood", 1.0, &[0, 1, 2]),
         backlog("lab-1", 1.0, &[3]),
         backlog("lab-7", 1.0, &[6]),
     ];
-    let mut drive = Drive::new(&accounts);
-    drive.run(&mut sim, 25_000);
+    let mut driver = LoadDriver::new(&accounts);
+    driver.run(&mut sim, 25_000);
     let lag = sim.received_cost("lab-1") - sim.received_cost("lab-7");
     for board in &mut sim.boards {
         let (config, manifest, values) = opened.accept(2);
@@ -78,11 +79,11 @@
     }
     let before = (sim.received_cost("lab-1"), sim.received_cost("lab-7"));
 
-    drive.run(&mut sim, 10_000);
+    driver.run(&mut sim, 10_000);
 
     let ahead = (sim.received_cost("lab-7") - before.1) - (sim.received_cost("lab-1") - before.0);
     // 17 slots in the largest pool, including the small server.
-    let cap = Tuning::default().lag_cap * MEAN_COST * 17.0;
+    let cap = Tuning::default().lag_cap * MEAN_COST_MS * 17.0;
     println!("lag {lag:.0}, made up {ahead:.0}, cap {cap:.0}");
     assert!(lag > 10.0 * cap, "lag {lag}");
     assert!(ahead < cap, "{ahead} of {lag}");
@@ -102,13 +103,13 @@
         backlog("lab-6", 1.0, &[2, 5]),
     ];
     let run = |tuning: &Tuning| {
-        let mut sim = Simulation::new(&wide_fleet(), EIGHT, tuning);
-        let mut drive = Drive::new(&accounts);
-        drive.run(&mut sim, 4000);
-        drive.mark(&sim);
+        let mut sim = Simulation::new(&wide_fleet(), EIGHT_INSTANCES, tuning);
+        let mut driver = LoadDriver::new(&accounts);
+        driver.run(&mut sim, 4000);
+        driver.reset_gap(&sim);
         let bytes = cross_region_bytes(&sim);
-        drive.run(&mut sim, 20_000);
-        (drive.gap, (cross_region_bytes(&sim) - bytes) as f64 / 20.0)
+        driver.run(&mut sim, 20_000);
+        (driver.gap, (cross_region_bytes(&sim) - bytes) as f64 / 20.0)
     };
 
     let free = run(&Tuning::default());
@@ -117,7 +118,7 @@
         ..Tuning::default()
     });
 
-    let bound = gap_bound(WIDE_SLOTS, 750, 1.0);
+    let bound = gap_bound(WIDE_FLEET_SLOTS, 750, 1.0);
     println!("gap and bytes/s: free {free:.0?}, bounded {bounded:.0?}, bound {bound:.0}");
     assert!(free.0 < bound, "gap {}", free.0);
     // Only the two instances of the south send calls to the other region; some are granted before
