--- a/crates/hawthornmill-test-support/src/fleet.rs
+++ b/crates/hawthornmill-test-support/src/fleet.rs
@@ -7,11 +7,11 @@
 
 /// Builder of a fleet configuration.
 #[derive(Debug, Clone, Default)]
-pub struct FleetText {
+pub struct FleetBuilder {
     text: String,
 }
 
-impl FleetText {
+impl FleetBuilder {
     /// An empty configuration.
     pub fn new() -> Self {
         Self::default()
@@ -31,7 +31,7 @@
 
     /// Adds a service whose calls must not repeat.
     #[must_use]
-    pub fn service_once(self, name: &str) -> Self {
+    pub fn non_idempotent_service(self, name: &str) -> Self {
         self.line(&format!("[service {name}]\nrepeat = never\ncost = time"))
     }
 
--- a/crates/hawthornmill-test-support/src/procs.rs
+++ b/crates/hawthornmill-test-support/src/procs.rs
@@ -5,7 +5,7 @@
 
 use hawthornmill_lab::demo::site::{RouterCommand, Site, SitePlan};
 
-use crate::fleet::FleetText;
+use crate::fleet::FleetBuilder;
 
 /// Failure domains of the small test sites.
 pub const DOMAINS: &[(&str, &str)] = &[("a", "north"), ("b", "north"), ("c", "south")];
@@ -19,13 +19,13 @@
 }
 
 /// Two services, six servers, four accounts: `big` has share 4, the others 1.
-pub fn small_fleet() -> FleetText {
-    let mut fleet = FleetText::new()
+pub fn small_fleet() -> FleetBuilder {
+    let mut fleet = FleetBuilder::new()
         .domain("a", "north")
         .domain("b", "north")
         .domain("c", "south")
         .service("drafting")
-        .service_once("booking");
+        .non_idempotent_service("booking");
     for domain in ["a", "b", "c"] {
         fleet = fleet
             .server(&format!("draft-{domain}"), "drafting", domain, 4, "std")
@@ -65,7 +65,7 @@
 
 /// An answer read whole.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status.
     pub status: u16,
     /// Headers as text.
@@ -74,7 +74,7 @@
     pub text: String,
 }
 
-impl Answer {
+impl Response {
     /// The body as JSON; null where it is none.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.text).unwrap_or_default()
@@ -82,7 +82,7 @@
 }
 
 /// Sends `request` and reads the answer whole; none when the connection broke.
-pub async fn send(request: reqwest::RequestBuilder) -> Option<Answer> {
+pub async fn send(request: reqwest::RequestBuilder) -> Option<Response> {
     let answer = request.timeout(Duration::from_secs(30)).send().await.ok()?;
     let status = answer.status().as_u16();
     let headers = answer
@@ -91,7 +91,7 @@
         .map(|(n, v)| (n.to_string(), v.to_str().unwrap_or_default().to_owned()))
         .collect();
     let text = answer.text().await.ok()?;
-    Some(Answer {
+    Some(Response {
         status,
         headers,
         text,
--- a/crates/hawthornmill-test-support/src/simulation.rs
+++ b/crates/hawthornmill-test-support/src/simulation.rs
@@ -14,7 +14,7 @@
 use hawthornmill::pools::{self, entry, owner, tick};
 use hawthornmill::wire::message::{Contact, Message, ProbeAck};
 
-use crate::fleet::FleetText;
+use crate::fleet::FleetBuilder;
 
 const TICK: u64 = 20;
 const HEARTBEAT: u64 = 100;
@@ -94,7 +94,7 @@
 
 impl Simulation {
     /// Instances `i0`, `i1`, … in the given failure domains and regions, all with `fleet` in force.
-    pub fn new(fleet: &FleetText, places: &[(&str, &str)], tuning: &Tuning) -> Self {
+    pub fn new(fleet: &FleetBuilder, places: &[(&str, &str)], tuning: &Tuning) -> Self {
         let start = Instant::now();
         let contacts: Vec<Contact> = places
             .iter()
@@ -203,7 +203,7 @@
     }
 
     /// Replaces instance `index` by a new run without state.
-    pub fn restart(&mut self, index: usize, fleet: &FleetText, revision: u64) {
+    pub fn restart(&mut self, index: usize, fleet: &FleetBuilder, revision: u64) {
         let now = self.instant();
         let old = &self.boards[index];
         let own = old.members.own().contact.clone();
--- a/crates/hawthornmill-test-support/src/workload.rs
+++ b/crates/hawthornmill-test-support/src/workload.rs
@@ -2,7 +2,7 @@
 
 use hawthornmill::ident::mix;
 
-use crate::fleet::FleetText;
+use crate::fleet::FleetBuilder;
 use crate::simulation::Simulation;
 
 /// Eight instances in three failure domains and two regions.
@@ -30,13 +30,13 @@
 /// One service on six servers of eight slots; `flood`, `large` (share 4) and `lab-1` to `lab-6`.
 ///
 /// Servers `draft-c-1` and `draft-c-2` stand in the south, the others in the north.
-pub fn wide_fleet() -> FleetText {
+pub fn wide_fleet() -> FleetBuilder {
     wide_fleet_with_region("south")
 }
 
 /// The same with failure domain `c` in `region`.
-pub fn wide_fleet_with_region(region: &str) -> FleetText {
-    let mut fleet = FleetText::new()
+pub fn wide_fleet_with_region(region: &str) -> FleetBuilder {
+    let mut fleet = FleetBuilder::new()
         .domain("a", "north")
         .domain("b", "north")
         .domain("c", region)
--- a/tests/testsuite/access.rs
+++ b/tests/testsuite/access.rs
@@ -7,7 +7,7 @@
 use hawthornmill::ident::{Incarnation, InstanceId};
 use hawthornmill::wire::{Message, Sealer};
 use hawthornmill_lab::demo::site::{Site, SitePlan};
-use hawthornmill_test_support::procs::{Answer, DOMAINS, send, small_fleet, small_site, start};
+use hawthornmill_test_support::procs::{DOMAINS, Response, send, small_fleet, small_site, start};
 use nix::sys::signal::Signal;
 use reqwest::Client;
 
@@ -44,7 +44,7 @@
     refused(site).await
 }
 
-async fn call(site: &Site, router: usize, token: &str) -> Option<Answer> {
+async fn call(site: &Site, router: usize, token: &str) -> Option<Response> {
     let http = &site.routers[router].listed.http;
     let request = Client::new()
         .post(format!("http://{http}/v1/call/drafting/generate"))
--- a/tests/testsuite/bad_input.rs
+++ b/tests/testsuite/bad_input.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 use hawthornmill::config::accept::{Values, manifest};
-use hawthornmill_test_support::procs::{Answer, send, small_fleet, small_site};
+use hawthornmill_test_support::procs::{Response, send, small_fleet, small_site};
 use reqwest::{Client, RequestBuilder};
 
 use crate::{ROUTER, block_on};
@@ -15,7 +15,7 @@
         .body("{\"tag\":\"big/1\",\"tokens\":3}")
 }
 
-fn line(answer: Option<&Answer>) -> String {
+fn line(answer: Option<&Response>) -> String {
     let Some(answer) = answer else {
         return "no answer".into();
     };
--- a/tests/testsuite/check.rs
+++ b/tests/testsuite/check.rs
@@ -8,14 +8,14 @@
 use hawthornmill::config::entitlement::entitlements;
 use hawthornmill::config::names::NameRegistry;
 use hawthornmill::ident::{AccountId, ServiceId};
-use hawthornmill_test_support::fleet::FleetText;
+use hawthornmill_test_support::fleet::FleetBuilder;
 use hawthornmill_test_support::procs::small_fleet;
 
 const CHECK: &str = env!("CARGO_BIN_EXE_hawthornmill-check");
 
 /// Two drafting servers of 4 slots in different pools; `big` may use both, `small` only one.
-fn overlapping() -> FleetText {
-    FleetText::new()
+fn overlapping() -> FleetBuilder {
+    FleetBuilder::new()
         .domain("a", "north")
         .service("drafting")
         .server("one", "drafting", "a", 4, "std")
@@ -31,7 +31,7 @@
     entitlements(config).get(&key).copied().unwrap_or(0.0)
 }
 
-fn write_config(name: &str, fleet: &FleetText) -> PathBuf {
+fn write_config(name: &str, fleet: &FleetBuilder) -> PathBuf {
     let name = format!("hawthornmill-{}-{name}.ini", std::process::id());
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, &*fleet.text()).expect("the file can be written");
@@ -76,7 +76,7 @@
         .text()
         .replace("[server two]\n", "[server two]\nleaving = yes\n")
         .replace("(std,apart)\nshare = 1", "(std,apart)\nshare = 3");
-    let next = FleetText::new()
+    let next = FleetBuilder::new()
         .line(&next)
         .server("three", "drafting", "a", 12, "std");
     let candidate = write_config("candidate", &next);
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -11,7 +11,7 @@
 use hawthornmill::wire::message::ProbeAck;
 use hawthornmill_lab::demo::site::Site;
 use hawthornmill_lab::standin::platform::Mode;
-use hawthornmill_test_support::fleet::FleetText;
+use hawthornmill_test_support::fleet::FleetBuilder;
 use hawthornmill_test_support::procs::{small_fleet, small_site};
 use hawthornmill_test_support::simulation::{Simulation, contact};
 
@@ -275,7 +275,7 @@
 }
 
 /// The small fleet with one more account, which differs from change to change.
-fn changed(number: u64) -> FleetText {
+fn changed(number: u64) -> FleetBuilder {
     small_fleet().account(&format!("guest-{}", number % 7), "none")
 }
 
--- a/tests/testsuite/leaving.rs
+++ b/tests/testsuite/leaving.rs
@@ -9,7 +9,7 @@
 use hawthornmill::wire::message::RosterEntry;
 use hawthornmill_lab::demo::site::Site;
 use hawthornmill_lab::standin::platform::Mode;
-use hawthornmill_test_support::fleet::FleetText;
+use hawthornmill_test_support::fleet::FleetBuilder;
 use hawthornmill_test_support::procs::{send, small_fleet, small_site};
 use hawthornmill_test_support::simulation::{Simulation, contact};
 
@@ -37,10 +37,10 @@
 }
 
 /// The small fleet with `draft-a` leaving.
-fn without_draft_a() -> FleetText {
+fn without_draft_a() -> FleetBuilder {
     let text = small_fleet().text();
     let text = text.replacen("slots = 4", "slots = 4\nleaving = yes", 1);
-    FleetText::new().line(&text)
+    FleetBuilder::new().line(&text)
 }
 
 /// Entries learn that a server is leaving before the owner, which keeps granting its slots. If the
--- a/tests/testsuite/membership.rs
+++ b/tests/testsuite/membership.rs
@@ -7,7 +7,7 @@
 use hawthornmill::membership::{LivenessUpdate, Members};
 use hawthornmill::pools::tick;
 use hawthornmill::wire::message::ProbeAck;
-use hawthornmill_test_support::fleet::FleetText;
+use hawthornmill_test_support::fleet::FleetBuilder;
 use hawthornmill_test_support::procs::small_fleet;
 use hawthornmill_test_support::simulation::{Simulation, contact};
 
@@ -290,10 +290,10 @@
 }
 
 /// The small fleet with one server of failure domain `a` leaving.
-fn leaving_fleet() -> FleetText {
+fn leaving_fleet() -> FleetBuilder {
     let text = small_fleet().text();
     let text = text.replacen("slots = 4", "slots = 4\nleaving = yes", 1);
-    FleetText::new().line(&text)
+    FleetBuilder::new().line(&text)
 }
 
 /// An instance with more and more partners announces longer heartbeat intervals. If receivers kept
--- a/tests/testsuite/once.rs
+++ b/tests/testsuite/once.rs
@@ -6,7 +6,7 @@
 use hawthornmill_lab::demo::site::{Site, SitePlan};
 use hawthornmill_lab::history::storm::books;
 use hawthornmill_lab::standin::relay::{LinkState, Relay};
-use hawthornmill_test_support::procs::{Answer, DOMAINS, send, small_fleet, start};
+use hawthornmill_test_support::procs::{DOMAINS, Response, send, small_fleet, start};
 use nix::sys::signal::Signal;
 
 use crate::{ROUTER, block_on};
@@ -29,7 +29,7 @@
 }
 
 /// A booking through `router` by a caller who waits for `patience`.
-async fn book(site: &Site, router: usize, key: &str, patience: &str) -> Answer {
+async fn book(site: &Site, router: usize, key: &str, patience: &str) -> Response {
     let url = format!(
         "http://{}/v1/call/booking/run",
         site.routers[router].listed.http
--- a/tests/testsuite/retries.rs
+++ b/tests/testsuite/retries.rs
@@ -199,7 +199,7 @@
 /// every grant for it, both would idle forever.
 #[test]
 fn retried_call_eventually_uses_the_only_server() {
-    let fleet = hawthornmill_test_support::fleet::FleetText::new()
+    let fleet = hawthornmill_test_support::fleet::FleetBuilder::new()
         .domain("a", "north")
         .service("drafting")
         .server("only", "drafting", "a", 2, "std")
--- a/tests/testsuite/standins.rs
+++ b/tests/testsuite/standins.rs
@@ -7,7 +7,7 @@
 use hawthornmill_lab::standin::platform::{Mode, Platform};
 use hawthornmill_lab::standin::relay::{LinkState, Relay};
 use hawthornmill_lab::standin::serve::{Running, serve};
-use hawthornmill_test_support::procs::{Answer, send, small_fleet};
+use hawthornmill_test_support::procs::{Response, send, small_fleet};
 use reqwest::Client;
 
 use crate::block_on;
@@ -18,7 +18,7 @@
     (platform, running)
 }
 
-async fn manifest(running: &Running, after: u64, wait_ms: u64) -> Option<Answer> {
+async fn manifest(running: &Running, after: u64, wait_ms: u64) -> Option<Response> {
     let url = format!(
         "http://{}/v1/manifest?after={after}&wait_ms={wait_ms}",
         running.address
