--- a/crates/hawthornmill-test-support/src/loads.rs
+++ b/crates/hawthornmill-test-support/src/workload.rs
@@ -2,11 +2,11 @@
 
 use hawthornmill::ident::mix;
 
-use crate::fleet::FleetText;
-use crate::steps::Steps;
+use crate::fleet::FleetBuilder;
+use crate::simulation::Simulation;
 
 /// Eight instances in three failure domains and two regions.
-pub const EIGHT: &[(&str, &str)] = &[
+pub const EIGHT_INSTANCES: &[(&str, &str)] = &[
     ("a", "north"),
     ("b", "north"),
     ("c", "south"),
@@ -17,26 +17,26 @@
     ("b", "north"),
 ];
 
-/// Costs of successive calls, in milliseconds; their mean is [`MEAN_COST`].
+/// Costs of successive calls, in milliseconds; their mean is [`MEAN_COST_MS`].
 const COSTS: [u64; 5] = [40, 160, 100, 20, 180];
 /// Mean cost of the calls of [`Backlog`].
-pub const MEAN_COST: f64 = 100.0;
+pub const MEAN_COST_MS: f64 = 100.0;
 /// Largest cost of the calls of [`Backlog`].
-pub const LARGEST_COST: f64 = 180.0;
+pub const MAX_COST_MS: f64 = 180.0;
 
 /// Slots of the servers of [`wide_fleet`].
-pub const WIDE_SLOTS: u16 = 48;
+pub const WIDE_FLEET_SLOTS: u16 = 48;
 
 /// One service on six servers of eight slots; `flood`, `large` (share 4) and `lab-1` to `lab-6`.
 ///
 /// Servers `draft-c-1` and `draft-c-2` stand in the south, the others in the north.
-pub fn wide_fleet() -> FleetText {
-    wide_fleet_with("south")
+pub fn wide_fleet() -> FleetBuilder {
+    wide_fleet_with_region("south")
 }
 
 /// The same with failure domain `c` in `region`.
-pub fn wide_fleet_with(region: &str) -> FleetText {
-    let mut fleet = FleetText::new()
+pub fn wide_fleet_with_region(region: &str) -> FleetBuilder {
+    let mut fleet = FleetBuilder::new()
         .domain("a", "north")
         .domain("b", "north")
         .domain("c", region)
@@ -74,15 +74,15 @@
 
 /// Drives backlogs and measures the gap between their accounts.
 #[derive(Debug, Clone)]
-pub struct Drive {
+pub struct LoadDriver {
     backlogs: Vec<Backlog>,
     calls: usize,
     base: Vec<f64>,
-    /// Largest difference of normalised service since [`Drive::mark`].
+    /// Largest difference of normalised service since [`LoadDriver::reset_gap`].
     pub gap: f64,
 }
 
-impl Drive {
+impl LoadDriver {
     /// A drive of `backlogs`.
     pub fn new(backlogs: &[Backlog]) -> Self {
         Self {
@@ -94,41 +94,45 @@
     }
 
     /// Counts the gap from now on.
-    pub fn mark(&mut self, steps: &Steps) {
-        self.base = self.backlogs.iter().map(|b| steps.got(b.account)).collect();
+    pub fn reset_gap(&mut self, sim: &Simulation) {
+        self.base = self
+            .backlogs
+            .iter()
+            .map(|b| sim.received_cost(b.account))
+            .collect();
         self.gap = 0.0;
     }
 
     /// Lets `millis` pass; callers send nothing to instances that are dead or frozen.
-    pub fn run(&mut self, steps: &mut Steps, millis: u64) {
-        steps.run(millis, |s| {
+    pub fn run(&mut self, sim: &mut Simulation, millis: u64) {
+        sim.run(millis, |s| {
             self.send(s);
             self.measure(s);
         });
     }
 
-    fn send(&mut self, steps: &mut Steps) {
+    fn send(&mut self, sim: &mut Simulation) {
         for backlog in &self.backlogs {
             for entry in backlog.entries {
-                if steps.dead.contains(entry) || steps.frozen.contains(entry) {
+                if sim.dead.contains(entry) || sim.paused.contains(entry) {
                     continue;
                 }
-                while steps.waiting(*entry, backlog.account, "drafting") < backlog.depth {
+                while sim.queue_length(*entry, backlog.account, "drafting") < backlog.depth {
                     let cost = COSTS[self.calls % COSTS.len()];
                     self.calls += 1;
-                    let sent = steps.arrive(*entry, backlog.account, "drafting", cost, 600_000);
+                    let sent = sim.submit_call(*entry, backlog.account, "drafting", cost, 600_000);
                     assert_eq!(sent, Ok(()), "{}", backlog.account);
                 }
             }
         }
     }
 
-    fn measure(&mut self, steps: &Steps) {
+    fn measure(&mut self, sim: &Simulation) {
         let services = self
             .backlogs
             .iter()
             .zip(&self.base)
-            .map(|(b, base)| (steps.got(b.account) - base) / b.share);
+            .map(|(b, base)| (sim.received_cost(b.account) - base) / b.share);
         let (least, most) = services.fold((f64::INFINITY, f64::NEG_INFINITY), |(l, m), s| {
             (l.min(s), m.max(s))
         });
@@ -141,20 +145,20 @@
 /// `staleness` is the age of the oldest counter in milliseconds; each slot serves one unit of cost in
 /// a millisecond.
 pub fn gap_bound(slots: u16, staleness: u64, least_share: f64) -> f64 {
-    f64::from(slots) * (LARGEST_COST + staleness as f64) / least_share
+    f64::from(slots) * (MAX_COST_MS + staleness as f64) / least_share
 }
 
 /// Calls that arrive by a fixed sequence, whatever becomes of them.
 #[derive(Debug, Clone)]
-pub struct Stream {
+pub struct ArrivalProcess {
     state: u64,
     next: f64,
     /// Mean calls a millisecond.
     pub rate: f64,
 }
 
-impl Stream {
-    /// A stream with mean `rate` calls a millisecond.
+impl ArrivalProcess {
+    /// A arrivals with mean `rate` calls a millisecond.
     pub fn new(rate: f64) -> Self {
         Self {
             state: 1,
