--- a/crates/hawthornmill-net/src/platform.rs
+++ b/crates/hawthornmill-net/src/platform.rs
@@ -53,7 +53,7 @@
         self.lock().reader = Some(now);
     }
 
-    /// Returns whether this instance reached the platform within [`REACHABLE_TTL`].
+    /// Returns whether this instance reached the platform within `REACHABLE_TTL`.
     pub fn is_reachable(&self, now: Instant) -> bool {
         let own = self.lock().own;
         own.is_some_and(|at| now.duration_since(at) < REACHABLE_TTL)
--- a/crates/hawthornmill-net/src/telemetry/mod.rs
+++ b/crates/hawthornmill-net/src/telemetry/mod.rs
@@ -14,7 +14,7 @@
 /// Logs, spans and metrics of one process.
 #[derive(Debug)]
 pub struct Telemetry {
-    /// SpanRecorder of calls.
+    /// Spans of calls.
     pub spans: SpanRecorder,
     /// Instruments.
     pub instruments: Instruments,
