--- a/crates/hawthornmill-net/src/api/accounting.rs
+++ b/crates/hawthornmill-net/src/api/accounting.rs
@@ -21,7 +21,7 @@
 /// The slot of an attempt in progress.
 ///
 /// If the caller disconnects, the attempt is dropped at any point, possibly after bytes were sent.
-/// The drop then charges the slot and writes its record, so that the server's work is accounted for.
+/// The drop then charges the slot and writes its record, so that the server's work is counted.
 #[derive(Debug)]
 pub struct AttemptGuard<'a> {
     fleet: &'a Arc<Fleet>,
@@ -47,7 +47,7 @@
         self.slot.as_mut().expect("the slot is there until the end")
     }
 
-    /// Returns the slot to a caller that calls [`finish`] with it.
+    /// Takes the slot out; the caller must pass it on to [`finish`].
     ///
     /// # Panics
     /// Never, as for [`Self::slot`].
--- a/crates/hawthornmill-net/src/api/body.rs
+++ b/crates/hawthornmill-net/src/api/body.rs
@@ -7,8 +7,8 @@
 
 /// Bytes over the limit that are read and discarded before the request is rejected.
 ///
-/// If the connection were closed while the caller is still sending, the caller's TCP stack would reset
-/// it and discard the response: the caller would see a connection error instead of the rejection.
+/// If the connection were closed while the caller is still sending, the caller's TCP stack would
+/// discard the response with it: the caller would see a connection error instead of the rejection.
 const MAX_DISCARD_BYTES: usize = 16 << 20;
 
 /// Reads a body of at most `limit` bytes.
--- a/crates/hawthornmill-net/src/api/call.rs
+++ b/crates/hawthornmill-net/src/api/call.rs
@@ -97,8 +97,9 @@
     }
 }
 
-/// Checks the limits of the account's queue before the body is read, so that the body of a call which
-/// the queue has no room for takes no memory.
+/// Checks the limits of the account's queue before the body is read.
+///
+/// The body of a call for which the queue has no room then takes no memory.
 fn check_queue_limits(fleet: &Fleet, request: &Request, admitted: &Admitted) -> Result<(), Code> {
     let length = request.header("content-length");
     let arrival = entry::Arrival {
@@ -156,10 +157,10 @@
     problem
 }
 
-/// Adjusts a rejection on arrival, before anything was sent or forwarded, if the call has a key.
+/// Sets the outcome of a call with a key that is rejected before anything was sent or forwarded.
 ///
-/// The call may be a duplicate of one that ran. Only the home of the key knows, and it was not asked,
-/// so the response reports that this copy was not run and leaves the outcome of the key unknown.
+/// The call may be a duplicate of one that ran. Only the home of the key knows, and it was not
+/// asked, so the response reports only this copy as not run and the outcome of the key as unknown.
 fn with_key_outcome(fleet: &Fleet, request: &Request, mut problem: Problem) -> Problem {
     if request.headers().contains_key(idempotency::KEY_HEADER) {
         problem.outcome = Outcome::Unknown;
--- a/crates/hawthornmill-net/src/api/idempotency.rs
+++ b/crates/hawthornmill-net/src/api/idempotency.rs
@@ -1,8 +1,9 @@
 //! Calls that run at most once, identified by an idempotency key.
 //!
 //! The home of a key is the instance that issued its prefix. Only the home runs the call of a key,
-//! once; every other instance forwards the call to it. The home records the key before the first byte
-//! can be sent, and runs the call in its own task, so that it goes on if the caller disconnects.
+//! once; every other instance forwards the call to it. The home records the key before the first
+//! byte can be sent, and runs the call in its own task, so that it continues if the caller
+//! disconnects.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -114,7 +115,7 @@
     }
     let forwarded = request.headers().contains_key(FORWARDED_HEADER);
     if prefix.home == own_id || forwarded {
-        // The key was issued by an earlier run of the home, and its state was lost with that process.
+        // The key was issued by an earlier run of the home; its state was lost with that process.
         return Err(home_unreachable(&id));
     }
     forward(fleet, &call, key, prefix).await
@@ -216,7 +217,7 @@
     id: &str,
 ) -> Result<Response, Problem> {
     let wait_until = tokio::time::Instant::from_std(deadline + RESULT_GRACE);
-    // The sender sends nothing and is dropped when the call ends, so an error is the expected event.
+    // The sender sends nothing and is dropped when the call ends, so an error means the end.
     let _end = tokio::time::timeout_at(wait_until, ended.changed()).await;
     let claim = fleet.home.lock().table.get(account_key, digest);
     match claim {
@@ -240,7 +241,7 @@
                 .with_attempt(Outcome::NotRun)
                 .with_detail("the key was used for a different request"))
         }
-        // The table had no room for the key, so nothing was started, and it keeps rejecting the key.
+        // The table had no room for the key, so nothing was started; it keeps rejecting the key.
         ClaimResult::Full => {
             Err(Problem::not_run(Code::KeyTableFull, id).with_retry_after(Duration::from_secs(1)))
         }
--- a/crates/hawthornmill-net/src/api/mod.rs
+++ b/crates/hawthornmill-net/src/api/mod.rs
@@ -1,9 +1,9 @@
 //! The HTTP API of an instance.
 //!
 //! [`routes`] lists the endpoints. [`admission`] validates a request before it uses any resources,
-//! [`call`] takes it through queue, slot and server, [`stream`] forwards the response as it arrives,
-//! [`accounting`] charges the call and writes its usage record, [`idempotency`] runs calls of services
-//! without retries at most once per key, and [`problem`] writes every error response.
+//! [`call`] takes it through queue, slot and server, [`stream`] forwards the response as it
+//! arrives, [`accounting`] charges the call and writes its usage record, [`idempotency`] runs calls
+//! of services without retries at most once per key, and [`problem`] writes every error response.
 
 pub mod accounting;
 pub mod addresses;
--- a/crates/hawthornmill-net/src/api/stream.rs
+++ b/crates/hawthornmill-net/src/api/stream.rs
@@ -231,8 +231,8 @@
 
 impl Drop for ResponseStream {
     fn drop(&mut self) {
-        // The caller disconnected. Dropping the source closes the server's connection, which cancels
-        // the call.
+        // The caller disconnected. Dropping the source closes the connection to the server, which
+        // cancels the call.
         self.finish_attempt(Code::UpstreamFailed.number(), Outcome::Unknown);
     }
 }
--- a/tests/testsuite/access.rs
+++ b/tests/testsuite/access_control.rs
@@ -1,4 +1,4 @@
-//! Who may do what: peers' frames, tokens, the status page, another account's keys.
+//! Access control: frames of peers, tokens, the status page and idempotency keys.
 
 use std::io::{Read, Write};
 use std::net::{TcpStream, UdpSocket};
@@ -13,17 +13,22 @@
 
 use crate::{ROUTER, block_on};
 
-/// The key of the stand-in sites.
-fn key() -> [u8; 32] {
+/// The peer key of the test sites.
+fn fleet_key() -> [u8; 32] {
     *blake3::hash(b"hawthornmill demo").as_bytes()
 }
 
-fn ghost(channel: u64) -> Sealer {
-    Sealer::new(key(), InstanceId::of("ghost"), Incarnation(1), channel)
+fn nonmember_sealer(channel: u64) -> Sealer {
+    Sealer::new(
+        fleet_key(),
+        InstanceId::of("nonmember"),
+        Incarnation(1),
+        channel,
+    )
 }
 
-/// Frames that each router refused.
-async fn refused(site: &Site) -> Vec<u64> {
+/// Number of frames that each router refused.
+async fn refused_frames(site: &Site) -> Vec<u64> {
     let statuses = site.statuses().await;
     statuses
         .iter()
@@ -31,17 +36,17 @@
         .collect()
 }
 
-/// Waits a few seconds for the count of refused frames; what it is then is the caller's to judge.
-async fn settled(site: &Site, expected: &[u64]) -> Vec<u64> {
+/// Waits up to five seconds for the counts to be `expected`, and returns what they are then.
+async fn wait_for_refused_frames(site: &Site, expected: &[u64]) -> Vec<u64> {
     for _ in 0..50 {
-        if refused(site).await == expected {
+        if refused_frames(site).await == expected {
             break;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    // More must not come either.
+    // Detects frames that are counted beyond the expected number.
     tokio::time::sleep(Duration::from_millis(200)).await;
-    refused(site).await
+    refused_frames(site).await
 }
 
 async fn call(site: &Site, router: usize, token: &str) -> Option<Answer> {
@@ -53,7 +58,7 @@
     send(request).await
 }
 
-async fn serves(site: &Site) -> bool {
+async fn all_routers_serve(site: &Site) -> bool {
     for router in 0..site.routers.len() {
         let answer = call(site, router, "token-big").await;
         if answer.is_none_or(|a| a.status != 200) {
@@ -63,94 +68,104 @@
     true
 }
 
-/// Somebody on the network sends garbage, frames under a wrong key, and frames recorded earlier or
-/// for another router. All must be counted and dropped, and callers must notice nothing.
+/// An attacker on the network sends invalid datagrams, frames sealed with a wrong key, and frames
+/// recorded earlier or sent to another router. All must be counted and dropped without affecting
+/// calls.
 #[test]
-fn garbage_and_replayed_datagrams_are_dropped_and_the_fleet_serves_on() {
+fn invalid_and_replayed_datagrams_are_dropped() {
     block_on(async {
         let site = small_site(ROUTER, 2).await;
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
         let peers: Vec<&str> = site.routers.iter().map(|r| &*r.listed.peer).collect();
         let first = InstanceId::of("r1").0;
-        let recorded = ghost(first).seal(&Message::Probe(1)).expect("it fits");
+        let recorded = nonmember_sealer(first)
+            .seal(&Message::Probe(1))
+            .expect("the message fits a frame");
         let mut forger = Sealer::new([9; 32], InstanceId::of("r2"), Incarnation(u64::MAX), first);
-        let forged = forger.seal(&Message::Probe(1)).expect("it fits");
-        let throw = |frame: &[u8], to: &str| {
-            let sent = socket.send_to(frame, to).expect("loopback takes it");
+        let forged = forger
+            .seal(&Message::Probe(1))
+            .expect("the message fits a frame");
+        let send_frame = |frame: &[u8], to: &str| {
+            let sent = socket.send_to(frame, to).expect("loopback accepts it");
             assert_eq!(sent, frame.len());
         };
 
         for length in 0..50 {
-            throw(&vec![7; length * 20], peers[0]);
+            send_frame(&vec![7; length * 20], peers[0]);
         }
-        throw(&forged, peers[0]);
-        throw(&recorded, peers[0]);
-        throw(&recorded, peers[0]);
-        throw(&recorded, peers[1]);
-
-        // 50 of garbage, the forged one and the second copy; at the other router the only copy.
-        assert_eq!(settled(&site, &[52, 1]).await, [52, 1]);
-        assert!(serves(&site).await);
+        send_frame(&forged, peers[0]);
+        send_frame(&recorded, peers[0]);
+        send_frame(&recorded, peers[0]);
+        send_frame(&recorded, peers[1]);
+
+        // 50 invalid frames, the forged one and the replay; the other router gets one copy.
+        assert_eq!(wait_for_refused_frames(&site, &[52, 1]).await, [52, 1]);
+        assert!(all_routers_serve(&site).await);
         let log = std::fs::read_to_string(&site.routers[0].log).unwrap_or_default();
         let lines = log.matches("frame dropped").count();
-        assert!((1..10).contains(&lines), "{lines} lines for 52 frames");
+        assert!((1..10).contains(&lines), "{lines} log lines for 52 frames");
         site.stop().await;
     });
 }
 
-/// The same over TCP: garbage, a length beyond the bound, and frames recorded on an earlier
-/// connection. The connection is closed, and others go on.
+/// Over TCP, an attacker sends invalid frames, a length above the limit, and frames recorded on an
+/// earlier connection. That connection must be closed without affecting others.
 #[test]
-fn garbage_and_replayed_streams_are_dropped_and_the_fleet_serves_on() {
+fn invalid_and_replayed_tcp_frames_are_dropped() {
     block_on(async {
         let site = small_site(ROUTER, 2).await;
         let connect = || {
-            let mut stream = TcpStream::connect(&*site.routers[0].listed.peer).expect("it listens");
+            let mut stream =
+                TcpStream::connect(&*site.routers[0].listed.peer).expect("the router listens");
             let mut nonce = [0; 8];
-            stream.read_exact(&mut nonce).expect("a nonce comes first");
+            stream
+                .read_exact(&mut nonce)
+                .expect("the router sends a nonce first");
             (stream, u64::from_le_bytes(nonce))
         };
-        let throw = |stream: &mut TcpStream, frame: &[u8]| {
+        let send_frame = |stream: &mut TcpStream, frame: &[u8]| {
             let length = (frame.len() as u32).to_be_bytes();
-            stream.write_all(&length).expect("loopback takes it");
-            stream.write_all(frame).expect("loopback takes it");
+            stream.write_all(&length).expect("loopback accepts it");
+            stream.write_all(frame).expect("loopback accepts it");
         };
         let (mut first, nonce) = connect();
-        let recorded = ghost(nonce).seal(&Message::Probe(1)).expect("it fits");
+        let recorded = nonmember_sealer(nonce)
+            .seal(&Message::Probe(1))
+            .expect("the message fits a frame");
 
-        throw(&mut first, &recorded);
-        throw(&mut first, &recorded);
-        throw(&mut connect().0, &recorded);
-        throw(&mut connect().0, &[7; 200]);
-        let (mut long, _) = connect();
-        long.write_all(&[255; 4]).expect("loopback takes it");
+        send_frame(&mut first, &recorded);
+        send_frame(&mut first, &recorded);
+        send_frame(&mut connect().0, &recorded);
+        send_frame(&mut connect().0, &[7; 200]);
+        let (mut oversized, _) = connect();
+        oversized.write_all(&[255; 4]).expect("loopback accepts it");
 
-        assert_eq!(settled(&site, &[4, 0]).await, [4, 0]);
+        assert_eq!(wait_for_refused_frames(&site, &[4, 0]).await, [4, 0]);
         let closed = first.read(&mut [0; 1]).is_ok_and(|read| read == 0);
         assert!(closed, "the connection of a replay stays open");
-        assert!(serves(&site).await);
+        assert!(all_routers_serve(&site).await);
         site.stop().await;
     });
 }
 
-/// A caller asks a router for its status page. It must not learn how much other accounts use or
-/// wait; only the operators' token opens that.
+/// A caller requests a router's status page. It must not learn how much service other accounts use
+/// or how many of their calls wait; only the operators' token shows that.
 #[test]
-fn the_status_page_shows_accounts_to_operators_only() {
+fn status_page_shows_accounts_to_operators_only() {
     block_on(async {
         let mut plan = SitePlan::new(&small_fleet().text(), DOMAINS, 1);
         let hash = blake3::hash(b"operators");
         plan.extra = format!("[status]\ntoken = {hash}\n").into();
         let site = start(ROUTER, plan).await;
-        assert!(serves(&site).await);
+        assert!(all_routers_serve(&site).await);
         let url = format!("http://{}/v1/status", site.routers[0].listed.http);
         let client = Client::new();
 
-        let open = send(client.get(&url)).await.expect("it answers");
+        let open = send(client.get(&url)).await.expect("the router responds");
         let account = send(client.get(&url).bearer_auth("token-big")).await;
-        let account = account.expect("it answers");
+        let account = account.expect("the router responds");
         let operator = send(client.get(&url).bearer_auth("operators")).await;
-        let operator = operator.expect("it answers");
+        let operator = operator.expect("the router responds");
 
         assert!(open.json()["revision"].is_u64());
         for answer in [&open, &account] {
@@ -162,18 +177,22 @@
     });
 }
 
-/// An account has seen the key of another's booking, in a proxy's log for instance. Sent under its
-/// own token, the key must bring neither the other's answer nor a word about the other's call.
+/// An account obtained the idempotency key of another account's call, for example from a proxy's
+/// log. Sent with its own token, the key must return neither the other's response nor anything
+/// about the other's call.
 #[test]
-fn a_key_of_another_account_opens_nothing() {
+fn key_of_another_account_reveals_nothing() {
     block_on(async {
         let site = small_site(ROUTER, 1).await;
         let http = &site.routers[0].listed.http;
         let client = Client::new();
         let addresses = send(client.get(format!("http://{http}/v1/addresses"))).await;
-        let prefix = addresses.expect("it answers").json()["key_prefix"].clone();
-        let key = format!("{}.1", prefix.as_str().expect("a prefix is there"));
-        let book = |account: &str| {
+        let prefix = addresses.expect("the router responds").json()["key_prefix"].clone();
+        let key = format!(
+            "{}.1",
+            prefix.as_str().expect("the response has a key prefix")
+        );
+        let call_booking = |account: &str| {
             client
                 .post(format!("http://{http}/v1/call/booking/run"))
                 .bearer_auth(format!("token-{account}"))
@@ -181,22 +200,28 @@
                 .body(format!("{{\"tag\":\"{account}/1\"}}"))
         };
 
-        let own = send(book("small-1")).await.expect("it answers");
-        let other = send(book("small-2")).await.expect("it answers");
-        let again = send(book("small-1")).await.expect("it answers");
+        let original = send(call_booking("small-1"))
+            .await
+            .expect("the router responds");
+        let other = send(call_booking("small-2"))
+            .await
+            .expect("the router responds");
+        let again = send(call_booking("small-1"))
+            .await
+            .expect("the router responds");
 
-        assert_eq!((own.status, other.status), (200, 200));
-        assert_eq!(again.text, own.text);
-        assert_ne!(other.text, own.text);
+        assert_eq!((original.status, other.status), (200, 200));
+        assert_eq!(again.text, original.text);
+        assert_ne!(other.text, original.text);
         assert!(other.text.contains("small-2/1"), "{}", other.text);
         site.stop().await;
     });
 }
 
-/// Logs go to collectors that many people read. At the finest level and with every span recorded,
-/// no token, key or hash of one may stand in them, nor in the status page.
+/// Many people can read collected logs. Even at the trace level with every span recorded, neither
+/// the logs nor the status page may contain a token, a key or the hash of one.
 #[test]
-fn no_secret_stands_in_logs_or_status() {
+fn logs_and_status_contain_no_secrets() {
     block_on(async {
         let mut plan = SitePlan::new(&small_fleet().text(), DOMAINS, 2);
         plan.extra = "[telemetry]\nlevel = trace\nspans = 1\nmetrics_ms = 200\n".into();
--- a/tests/testsuite/path.rs
+++ b/tests/testsuite/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path through real processes.
+//! Calls from end to end, through real processes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,14 +13,14 @@
                        [caller small-1]\nservice = drafting\nrate = 20\ntokens = 20\n\
                        [caller small-2]\nservice = booking\nrate = 10\npath = /run\nkeyed = yes\n";
 
-/// Several accounts call through three routers, some of them a service that must not repeat. Every
-/// caller must get its own whole answer, and every booking must be made once.
+/// Several accounts call through three routers, some of them a service without retries. Every
+/// caller must get its own complete response, and every call with a key must run exactly once.
 #[test]
-fn calls_are_answered_through_several_routers() {
+fn calls_complete_through_several_routers() {
     block_on(async {
         let site = small_site(ROUTER, 3).await;
         let plan = Plan {
-            callers: parse("callers", CALLERS).expect("the plan is good"),
+            callers: parse("callers", CALLERS).expect("the plan is valid"),
             time: Duration::from_secs(3),
             seed: 1,
         };
@@ -31,13 +31,13 @@
         let unfinished: Vec<_> = stories.iter().filter(|s| !s.whole()).collect();
         assert!(summary.calls > 100, "{summary:?}");
         assert!(unfinished.is_empty(), "{unfinished:?}");
-        let books = site
+        let ledgers = site
             .servers
             .iter()
             .map(|s| s.standin.ledger().lock().clone());
         assert!(
-            books
-                .flat_map(|b| b.runs)
+            ledgers
+                .flat_map(|ledger| ledger.runs)
                 .all(|(_, runs)| runs.started == 1)
         );
         site.stop().await;
--- a/tests/testsuite/bad_input.rs
+++ b/tests/testsuite/invalid_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear numbered error, and nothing is lost by it.
+//! Invalid input is rejected with a numbered error and without side effects.
 
 use std::process::Command;
 
@@ -15,7 +15,7 @@
         .body("{\"tag\":\"big/1\",\"tokens\":3}")
 }
 
-fn line(answer: Option<&Answer>) -> String {
+fn summarize(answer: Option<&Answer>) -> String {
     let Some(answer) = answer else {
         return "no answer".into();
     };
@@ -27,18 +27,18 @@
 }
 
 #[test]
-fn every_bad_call_gets_its_own_code() {
+fn each_invalid_call_gets_its_own_code() {
     block_on(async {
         let site = small_site(ROUTER, 1).await;
         let http = site.routers[0].listed.http.clone();
         let client = Client::new();
-        let good = || call(&client, &http, "drafting/generate", "token-big");
+        let valid_call = || call(&client, &http, "drafting/generate", "token-big");
         let calls = [
-            good().header("hawthornmill-timeout-ms", "-5"),
-            good().header("hawthornmill-timeout-ms", "soon"),
-            good().header("hawthornmill-cost-hint", "NaN"),
-            good().header("x-long", "x".repeat(20_000)),
-            good().body("x".repeat(5_000_000)),
+            valid_call().header("hawthornmill-timeout-ms", "-5"),
+            valid_call().header("hawthornmill-timeout-ms", "soon"),
+            valid_call().header("hawthornmill-cost-hint", "NaN"),
+            valid_call().header("x-long", "x".repeat(20_000)),
+            valid_call().body("x".repeat(5_000_000)),
             call(&client, &http, "drafting/generate", "wrong"),
             call(&client, &http, "nothing/generate", "token-big"),
             call(&client, &http, "drafting/generate", "token-stranger"),
@@ -49,7 +49,7 @@
         let mut lines = Vec::new();
 
         for call in calls {
-            lines.push(line(send(call).await.as_ref()));
+            lines.push(summarize(send(call).await.as_ref()));
         }
 
         insta::assert_snapshot!(lines.join("\n"), @r#"
@@ -65,16 +65,18 @@
         400 code 3011 outcome "not_run": "malformed or foreign idempotency key"
         404 code 3021 outcome "not_run": "no such call"
         "#);
-        let after = send(good()).await.expect("good calls are still answered");
+        let after = send(valid_call())
+            .await
+            .expect("valid calls are still served");
         assert_eq!(after.status, 200);
         site.stop().await;
     });
 }
 
 #[test]
-fn a_port_in_use_is_named() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let address = taken.local_addr().expect("it is bound");
+fn port_in_use_is_reported() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port is free");
+    let address = listener.local_addr().expect("it is bound");
     let path = std::env::temp_dir().join(format!("hawthornmill-port-{}.ini", std::process::id()));
     let text = format!(
         "[instance]\nname = r1\ndomain = a\nregion = north\nhttp = {address}\n\
@@ -86,20 +88,20 @@
     let output = Command::new(ROUTER).arg("--config").arg(&path).output();
 
     let output = output.expect("the program starts");
-    let words = String::from_utf8_lossy(&output.stderr);
+    let stderr = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2));
-    assert!(words.contains("error 1008"), "{words}");
+    assert!(stderr.contains("error 1008"), "{stderr}");
     std::fs::remove_file(&path).expect("the file is there");
 }
 
-/// An operator publishes a revision with a fault. The last good one must stay in force, and the next
-/// good one must be taken.
+/// An operator publishes an invalid revision. The last valid one must stay in force, and the next
+/// valid one must be applied.
 #[test]
-fn a_refused_revision_leaves_the_last_one_in_force() {
+fn rejected_revision_leaves_last_one_in_force() {
     block_on(async {
         let site = small_site(ROUTER, 2).await;
-        let bad = Values::from([("fleet".into(), "[account x]\n".into())]);
-        site.platform.publish(bad);
+        let invalid = Values::from([("fleet".into(), "[account x]\n".into())]);
+        site.platform.publish(invalid);
         tokio::time::sleep(std::time::Duration::from_millis(500)).await;
         let during: Vec<_> = site
             .statuses()
@@ -108,9 +110,9 @@
             .map(|s| s["revision"].clone())
             .collect();
 
-        let mut good = small_fleet().values();
-        good.insert("fleet".into(), site.text.clone());
-        site.platform.publish_raw(manifest(7, &good), good);
+        let mut valid = small_fleet().values();
+        valid.insert("fleet".into(), site.text.clone());
+        site.platform.publish_raw(manifest(7, &valid), valid);
         tokio::time::sleep(std::time::Duration::from_secs(2)).await;
 
         let after: Vec<_> = site
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,19 +1,21 @@
 //! Every test of hawthornmill, in one binary.
 
-mod access;
-mod bad_input;
+mod access_control;
+mod at_most_once;
 mod bad_servers;
 mod causes;
 mod check;
 mod configuration;
 mod conservation;
 mod demo;
+mod end_to_end;
 mod errors;
 mod explain;
 mod fleet_shares;
 mod frames;
 mod gateway;
 mod histories;
+mod invalid_input;
 mod keys;
 mod labels;
 mod leave;
@@ -21,11 +23,10 @@
 mod liveness;
 mod membership;
 mod metrics;
-mod once;
 mod overload;
 mod owner_stability;
-mod path;
 mod random_input;
+mod response_integrity;
 mod retries;
 mod routing;
 mod settings;
@@ -33,7 +34,6 @@
 mod spans;
 mod standins;
 mod starvation;
-mod whole;
 
 /// The router program under test.
 const ROUTER: &str = env!("CARGO_BIN_EXE_hawthornmill-router");
--- a/tests/testsuite/whole.rs
+++ b/tests/testsuite/response_integrity.rs
@@ -1,4 +1,4 @@
-//! Every caller's own whole answer, from servers that misbehave and to callers that are slow.
+//! Callers get their own complete response, from faulty servers and also if they read slowly.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 
 const TAG: &str = "big/1";
 
-/// One router; `rule` stands in the section of the service.
-async fn site(rule: &str) -> Site {
+/// Starts one router, with `rule` added to the service's section of the configuration.
+async fn start_site(rule: &str) -> Site {
     let section = format!("[service drafting]\n{rule}\n");
     let text = small_fleet()
         .text()
@@ -33,9 +33,9 @@
     })
 }
 
-fn runs(site: &Site) -> (u32, u32) {
-    let books = engines(site).map(|e| e.ledger.lock().runs.get(TAG).cloned().unwrap_or_default());
-    books.fold((0, 0), |(s, f), r| (s + r.started, f + r.finished))
+fn run_counts(site: &Site) -> (u32, u32) {
+    let runs = engines(site).map(|e| e.ledger.lock().runs.get(TAG).cloned().unwrap_or_default());
+    runs.fold((0, 0), |(s, f), r| (s + r.started, f + r.finished))
 }
 
 fn call_without_token(site: &Site, path: &str, body: String) -> reqwest::RequestBuilder {
@@ -58,7 +58,7 @@
     call(site, "/generate", body)
 }
 
-fn expected(tokens: u32) -> String {
+fn expected_body(tokens: u32) -> String {
     let mut text: String = (0..tokens).map(|n| line(TAG, n)).collect();
     text.push_str(&last_line(&Generate {
         tag: TAG.into(),
@@ -68,31 +68,34 @@
     text
 }
 
-/// Bytes number 0 to `length`, as the engine makes them.
-fn bytes_call(length: usize, chunk: usize) -> String {
+/// Body of a request for the engine's bytes 0 to `length`.
+fn bytes_request(length: usize, chunk: usize) -> String {
     format!("{{\"tag\":\"{TAG}\",\"bytes\":{length},\"chunk\":{chunk}}}")
 }
 
-/// An engine's answer breaks off, ends without its last line, or falls silent. The caller gets a
-/// part of it, and must see that it is a part: a draft that lost its end looks like a short draft.
+/// An engine's response is cut off, ends without its last line, or stalls. The caller must see that
+/// what it got is truncated, since a truncated text looks like a short one.
 #[test]
-fn a_part_of_an_answer_is_never_taken_for_the_whole() {
+fn truncated_response_is_not_forwarded_as_complete() {
     let faults = [EngineFault::Cut, EngineFault::End, EngineFault::Stall];
-    block_on(meet("complete = done-line\nstall_ms = 300", &faults));
+    block_on(check_faults(
+        "complete = done-line\nstall_ms = 300",
+        &faults,
+    ));
 }
 
-/// The same without a rule of what is whole: an answer in chunks whose connection broke must not
-/// end in order at the caller, as the HTTP library would end it.
+/// Without a rule for completeness, a chunked response whose connection broke must not end normally
+/// at the caller, as the HTTP library would end it.
 #[test]
-fn a_broken_connection_shows_at_the_caller() {
-    block_on(meet(
+fn broken_connection_is_visible_to_caller() {
+    block_on(check_faults(
         "stall_ms = 300",
         &[EngineFault::Cut, EngineFault::Stall],
     ));
 }
 
-async fn meet(rule: &str, faults: &[fn(usize) -> EngineFault]) {
-    let site = site(rule).await;
+async fn check_faults(rule: &str, faults: &[fn(usize) -> EngineFault]) {
+    let site = start_site(rule).await;
     for fault in faults {
         engines(&site).for_each(|e| e.misbehave(&[fault(700)]));
 
@@ -103,11 +106,14 @@
         ];
 
         let cut = answers.iter().filter(|a| a.is_none()).count();
-        let whole = answers.iter().flatten().filter(|a| a.text == expected(100));
+        let complete = answers
+            .iter()
+            .flatten()
+            .filter(|a| a.text == expected_body(100));
         assert_eq!(
-            cut + whole.count(),
+            cut + complete.count(),
             3,
-            "{:?} was passed on as whole",
+            "{:?} was forwarded as complete",
             fault(700)
         );
         assert!(cut > 0);
@@ -119,36 +125,36 @@
     site.stop().await;
 }
 
-/// The same faults where the service says that its answers can be resumed: the caller must get
-/// every byte once, in order, and see nothing of the break.
+/// If the service allows its responses to be resumed, the caller of an interrupted response must
+/// get every byte once and in order, without noticing the interruption.
 #[test]
-fn a_broken_answer_is_resumed_from_where_it_broke() {
+fn interrupted_response_is_resumed() {
     block_on(async {
-        let site = site("complete = done-line\nresume = from\nstall_ms = 300").await;
+        let site = start_site("complete = done-line\nresume = from\nstall_ms = 300").await;
         for fault in [EngineFault::Cut, EngineFault::End, EngineFault::Stall] {
             engines(&site).for_each(|e| e.misbehave(&[fault(701)]));
-            let before = runs(&site);
+            let before = run_counts(&site);
 
             let answer = send(generate(&site, 100)).await;
 
-            assert_eq!(answer.map(|a| a.text), Some(expected(100)));
-            let after = runs(&site);
-            assert!(after.0 - before.0 >= 2, "it was resumed");
+            assert_eq!(answer.map(|a| a.text), Some(expected_body(100)));
+            let after = run_counts(&site);
+            assert!(after.0 - before.0 >= 2, "the response was not resumed");
             assert_eq!(after.1 - before.1, 1);
         }
         site.stop().await;
     });
 }
 
-/// Engines answer with another request's id. The answer must not reach the caller, and a call that
-/// may be repeated is sent again.
+/// Engines respond with the ID of another request. The response must not reach the caller, and a
+/// call that may be retried is sent again.
 #[test]
-fn an_answer_for_another_request_is_not_passed_on() {
+fn response_to_another_request_is_not_forwarded() {
     block_on(async {
-        let site = site("").await;
+        let site = start_site("").await;
         engines(&site).for_each(|e| e.misbehave(&[EngineFault::WrongId; 4]));
 
-        let crossed = send(generate(&site, 10)).await.expect("an answer");
+        let crossed = send(generate(&site, 10)).await.expect("a response");
 
         assert_eq!(crossed.json()["code"], 3018);
         assert_eq!(crossed.json()["outcome"], "unknown");
@@ -157,35 +163,35 @@
     });
 }
 
-/// Every slot is taken, a lab's call waits, and gets one. The engine's answer can't be used; the
-/// slot goes to others, and the call's deadline passes while it waits to be tried again. That last
-/// wait ran nothing, but the call was run before it: `not_run` would be false.
+/// All slots are in use, and a call gets one after waiting. The engine's response is for another
+/// request, so the call waits for a slot again, while others hold it, until its deadline passes.
+/// This last wait ran nothing, but the first attempt did run the call, so `not_run` would be wrong.
 #[test]
-fn a_refused_retry_does_not_say_that_the_call_was_not_run() {
+fn rejected_retry_does_not_report_not_run() {
     block_on(async {
-        let site = site("").await;
-        // Twelve slots, and as many calls behind them.
-        let mut long = Vec::new();
+        let site = start_site("").await;
+        // Takes all twelve slots; further calls wait behind them.
+        let mut occupying = Vec::new();
         for _ in 0..12 {
-            long.push(generate(&site, 20_000).send().await.expect("an answer"));
+            occupying.push(generate(&site, 20_000).send().await.expect("a response"));
         }
-        let more = join_all((0..6).map(|_| generate(&site, 20_000).send()));
+        let queued = join_all((0..6).map(|_| generate(&site, 20_000).send()));
         let body = "{\"tag\":\"small-1/1\",\"tokens\":5}".to_owned();
-        let lab = call_without_token(&site, "/generate", body)
+        let retried = call_without_token(&site, "/generate", body)
             .bearer_auth("token-small-1")
             .header("hawthornmill-timeout-ms", "1500");
-        let free = async {
+        let free_slot = async {
             tokio::time::sleep(Duration::from_millis(500)).await;
             engines(&site).for_each(|e| e.misbehave(&[EngineFault::WrongId]));
-            long.pop();
+            occupying.pop();
         };
 
         let answer = tokio::select! {
-            (answer, ()) = async { tokio::join!(send(lab), free) } => answer,
-            _ = more => panic!("nothing ends"),
+            (answer, ()) = async { tokio::join!(send(retried), free_slot) } => answer,
+            _ = queued => panic!("no queued call ends"),
         };
 
-        let json = answer.expect("an answer").json();
+        let json = answer.expect("a response").json();
         let started = engines(&site).any(|e| e.ledger.lock().runs.contains_key("small-1/1"));
         assert!(started);
         assert_eq!(json["outcome"], "unknown");
@@ -193,18 +199,18 @@
     });
 }
 
-/// Answers of nothing, one byte, several megabytes, and thousands of single bytes, sixteen of them
-/// at the same time over one router: every caller gets its own, byte for byte.
+/// Sixteen concurrent responses through one router, empty, of one byte, of 5 MiB, and of 8000
+/// single-byte chunks: every caller must get its own, byte for byte.
 #[test]
-fn answers_of_every_size_come_through_whole_side_by_side() {
+fn concurrent_responses_of_all_sizes_are_complete() {
     block_on(async {
-        let site = site("").await;
+        let site = start_site("").await;
         let shapes = [(0, 1), (1, 1), (5 << 20, 64 << 10), (8000, 1)];
         let calls = (0..16).map(|n| shapes[n % 4]).map(|(length, chunk)| {
-            let request = call(&site, "/bytes", bytes_call(length, chunk));
+            let request = call(&site, "/bytes", bytes_request(length, chunk));
             async move {
-                let answer = request.send().await.expect("an answer");
-                (length, answer.bytes().await.expect("a whole body"))
+                let answer = request.send().await.expect("a response");
+                (length, answer.bytes().await.expect("a complete body"))
             }
         });
 
@@ -216,34 +222,34 @@
     });
 }
 
-/// A caller closes its connection in the middle of an answer. The engine must stop at once: what
-/// it would make for nobody is capacity that others wait for.
+/// A caller closes its connection during a response. The engine must stop at once, since others
+/// wait for the capacity that the rest of the response would use.
 #[test]
-fn a_caller_that_goes_away_cancels_the_engines_work() {
+fn disconnected_caller_cancels_engine_call() {
     block_on(async {
-        let site = site("").await;
-        let answer = generate(&site, 20_000).send().await.expect("an answer");
+        let site = start_site("").await;
+        let answer = generate(&site, 20_000).send().await.expect("a response");
         let mut chunks = answer.bytes_stream();
         let first = chunks.next().await;
         assert!(first.is_some_and(|c| c.is_ok()));
 
         drop(chunks);
 
-        // The whole answer takes a minute.
+        // The complete response takes a minute.
         tokio::time::sleep(Duration::from_millis(500)).await;
         let running: u32 = engines(&site).map(|e| e.ledger.lock().running).sum();
-        assert_eq!((running, runs(&site)), (0, (1, 0)));
+        assert_eq!((running, run_counts(&site)), (0, (1, 0)));
         site.stop().await;
     });
 }
 
-/// The same while the engine says nothing: no failed write tells the router that nobody listens.
+/// A caller disconnects while the engine stalls, when no failed write reveals it to the router.
 #[test]
-fn a_caller_that_leaves_a_silent_answer_cancels_it_too() {
+fn disconnect_during_stall_cancels_engine_call() {
     block_on(async {
-        let site = site("").await;
+        let site = start_site("").await;
         engines(&site).for_each(|e| e.misbehave(&[EngineFault::Stall(700)]));
-        let answer = generate(&site, 100).send().await.expect("an answer");
+        let answer = generate(&site, 100).send().await.expect("a response");
         let mut chunks = answer.bytes_stream();
         assert!(chunks.next().await.is_some_and(|c| c.is_ok()));
 
@@ -251,65 +257,66 @@
 
         tokio::time::sleep(Duration::from_millis(700)).await;
         let running: u32 = engines(&site).map(|e| e.ledger.lock().running).sum();
-        assert_eq!((running, runs(&site)), (0, (1, 0)));
+        assert_eq!((running, run_counts(&site)), (0, (1, 0)));
         site.stop().await;
     });
 }
 
-/// Memory that the process of router 0 holds, in bytes.
-fn resident(site: &Site) -> usize {
-    let pid = site.routers[0].pid().expect("it runs");
+/// Resident memory of router 0 in bytes.
+fn resident_bytes(site: &Site) -> usize {
+    let pid = site.routers[0].pid().expect("the router is running");
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     let kib = line.and_then(|l| l.split_whitespace().next()?.parse::<usize>().ok());
-    kib.expect("the kernel tells it") << 10
+    kib.expect("the kernel reports VmRSS") << 10
 }
 
-/// Eight callers open large answers and read nothing for a while. The router must not take in what
-/// nobody reads: eight times longer answers hold no more of its memory, a small part of their bytes.
+/// Eight callers open large responses and read nothing for a while. The router must not buffer what
+/// nobody reads: responses eight times as long must not use much more memory, and only a small part
+/// of their size.
 #[test]
-fn slow_readers_hold_little_memory() {
+fn slow_readers_use_little_memory() {
     block_on(async {
-        let site = site("").await;
-        let before = resident(&site);
-        let mut grown = Vec::new();
+        let site = start_site("").await;
+        let before = resident_bytes(&site);
+        let mut growth = Vec::new();
         for length in [16 << 20, 128 << 20] {
-            let body = bytes_call(length, 64 << 10);
+            let body = bytes_request(length, 64 << 10);
             let opened = (0..8).map(|_| call(&site, "/bytes", body.clone()).send());
             let answers = join_all(opened).await;
             assert!(answers.iter().all(Result::is_ok));
             tokio::time::sleep(Duration::from_secs(1)).await;
-            grown.push(resident(&site).saturating_sub(before) as f64);
+            growth.push(resident_bytes(&site).saturating_sub(before) as f64);
             drop(answers);
         }
 
-        let part = grown[1] / (8u64 * (128 << 20)) as f64;
+        let ratio = growth[1] / (8u64 * (128 << 20)) as f64;
         println!(
-            "grown by {part:.4} of the answers, {:.2} times the shorter ones",
-            grown[1] / grown[0]
+            "memory grew by {ratio:.4} of the response bytes, {:.2} times as much as for short ones",
+            growth[1] / growth[0]
         );
-        assert!(part < 0.05, "grown by {part} of the answers");
-        assert!(grown[1] < grown[0] * 2.0, "{grown:?}");
+        assert!(ratio < 0.05, "memory grew by {ratio} of the response bytes");
+        assert!(growth[1] < growth[0] * 2.0, "{growth:?}");
         site.stop().await;
     });
 }
 
-/// A router is told to leave while a slow reader is in the middle of a large answer. The engine is
-/// done long before the reader, who must get the rest all the same.
+/// A router shuts down while a slow reader receives a large response. The engine finishes long
+/// before the reader, which must still get the rest.
 #[test]
-fn a_slow_reader_of_a_leaving_router_gets_its_whole_answer() {
+fn slow_reader_gets_complete_response_during_shutdown() {
     block_on(async {
-        let mut site = site("").await;
+        let mut site = start_site("").await;
         let length = 24 << 20;
-        let request = call(&site, "/bytes", bytes_call(length, 64 << 10));
-        let mut chunks = request.send().await.expect("an answer").bytes_stream();
+        let request = call(&site, "/bytes", bytes_request(length, 64 << 10));
+        let mut chunks = request.send().await.expect("a response").bytes_stream();
         site.routers[0].signal(Signal::SIGTERM);
 
         let mut read = 0;
         let mut pause = 0;
         while let Some(chunk) = chunks.next().await {
-            read += chunk.expect("no cut").len();
-            // About four seconds for all of it, beyond the time for which new calls are taken.
+            read += chunk.expect("the response is not interrupted").len();
+            // About four seconds in total, longer than new calls are accepted after the signal.
             if read >> 18 > pause {
                 pause = read >> 18;
                 tokio::time::sleep(Duration::from_millis(40)).await;
@@ -323,12 +330,12 @@
     });
 }
 
-/// A second signal ends a leaving router at once; it says how many calls it cut.
+/// A second signal stops a router that is shutting down, which logs how many calls it interrupted.
 #[test]
-fn a_second_signal_says_what_was_cut() {
+fn second_signal_reports_interrupted_calls() {
     block_on(async {
-        let mut site = site("").await;
-        let answer = generate(&site, 20_000).send().await.expect("an answer");
+        let mut site = start_site("").await;
+        let answer = generate(&site, 20_000).send().await.expect("a response");
         site.routers[0].signal(Signal::SIGTERM);
         tokio::time::sleep(Duration::from_millis(200)).await;
         site.routers[0].signal(Signal::SIGTERM);
@@ -338,32 +345,36 @@
         let log = std::fs::read_to_string(&site.routers[0].log).unwrap_or_default();
         assert_eq!(code, Some(1));
         assert!(log.contains("1 calls cut: a second signal"), "{log}");
-        assert!(answer.bytes().await.is_err(), "the caller sees the cut");
+        assert!(
+            answer.bytes().await.is_err(),
+            "the caller took a truncated response for complete"
+        );
         site.stop().await;
     });
 }
 
 proptest! {
-    /// However an answer is cut into chunks and wherever it breaks, the part before the break and
-    /// the resumed part without what was passed on make up the answer, and only the whole is whole.
+    /// However a response is split into chunks and wherever it is interrupted, the part before the
+    /// interruption and the filtered resumed part make up the original, and only the complete
+    /// response counts as complete.
     #[test]
-    fn a_resumed_answer_is_the_answer(tokens in 0u32..20, at in 0usize..2000, step in 1usize..80) {
-        let text = expected(tokens);
+    fn resumed_response_is_identical(tokens in 0u32..20, at in 0usize..2000, step in 1usize..80) {
+        let text = expected_body(tokens);
         let at = at.min(text.len());
         let mut lines = ResponseLines::default();
         text.as_bytes()[..at].chunks(step).for_each(|c| lines.push(c));
         prop_assert_eq!(lines.is_complete(), at + 1 >= text.len());
 
-        let (count, partial) = lines.resume_point().expect("no line is long");
+        let (count, partial) = lines.resume_point().expect("no line exceeds the limit");
         let rest: String = text.split_inclusive('\n').skip(count as usize).collect();
-        let mut splice = ResumeFilter::new(partial);
+        let mut filter = ResumeFilter::new(partial);
         let mut joined = text.as_bytes()[..at].to_vec();
         for chunk in rest.as_bytes().chunks(step) {
-            let skip = splice.skip(chunk).expect("it is the same answer");
+            let skip = filter.skip(chunk).expect("the resumed response is the same");
             joined.extend_from_slice(&chunk[skip..]);
         }
 
         prop_assert_eq!(joined, text.as_bytes());
-        prop_assert!(splice.is_done());
+        prop_assert!(filter.is_done());
     }
 }
