--- a/crates/hawthornmill-net/src/platform.rs
+++ b/crates/hawthornmill-net/src/platform.rs
@@ -53,7 +53,7 @@
         self.lock().reader = Some(now);
     }
 
-    /// Returns whether this instance reached the platform within [`REACHABLE_TTL`].
+    /// Returns whether this instance reached the platform in the last few seconds.
     pub fn is_reachable(&self, now: Instant) -> bool {
         let own = self.lock().own;
         own.is_some_and(|at| now.duration_since(at) < REACHABLE_TTL)
@@ -110,7 +110,7 @@
 
 /// Outcome of one request for the manifest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum PollOutcome {
+enum Poll {
     /// A newer revision was installed.
     Installed,
     /// There is no newer revision that this instance could install.
@@ -145,7 +145,7 @@
 }
 
 /// Sleeps for 50 to 100 % of `delay`, so that instances don't send requests at the same time.
-async fn sleep_jittered(delay: Duration) {
+async fn pause(delay: Duration) {
     tokio::time::sleep(delay.mul_f64(rand::random_range(0.5..1.0))).await;
 }
 
@@ -160,29 +160,25 @@
     loop {
         let role = role(&fleet, |board| board.config.revision > 0);
         if role == Role::Follower {
-            sleep_jittered(ROLE_INTERVAL).await;
+            pause(ROLE_INTERVAL).await;
             continue;
         }
         // Until it hears from the others in its domain, every instance considers itself a reader.
         let reader = role == Role::Reader && fleet.ready.load(Ordering::Relaxed);
         let (outcome, early) = poll_manifest(&fleet, reader).await;
-        failures = if outcome == PollOutcome::Failed {
+        failures = if outcome == Poll::Failed {
             failures + 1
         } else {
             0
         };
         match outcome {
-            PollOutcome::Failed => sleep_jittered(backoff(failures)).await,
+            Poll::Failed => pause(backoff(failures)).await,
             // The platform may answer a watch at once with an older revision; don't ask again without
             // a delay.
-            PollOutcome::Unchanged if !fleet.ready.load(Ordering::Relaxed) => {
-                sleep_jittered(RETRY_DELAYS[0]).await;
-            }
-            PollOutcome::Unchanged if role == Role::Fallback => {
-                sleep_jittered(FALLBACK_INTERVAL).await;
-            }
-            PollOutcome::Unchanged if early => sleep_jittered(RETRY_DELAYS[1]).await,
-            PollOutcome::Installed | PollOutcome::Unchanged => {}
+            Poll::Unchanged if !fleet.ready.load(Ordering::Relaxed) => pause(RETRY_DELAYS[0]).await,
+            Poll::Unchanged if role == Role::Fallback => pause(FALLBACK_INTERVAL).await,
+            Poll::Unchanged if early => pause(RETRY_DELAYS[1]).await,
+            Poll::Installed | Poll::Unchanged => {}
         }
     }
 }
@@ -190,7 +186,7 @@
 /// Requests a newer manifest and installs it.
 ///
 /// The second result is true if the platform reported nothing new before half of the wait was over.
-async fn poll_manifest(fleet: &Arc<Fleet>, reader: bool) -> (PollOutcome, bool) {
+async fn poll_manifest(fleet: &Arc<Fleet>, reader: bool) -> (Poll, bool) {
     let newest = fleet.platform.lock().newest_revision;
     let (have, after) = fleet.view(|board| {
         let have = board.config.revision;
@@ -204,23 +200,23 @@
     let started = Instant::now();
     let path = format!("/v1/manifest?after={after}&wait_ms={}", wait.as_millis());
     let Some(bytes) = get(fleet, &path, MAX_VALUE_BYTES, wait + REQUEST_TIMEOUT).await else {
-        return (PollOutcome::Failed, false);
+        return (Poll::Failed, false);
     };
     let Ok(manifest) = serde_json::from_slice::<Manifest>(&bytes) else {
-        return (PollOutcome::Failed, false);
+        return (Poll::Failed, false);
     };
     fleet.platform.lock().newest_revision = manifest.revision;
     fleet.feed(|board, _| board.startup.platform_answered = true);
     let early = started.elapsed() < wait / 2;
     let rejected = fleet.view(|board| board.revisions.is_rejected(&manifest));
     if manifest.revision <= have || rejected {
-        return (PollOutcome::Unchanged, early);
+        return (Poll::Unchanged, early);
     }
     let Some(values) = fetch_values(fleet, &manifest).await else {
-        return (PollOutcome::Failed, false);
+        return (Poll::Failed, false);
     };
     if install(fleet, &manifest, values) {
-        return (PollOutcome::Installed, false);
+        return (Poll::Installed, false);
     }
     // A peer may have sent this revision or a newer one first, and a rejection is final. Anything else
     // is retried.
@@ -228,9 +224,9 @@
         board.config.revision >= manifest.revision || board.revisions.is_rejected(&manifest)
     });
     let outcome = if decided {
-        PollOutcome::Unchanged
+        Poll::Unchanged
     } else {
-        PollOutcome::Failed
+        Poll::Failed
     };
     (outcome, false)
 }
@@ -254,7 +250,7 @@
     loop {
         let role = role(&fleet, |board| board.roster.is_known());
         if role == Role::Follower {
-            sleep_jittered(ROLE_INTERVAL).await;
+            pause(ROLE_INTERVAL).await;
             continue;
         }
         fetch_list(&fleet).await;
