--- a/crates/hawthornmill-test-support/examples/control.rs
+++ b/crates/hawthornmill-test-support/examples/control.rs
@@ -1,73 +1,76 @@
-//! Measures control traffic and configuration at several numbers of routers.
+//! Measures control traffic and configuration rollout for several numbers of routers.
 //!
-//! `control ROUTER COUNT…` starts COUNT routers of the program ROUTER over the small fleet in three
-//! failure domains, lets them settle, and prints one line for each COUNT: platform calls a second by
-//! kind, control bytes a second of a router (mean and most), and the time until a change was in
-//! force on all of them, calm and with three readers killed in that moment.
+//! `control ROUTER COUNT…` starts COUNT routers of the program ROUTER with the small fleet in three
+//! failure domains, waits until they have settled, and prints one line for each COUNT: platform calls
+//! per second by kind, control bytes per second and router (mean and maximum), and the time until a
+//! change was in force on all routers, first undisturbed, then with three readers of the
+//! configuration killed at the time of the change.
 
 use std::time::{Duration, Instant};
 
 use hawthornmill_lab::demo::site::Site;
 use hawthornmill_test_support::procs::small_site;
 
-const SETTLE: Duration = Duration::from_secs(15);
-const WINDOW: Duration = Duration::from_secs(10);
-const MOST: Duration = Duration::from_secs(20);
+const SETTLE_TIME: Duration = Duration::from_secs(15);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(10);
+const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[tokio::main(worker_threads = 2)]
 async fn main() {
-    let mut words = std::env::args().skip(1);
-    let router = words.next().expect("the router program comes first");
-    for count in words {
+    let mut args = std::env::args().skip(1);
+    let router = args.next().expect("the router program comes first");
+    for count in args {
         let count = count.parse().expect("a number of routers");
         let mut site = small_site(&router, count).await;
-        tokio::time::sleep(SETTLE).await;
-        let idle = idle(&site).await;
-        let calm = in_force(&site, 1).await;
-        let killed = in_force_while(&mut site).await;
-        println!("{count} routers: {idle}, in force after {calm:?}, readers killed {killed:?}");
+        tokio::time::sleep(SETTLE_TIME).await;
+        let traffic = idle_traffic(&site).await;
+        let undisturbed = rollout_time(&site, 1).await;
+        let killed = rollout_time_with_kills(&mut site).await;
+        println!(
+            "{count} routers: {traffic}, in force after {undisturbed:?}, readers killed {killed:?}"
+        );
         site.stop().await;
     }
 }
 
-async fn idle(site: &Site) -> String {
-    let calls = site.platform.calls();
-    let bytes = site.control_bytes().await.each;
-    tokio::time::sleep(WINDOW).await;
-    let after = site.control_bytes().await.each;
-    let seconds = WINDOW.as_secs_f64();
-    let rates: Vec<f64> = after
+async fn idle_traffic(site: &Site) -> String {
+    let calls_before = site.platform.calls();
+    let bytes_before = site.control_bytes().await.each;
+    tokio::time::sleep(MEASUREMENT_TIME).await;
+    let bytes_after = site.control_bytes().await.each;
+    let seconds = MEASUREMENT_TIME.as_secs_f64();
+    let rates: Vec<f64> = bytes_after
         .iter()
-        .zip(&bytes)
+        .zip(&bytes_before)
         .map(|(a, b)| (a - b) as f64 / seconds)
         .collect();
     let mean = rates.iter().sum::<f64>() / rates.len() as f64;
-    let most = rates.iter().copied().fold(0.0, f64::max);
+    let max = rates.iter().copied().fold(0.0, f64::max);
     let calls: Vec<String> = site
         .platform
         .calls()
         .iter()
         .map(|(kind, count)| {
-            let before = calls.get(kind).copied().unwrap_or(0);
+            let before = calls_before.get(kind).copied().unwrap_or(0);
             format!("{kind} {:.1}/s", (count - before) as f64 / seconds)
         })
         .collect();
-    format!("{}, bytes/s mean {mean:.0} most {most:.0}", calls.join(" "))
+    format!("{}, bytes/s mean {mean:.0} most {max:.0}", calls.join(" "))
 }
 
-/// Publishes a change and returns how long it took until all routers had it.
-async fn in_force(site: &Site, number: u64) -> Option<Duration> {
+/// Publishes a change and returns the time until it was in force on all routers.
+async fn rollout_time(site: &Site, number: u64) -> Option<Duration> {
     let revision = publish(site, number);
-    wait(site, revision, 0).await
+    wait_in_force(site, revision, 0).await
 }
 
-/// The same with the first three routers, one of each failure domain, killed in that moment.
-async fn in_force_while(site: &mut Site) -> Option<Duration> {
+/// Like [`rollout_time`], but kills the first three routers, one of each failure domain, at once.
+async fn rollout_time_with_kills(site: &mut Site) -> Option<Duration> {
     let revision = publish(site, 2);
     for router in site.routers.iter_mut().take(3) {
         router.kill();
     }
-    wait(site, revision, 3).await
+    wait_in_force(site, revision, 3).await
 }
 
 fn publish(site: &Site, number: u64) -> u64 {
@@ -77,13 +80,16 @@
         .publish([("fleet".into(), text.into())].into())
 }
 
-async fn wait(site: &Site, revision: u64, dead: usize) -> Option<Duration> {
-    let began = Instant::now();
-    while began.elapsed() < MOST {
-        let all = site.statuses().await;
-        let held = all.iter().filter(|s| s["revision"] == revision).count();
-        if held + dead >= site.routers.len() {
-            return Some(began.elapsed());
+async fn wait_in_force(site: &Site, revision: u64, killed: usize) -> Option<Duration> {
+    let start = Instant::now();
+    while start.elapsed() < ROLLOUT_TIMEOUT {
+        let statuses = site.statuses().await;
+        let updated = statuses
+            .iter()
+            .filter(|s| s["revision"] == revision)
+            .count();
+        if updated + killed >= site.routers.len() {
+            return Some(start.elapsed());
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
--- a/crates/hawthornmill-test-support/src/fleet.rs
+++ b/crates/hawthornmill-test-support/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Builds configuration texts.
+//! Builds fleet configurations.
 
 use std::fmt::Write;
 
@@ -23,13 +23,13 @@
         self.line(&format!("[domain {name}]\nregion = {region}"))
     }
 
-    /// Adds a service whose calls may repeat and report their cost.
+    /// Adds a service whose calls may be retried and report their cost.
     #[must_use]
     pub fn service(self, name: &str) -> Self {
         self.line(&format!("[service {name}]\nestimate = 100"))
     }
 
-    /// Adds a service whose calls must not repeat.
+    /// Adds a service whose calls must not be retried; their cost is the time that they take.
     #[must_use]
     pub fn non_idempotent_service(self, name: &str) -> Self {
         self.line(&format!("[service {name}]\nrepeat = never\ncost = time"))
@@ -53,11 +53,11 @@
         ))
     }
 
-    /// Adds an account as [`Self::account`] does, with further lines in its section.
+    /// Adds an account like [`Self::account`], with additional lines in its section.
     #[must_use]
     pub fn account_with(self, name: &str, size: &str, lines: &str) -> Self {
         let mut fleet = self.account(name, size);
-        // A section ends with an empty line; what follows its last key still belongs to it.
+        // Removes the empty line that ends the section, so that `lines` are added to it.
         fleet.text.truncate(fleet.text.trim_end().len());
         fleet.line(&format!("\n{lines}"))
     }
@@ -70,33 +70,33 @@
         ))
     }
 
-    /// Adds any line.
+    /// Adds `line` as it is.
     #[must_use]
     pub fn line(mut self, line: &str) -> Self {
         let _infallible = writeln!(self.text, "{line}\n");
         self
     }
 
-    /// The text.
+    /// Returns the text.
     pub fn text(&self) -> Box<str> {
         self.text.as_str().into()
     }
 
-    /// The text as the values of a revision.
+    /// Returns the text as the values of a revision.
     pub fn values(&self) -> Values {
         Values::from([("fleet".into(), self.text())])
     }
 
-    /// The accepted configuration under `revision`.
+    /// Returns the validated configuration, as `revision`.
     ///
     /// # Panics
-    /// With the first fault, when the text is refused.
+    /// With the first error, if the configuration is invalid.
     pub fn accept(&self, revision: u64) -> (FleetConfig, Manifest, Values) {
         let values = self.values();
         let manifest = manifest(revision, &values);
         match accept(&manifest, &values) {
             Ok(config) => (config, manifest, values),
-            Err(faults) => panic!("{}", faults[0]),
+            Err(errors) => panic!("{}", errors[0]),
         }
     }
 }
--- a/crates/hawthornmill-test-support/src/gossip.rs
+++ b/crates/hawthornmill-test-support/src/gossip.rs
@@ -1,11 +1,11 @@
-//! What instances of the gateway tell each other.
+//! Gossip messages between gateway instances.
 
 use hawthornmill::routing::gossip::{InstanceReport, PeerInfo, StoreRole};
 
-/// News of an instance at `mate` that takes requests, reads the store and has nothing else to tell.
-pub const fn instance_report(mate: PeerInfo) -> InstanceReport {
+/// Returns the report of a ready instance that is connected to the store and has no work.
+pub const fn instance_report(peer: PeerInfo) -> InstanceReport {
     InstanceReport {
-        info: mate,
+        info: peer,
         ready: true,
         leaving: false,
         store_role: StoreRole::Connected,
--- a/crates/hawthornmill-test-support/src/procs.rs
+++ b/crates/hawthornmill-test-support/src/procs.rs
@@ -1,4 +1,4 @@
-//! Real router processes around stand-ins.
+//! Starts real router processes with stand-ins for the other systems.
 
 use std::path::Path;
 use std::time::Duration;
@@ -7,18 +7,20 @@
 
 use crate::fleet::FleetBuilder;
 
-/// Failure domains of the small test sites.
+/// Failure domains of the small test sites, each with its region.
 pub const DOMAINS: &[(&str, &str)] = &[("a", "north"), ("b", "north"), ("c", "south")];
 
-/// The program `router` without further words.
-pub fn command(router: &str) -> RouterCommand {
+/// Returns the command that runs the program `router` without arguments of its own.
+pub fn router_command(router: &str) -> RouterCommand {
     RouterCommand {
         program: Path::new(router).to_path_buf(),
         words: Vec::new(),
     }
 }
 
-/// Two services, six servers, four accounts: `big` has share 4, the others 1.
+/// Returns a fleet with two services, six servers and four accounts.
+///
+/// `big` has share 4, `small-1` and `small-2` share 1; `stranger` has no grant.
 pub fn small_fleet() -> FleetBuilder {
     let mut fleet = FleetBuilder::new()
         .domain("a", "north")
@@ -40,10 +42,10 @@
         .grant("small", "size=small", "pool=std", 1.0)
 }
 
-/// Starts `routers` routers over the small fleet.
+/// Starts `routers` routers with the small fleet.
 ///
 /// # Panics
-/// With the reason, when the site does not get ready.
+/// With the reason, if the site does not become ready.
 pub async fn small_site(router: &str, routers: usize) -> Site {
     start(
         router,
@@ -55,42 +57,44 @@
 /// Starts the site of `plan`.
 ///
 /// # Panics
-/// With the reason, when the site does not get ready.
+/// With the reason, if the site does not become ready.
 pub async fn start(router: &str, plan: SitePlan) -> Site {
-    match Site::start(plan, command(router)).await {
+    match Site::start(plan, router_command(router)).await {
         Ok(site) => site,
-        Err(words) => panic!("the site did not start: {words}"),
+        Err(error) => panic!("the site did not start: {error}"),
     }
 }
 
-/// An answer read whole.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// HTTP response with its complete body.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// HTTP status.
+    /// Status code.
     pub status: u16,
-    /// Headers as text.
+    /// Headers.
     pub headers: std::collections::BTreeMap<String, String>,
-    /// Body as text.
+    /// Body.
     pub text: String,
 }
 
 impl Response {
-    /// The body as JSON; null where it is none.
+    /// Returns the body as JSON, or null if it is not valid JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.text).unwrap_or_default()
     }
 }
 
-/// Sends `request` and reads the answer whole; none when the connection broke.
+/// Sends `request` and reads the whole response; `None` if the connection failed or timed out.
 pub async fn send(request: reqwest::RequestBuilder) -> Option<Response> {
-    let answer = request.timeout(Duration::from_secs(30)).send().await.ok()?;
-    let status = answer.status().as_u16();
-    let headers = answer
+    let response = request.timeout(REQUEST_TIMEOUT).send().await.ok()?;
+    let status = response.status().as_u16();
+    let headers = response
         .headers()
         .iter()
         .map(|(n, v)| (n.to_string(), v.to_str().unwrap_or_default().to_owned()))
         .collect();
-    let text = answer.text().await.ok()?;
+    let text = response.text().await.ok()?;
     Some(Response {
         status,
         headers,
--- a/src/bin/hawthornmill-check.rs
+++ b/src/bin/hawthornmill-check.rs
@@ -1,4 +1,4 @@
-//! Checks settings and fleet configurations.
+//! Validates settings, fleet configurations and catalogs.
 
 use std::process::ExitCode;
 
--- a/src/bin/hawthornmill-demo.rs
+++ b/src/bin/hawthornmill-demo.rs
@@ -1,4 +1,4 @@
-//! A whole fleet on one machine, measured.
+//! Runs a whole fleet on one machine and measures it.
 
 use std::process::ExitCode;
 
--- a/src/bin/hawthornmill-explain.rs
+++ b/src/bin/hawthornmill-explain.rs
@@ -1,4 +1,4 @@
-//! Explains who was owed and who received what.
+//! Reports from logs the service that accounts were entitled to and received.
 
 use std::process::ExitCode;
 
--- a/src/bin/hawthornmill-load.rs
+++ b/src/bin/hawthornmill-load.rs
@@ -1,4 +1,4 @@
-//! The load tool.
+//! Generates load on a fleet and reports the outcome of the calls.
 
 use std::process::ExitCode;
 
--- a/src/bin/hawthornmill-overhead.rs
+++ b/src/bin/hawthornmill-overhead.rs
@@ -1,4 +1,4 @@
-//! The time that a router adds to a call, measured.
+//! Measures the latency that a router adds to a call.
 
 use std::process::ExitCode;
 
--- a/src/bin/hawthornmill-overload.rs
+++ b/src/bin/hawthornmill-overload.rs
@@ -1,4 +1,4 @@
-//! Goodput and memory under overload, measured.
+//! Measures goodput and memory under overload.
 
 use std::process::ExitCode;
 
--- a/src/bin/hawthornmill-slopes.rs
+++ b/src/bin/hawthornmill-slopes.rs
@@ -1,4 +1,4 @@
-//! What the decisions cost as a fleet grows, measured.
+//! Measures how the cost of scheduling decisions grows with the fleet.
 
 use std::process::ExitCode;
 
--- a/src/bin/hawthornmill-standin.rs
+++ b/src/bin/hawthornmill-standin.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the systems that hawthornmill meets.
+//! Runs stand-ins for the systems that hawthornmill communicates with.
 
 use std::process::ExitCode;
 
