--- a/crates/hawthornmill-test-support/src/procs.rs
+++ b/crates/hawthornmill-test-support/src/procs.rs
@@ -65,8 +65,6 @@
     }
 }
 
-const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
-
 /// HTTP response with its complete body.
 #[derive(Debug, Clone)]
 pub struct Response {
@@ -87,7 +85,7 @@
 
 /// Sends `request` and reads the whole response; `None` if the connection failed or timed out.
 pub async fn send(request: reqwest::RequestBuilder) -> Option<Response> {
-    let response = request.timeout(REQUEST_TIMEOUT).send().await.ok()?;
+    let response = request.timeout(Duration::from_secs(30)).send().await.ok()?;
     let status = response.status().as_u16();
     let headers = response
         .headers()
--- a/crates/hawthornmill-test-support/src/simulation.rs
+++ b/crates/hawthornmill-test-support/src/simulation.rs
@@ -1,9 +1,9 @@
-//! Drives the decisions of several instances in a fixed order.
+//! Runs the scheduling code of several instances in a deterministic order and in simulated time.
 //!
-//! This is no simulator: there are no sockets, no threads and no random delays. One step is one
-//! millisecond; messages sent in a step arrive in the next, in the order in which they were sent,
-//! unless the pair of instances is cut. A dispatched request holds its slot for as many milliseconds
-//! as it costs. The same calls therefore give the same figures on every machine.
+//! There are no sockets, no threads and no random delays. A step is one millisecond; messages sent in a
+//! step arrive in the next one, in the order in which they were sent, unless the link between the two
+//! instances is broken. A dispatched request occupies its slot for as many milliseconds as it costs.
+//! Therefore the same calls give the same results on every machine.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -16,72 +16,73 @@
 
 use crate::fleet::FleetBuilder;
 
-const TICK: u64 = 20;
-const HEARTBEAT: u64 = 100;
-const LOAD: u64 = 250;
+const TICK_MS: u64 = 20;
+const HEARTBEAT_MS: u64 = 100;
+const LOAD_REPORT_MS: u64 = 250;
 
-/// A request that holds a slot.
+/// A running request, which occupies a slot.
 #[derive(Debug, Clone)]
 struct Run {
     entry: usize,
     account: AccountId,
     dispatch: Dispatch,
-    cost: u64,
-    end: u64,
+    cost_ms: u64,
+    end_ms: u64,
 }
 
-/// What a call asks for.
+/// A call that waits for its dispatch.
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct PendingCall {
     account: AccountId,
-    cost: u64,
-    arrived: u64,
+    cost_ms: u64,
+    arrival_ms: u64,
 }
 
-/// How a call was answered.
+/// Result of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallOutcome {
     /// Account that made it.
     pub account: AccountId,
-    /// Milliseconds that it waited.
+    /// Time in the queue.
     pub waited_ms: u64,
-    /// Refusal, if it was not run.
+    /// Error code, if the call was rejected.
     pub code: Option<Code>,
 }
 
-/// Several instances and the servers behind them.
+/// Several instances and their servers.
 #[derive(Debug)]
 pub struct Simulation {
-    /// The instances' boards.
+    /// State of each instance.
     pub boards: Vec<Blackboard>,
-    /// Milliseconds since the start.
+    /// Simulated time since the start.
     pub now_ms: u64,
-    /// Instances that are stopped: they neither tick nor receive, and their requests go on.
+    /// Paused instances: they neither tick nor receive messages; their requests keep running.
     pub paused: BTreeSet<usize>,
-    /// Instances that are dead.
+    /// Killed instances.
     pub dead: BTreeSet<usize>,
-    /// Pairs of instances, from and to, between which nothing passes; streams are held up.
+    /// Pairs of sender and receiver whose messages don't arrive: datagrams are lost, messages on
+    /// connections are delayed until the link is restored.
     pub broken_links: BTreeSet<(usize, usize)>,
-    /// Cost that servers ran, by account.
+    /// Cost of the completed requests of each account.
     pub cost_by_account: BTreeMap<AccountId, f64>,
-    /// Slot-milliseconds that servers ran.
+    /// Sum of the time that slots were occupied.
     pub busy_ms: u64,
-    /// Most requests that each server ran at once.
+    /// Maximum number of concurrent requests of each server.
     pub peak_running: BTreeMap<ServerId, u16>,
-    /// Calls that were answered.
+    /// Results of the calls that were dispatched or rejected.
     pub outcomes: Vec<CallOutcome>,
-    /// Messages sent, by kind.
+    /// Number of messages sent, by kind.
     pub messages: BTreeMap<&'static str, u64>,
-    /// Bytes of their payloads.
+    /// Total bytes of their payloads.
     pub message_bytes: u64,
     start: Instant,
-    wire: VecDeque<(usize, InstanceId, Message)>,
-    runs: Vec<Run>,
-    asked: BTreeMap<(usize, RequestKey), Asked>,
-    history: VecDeque<BTreeMap<ServerId, u16>>,
+    in_transit: VecDeque<(usize, InstanceId, Message)>,
+    running: Vec<Run>,
+    pending: BTreeMap<(usize, RequestKey), PendingCall>,
+    load_reports: VecDeque<BTreeMap<ServerId, u16>>,
 }
 
-/// A contact for an instance called `name`.
+/// Returns the contact of an instance.
 pub fn contact(name: &str, domain: &str, region: &str) -> Contact {
     Contact {
         name: name.into(),
@@ -93,7 +94,7 @@
 }
 
 impl Simulation {
-    /// Instances `i0`, `i1`, … in the given failure domains and regions, all with `fleet` in force.
+    /// Creates instances `i0`, `i1`, … in the given failure domains and regions, with `fleet` in force.
     pub fn new(fleet: &FleetBuilder, places: &[(&str, &str)], tuning: &Tuning) -> Self {
         let start = Instant::now();
         let contacts: Vec<Contact> = places
@@ -114,13 +115,13 @@
             messages: BTreeMap::new(),
             message_bytes: 0,
             start,
-            wire: VecDeque::new(),
-            runs: Vec::new(),
-            asked: BTreeMap::new(),
-            history: VecDeque::new(),
+            in_transit: VecDeque::new(),
+            running: Vec::new(),
+            pending: BTreeMap::new(),
+            load_reports: VecDeque::new(),
         };
         for (number, own) in contacts.iter().enumerate() {
-            // Grants carry half of an incarnation, so no two instances may start with the same.
+            // Grants carry only half of the incarnation, so it must differ between instances.
             let run = Incarnation(1 + 1000 * number as u64);
             let mut board = Blackboard::new(own.clone(), run, tuning.clone(), start);
             for other in &contacts {
@@ -133,15 +134,15 @@
         sim
     }
 
-    /// The present instant of the decisions.
+    /// Returns the simulated time as an instant.
     pub fn instant(&self) -> Instant {
         self.start + Duration::from_millis(self.now_ms)
     }
 
-    /// Index of the instance with key `id`.
+    /// Returns the index of instance `id`.
     ///
     /// # Panics
-    /// When there is none.
+    /// If there is none.
     pub fn instance_index(&self, id: InstanceId) -> usize {
         self.boards
             .iter()
@@ -149,7 +150,7 @@
             .expect("every instance has a board")
     }
 
-    /// Cuts all links between two groups of instances.
+    /// Breaks all links between two groups of instances.
     pub fn partition(&mut self, left: &[usize], right: &[usize]) {
         for a in left {
             for b in right {
@@ -159,17 +160,17 @@
         }
     }
 
-    /// A call arrives at instance `entry`.
+    /// Submits a call to instance `entry`.
     ///
     /// # Errors
-    /// The code with which it was refused at once.
+    /// The code with which the call was rejected immediately.
     pub fn submit_call(
         &mut self,
         entry: usize,
         account: &str,
         service: &str,
-        cost: u64,
-        deadline: u64,
+        cost_ms: u64,
+        deadline_ms: u64,
     ) -> Result<(), Code> {
         let now = self.instant();
         let account = AccountId::of(account);
@@ -177,32 +178,32 @@
             service: ServiceId::of(service),
             account,
             bytes: 100,
-            deadline: now + Duration::from_millis(deadline),
+            deadline: now + Duration::from_millis(deadline_ms),
         };
         tick::detect_pause(&mut self.boards[entry], now);
         let key = entry::enqueue(&mut self.boards[entry], arrival, now)?;
-        let asked = Asked {
+        let call = PendingCall {
             account,
-            cost,
-            arrived: self.now_ms,
+            cost_ms,
+            arrival_ms: self.now_ms,
         };
-        self.asked.insert((entry, key), asked);
+        self.pending.insert((entry, key), call);
         Ok(())
     }
 
-    /// Requests of `account` that wait at instance `entry`.
+    /// Returns the number of requests of `account` that wait at instance `entry`.
     pub fn queue_length(&self, entry: usize, account: &str, service: &str) -> usize {
         let key = (ServiceId::of(service), AccountId::of(account));
         self.boards[entry].queues.get(&key).map_or(0, VecDeque::len)
     }
 
-    /// Cost that servers ran for `account`.
+    /// Returns the cost of the completed requests of `account`.
     pub fn received_cost(&self, account: &str) -> f64 {
         let id = AccountId::of(account);
         self.cost_by_account.get(&id).copied().unwrap_or_default()
     }
 
-    /// Replaces instance `index` by a new run without state.
+    /// Restarts instance `index` without state, as a new incarnation.
     pub fn restart(&mut self, index: usize, fleet: &FleetBuilder, revision: u64) {
         let now = self.instant();
         let old = &self.boards[index];
@@ -224,69 +225,69 @@
         self.dead.remove(&index);
     }
 
-    /// Kills instance `index`: what it ran for its callers is cut.
+    /// Kills instance `index` and drops its waiting and running requests.
     pub fn kill(&mut self, index: usize) {
         self.dead.insert(index);
-        self.runs.retain(|r| r.entry != index);
-        self.asked.retain(|(entry, _), _| *entry != index);
-        let gone = self.boards[index].me();
+        self.running.retain(|r| r.entry != index);
+        self.pending.retain(|(entry, _), _| *entry != index);
+        let killed = self.boards[index].me();
         for (other, board) in self.boards.iter_mut().enumerate() {
             if other != index {
-                board.broken_peers.insert(gone);
+                board.broken_peers.insert(killed);
             }
         }
     }
 
-    fn runs_now(&self, index: usize) -> bool {
+    fn is_running(&self, index: usize) -> bool {
         !self.dead.contains(&index) && !self.paused.contains(&index)
     }
 
-    /// Lets one millisecond pass.
+    /// Advances the simulated time by one millisecond.
     pub fn step(&mut self) {
         self.now_ms += 1;
-        self.deliver();
+        self.deliver_messages();
         self.finish_runs();
         for index in 0..self.boards.len() {
-            if self.runs_now(index) {
-                self.turn(index);
+            if self.is_running(index) {
+                self.run_instance(index);
             }
         }
-        self.busy_ms += self.runs.len() as u64;
-        self.count_load();
+        self.busy_ms += self.running.len() as u64;
+        self.report_load();
     }
 
-    /// Lets `millis` pass, calling `each` before every one of them.
-    pub fn run(&mut self, millis: u64, mut each: impl FnMut(&mut Self)) {
+    /// Runs for `millis`, calling `before_step` before each step.
+    pub fn run(&mut self, millis: u64, mut before_step: impl FnMut(&mut Self)) {
         for _ in 0..millis {
-            each(self);
+            before_step(self);
             self.step();
         }
     }
 
-    fn deliver(&mut self) {
+    fn deliver_messages(&mut self) {
         let now = self.instant();
-        for _ in 0..self.wire.len() {
-            let Some((from, to, message)) = self.wire.pop_front() else {
+        for _ in 0..self.in_transit.len() {
+            let Some((from, to, message)) = self.in_transit.pop_front() else {
                 return;
             };
             let target = self.instance_index(to);
             if self.dead.contains(&target) || self.dead.contains(&from) {
                 continue;
             }
-            let cut = self.broken_links.contains(&(from, target));
-            if cut && by_datagram(&message) {
+            let is_broken = self.broken_links.contains(&(from, target));
+            if is_broken && is_datagram(&message) {
                 continue;
             }
-            // A connection keeps what it can't deliver and brings it late.
-            if cut || self.paused.contains(&target) {
-                self.wire.push_back((from, to, message));
+            // A connection retransmits, so its messages are late but not lost.
+            if is_broken || self.paused.contains(&target) {
+                self.in_transit.push_back((from, to, message));
                 continue;
             }
-            self.take(from, target, message, now);
+            self.receive(from, target, message, now);
         }
     }
 
-    fn take(&mut self, from: usize, target: usize, message: Message, now: Instant) {
+    fn receive(&mut self, from: usize, target: usize, message: Message, now: Instant) {
         let (sender, run) = (self.boards[from].me(), self.boards[from].incarnation);
         let board = &mut self.boards[target];
         tick::detect_pause(board, now);
@@ -305,7 +306,7 @@
                     revision: board.config.revision,
                     serving: true,
                 };
-                self.wire
+                self.in_transit
                     .push_back((target, sender, Message::ProbeAck(ack)));
             }
             Message::ProbeAck(ack) => tick::on_probe_ack(board, ack, now),
@@ -319,123 +320,123 @@
     }
 
     fn finish_runs(&mut self) {
-        let (due, rest): (Vec<Run>, Vec<Run>) = std::mem::take(&mut self.runs)
+        let (due, rest): (Vec<Run>, Vec<Run>) = std::mem::take(&mut self.running)
             .into_iter()
-            .partition(|r| r.end <= self.now_ms && !self.paused.contains(&r.entry));
-        self.runs = rest;
+            .partition(|r| r.end_ms <= self.now_ms && !self.paused.contains(&r.entry));
+        self.running = rest;
         let now = self.instant();
         for run in due {
-            *self.cost_by_account.entry(run.account).or_default() += run.cost as f64;
+            *self.cost_by_account.entry(run.account).or_default() += run.cost_ms as f64;
             let (pool, grant) = (run.dispatch.pool, run.dispatch.grant);
             let board = &mut self.boards[run.entry];
             tick::detect_pause(board, now);
-            entry::finish(board, pool, grant, run.cost as f64, false, now);
+            entry::finish(board, pool, grant, run.cost_ms as f64, false, now);
         }
     }
 
-    fn turn(&mut self, index: usize) {
+    fn run_instance(&mut self, index: usize) {
         let now = self.instant();
-        if self.now_ms.is_multiple_of(HEARTBEAT) {
-            self.beat(index);
+        if self.now_ms.is_multiple_of(HEARTBEAT_MS) {
+            self.send_heartbeat(index);
         }
         let board = &mut self.boards[index];
         tick::detect_pause(board, now);
-        if self.now_ms.is_multiple_of(TICK) {
+        if self.now_ms.is_multiple_of(TICK_MS) {
             tick::tick(board, now);
         }
-        let every = board.tuning.report.as_millis() as u64;
-        if self.now_ms % every == index as u64 % every {
+        let interval = board.tuning.report.as_millis() as u64;
+        if self.now_ms % interval == index as u64 % interval {
             let messages = tick::build_reports(board, now);
             board.outbox.extend(messages);
         }
         pools::run_due(board, now);
-        self.hand_out(index);
-        let out = std::mem::take(&mut self.boards[index].outbox);
-        for (to, message) in out {
+        self.collect_outcomes(index);
+        let outbox = std::mem::take(&mut self.boards[index].outbox);
+        for (to, message) in outbox {
             *self.messages.entry(kind(&message)).or_default() += 1;
             self.message_bytes += hawthornmill::wire::frame::payload_len(&message) as u64;
-            self.wire.push_back((index, to, message));
+            self.in_transit.push_back((index, to, message));
         }
     }
 
-    fn hand_out(&mut self, index: usize) {
+    fn collect_outcomes(&mut self, index: usize) {
         for dispatch in std::mem::take(&mut self.boards[index].dispatches) {
-            let Some(asked) = self.asked.remove(&(index, dispatch.request)) else {
+            let Some(call) = self.pending.remove(&(index, dispatch.request)) else {
                 continue;
             };
             self.outcomes.push(CallOutcome {
-                account: asked.account,
-                waited_ms: self.now_ms - asked.arrived,
+                account: call.account,
+                waited_ms: self.now_ms - call.arrival_ms,
                 code: None,
             });
-            self.runs.push(Run {
+            self.running.push(Run {
                 entry: index,
-                account: asked.account,
-                cost: asked.cost,
-                end: self.now_ms + asked.cost,
+                account: call.account,
+                cost_ms: call.cost_ms,
+                end_ms: self.now_ms + call.cost_ms,
                 dispatch,
             });
         }
         for (request, code) in std::mem::take(&mut self.boards[index].rejections) {
-            if let Some(asked) = self.asked.remove(&(index, request)) {
+            if let Some(call) = self.pending.remove(&(index, request)) {
                 self.outcomes.push(CallOutcome {
-                    account: asked.account,
-                    waited_ms: self.now_ms - asked.arrived,
+                    account: call.account,
+                    waited_ms: self.now_ms - call.arrival_ms,
                     code: Some(code),
                 });
             }
         }
     }
 
-    /// Every other instance that can hear it takes a sign of life from `index`.
-    fn beat(&mut self, index: usize) {
+    /// Delivers a heartbeat of instance `index` to all other instances that it can reach.
+    fn send_heartbeat(&mut self, index: usize) {
         let now = self.instant();
         let own = &self.boards[index];
-        let interval = Duration::from_millis(HEARTBEAT);
-        let sign = own.members.own_liveness(own.config.revision, interval, now);
+        let interval = Duration::from_millis(HEARTBEAT_MS);
+        let heartbeat = own.members.own_liveness(own.config.revision, interval, now);
         for other in 0..self.boards.len() {
             if other != index
-                && self.runs_now(other)
+                && self.is_running(other)
                 && !self.broken_links.contains(&(index, other))
             {
                 let board = &mut self.boards[other];
-                board.members.record_liveness(sign, now);
-                if board.broken_peers.contains(&sign.from) {
-                    entry::on_reconnected(board, sign.from);
+                board.members.record_liveness(heartbeat, now);
+                if board.broken_peers.contains(&heartbeat.from) {
+                    entry::on_reconnected(board, heartbeat.from);
                 }
             }
         }
     }
 
-    /// Servers report how much they run, one reading late.
-    fn count_load(&mut self) {
-        let mut running: BTreeMap<ServerId, u16> = BTreeMap::new();
-        for run in &self.runs {
-            *running.entry(run.dispatch.server).or_default() += 1;
+    /// Passes the servers' number of running requests to the owners, one report interval late.
+    fn report_load(&mut self) {
+        let mut load: BTreeMap<ServerId, u16> = BTreeMap::new();
+        for run in &self.running {
+            *load.entry(run.dispatch.server).or_default() += 1;
         }
-        for (server, count) in &running {
+        for (server, count) in &load {
             let peak = self.peak_running.entry(*server).or_default();
             *peak = (*peak).max(*count);
         }
-        if !self.now_ms.is_multiple_of(LOAD) {
+        if !self.now_ms.is_multiple_of(LOAD_REPORT_MS) {
             return;
         }
-        self.history.push_back(running);
-        if self.history.len() < 2 {
+        self.load_reports.push_back(load);
+        if self.load_reports.len() < 2 {
             return;
         }
-        let Some(late) = self.history.pop_front() else {
+        let Some(previous) = self.load_reports.pop_front() else {
             return;
         };
         for index in 0..self.boards.len() {
-            if !self.runs_now(index) {
+            if !self.is_running(index) {
                 continue;
             }
             let board = &mut self.boards[index];
             let pools = board.config.pools.clone();
             for (id, pool) in &pools {
                 for server in &pool.servers {
-                    let count = late.get(server).copied().unwrap_or(0);
+                    let count = previous.get(server).copied().unwrap_or(0);
                     owner::on_load_reading(board, *id, *server, count);
                 }
             }
@@ -443,7 +444,7 @@
     }
 }
 
-fn by_datagram(message: &Message) -> bool {
+fn is_datagram(message: &Message) -> bool {
     matches!(
         message,
         Message::Reports(_) | Message::Probe(_) | Message::ProbeAck(_)
--- a/crates/hawthornmill-test-support/src/workload.rs
+++ b/crates/hawthornmill-test-support/src/workload.rs
@@ -1,11 +1,11 @@
-//! Callers spread unevenly over instances, and the gap between accounts that wait.
+//! Generates calls that are spread unevenly over instances, and measures the service gap of accounts.
 
 use hawthornmill::ident::mix;
 
 use crate::fleet::FleetBuilder;
 use crate::simulation::Simulation;
 
-/// Eight instances in three failure domains and two regions.
+/// Failure domain and region of eight instances.
 pub const EIGHT_INSTANCES: &[(&str, &str)] = &[
     ("a", "north"),
     ("b", "north"),
@@ -17,24 +17,25 @@
     ("b", "north"),
 ];
 
-/// Costs of successive calls, in milliseconds; their mean is [`MEAN_COST_MS`].
-const COSTS: [u64; 5] = [40, 160, 100, 20, 180];
+/// Costs of successive calls; their mean is [`MEAN_COST_MS`].
+const COSTS_MS: [u64; 5] = [40, 160, 100, 20, 180];
 /// Mean cost of the calls of [`Backlog`].
 pub const MEAN_COST_MS: f64 = 100.0;
-/// Largest cost of the calls of [`Backlog`].
+/// Maximum cost of the calls of [`Backlog`].
 pub const MAX_COST_MS: f64 = 180.0;
 
-/// Slots of the servers of [`wide_fleet`].
+/// Slots of all servers of [`wide_fleet`].
 pub const WIDE_FLEET_SLOTS: u16 = 48;
 
-/// One service on six servers of eight slots; `flood`, `large` (share 4) and `lab-1` to `lab-6`.
+/// Returns a fleet with one service on six servers of eight slots each.
 ///
-/// Servers `draft-c-1` and `draft-c-2` stand in the south, the others in the north.
+/// Its accounts are `large` with share 4, and `flood` and `lab-1` to `lab-6` with share 1. Servers
+/// `draft-c-1` and `draft-c-2` are in region south, the others in north.
 pub fn wide_fleet() -> FleetBuilder {
     wide_fleet_with_region("south")
 }
 
-/// The same with failure domain `c` in `region`.
+/// Like [`wide_fleet`], with failure domain `c` in `region`.
 pub fn wide_fleet_with_region(region: &str) -> FleetBuilder {
     let mut fleet = FleetBuilder::new()
         .domain("a", "north")
@@ -59,43 +60,44 @@
     )
 }
 
-/// Calls of one account that wait at some instances all the time.
+/// An account that always has calls waiting at some instances.
 #[derive(Debug, Clone, Copy)]
 pub struct Backlog {
-    /// Account by name.
+    /// Name of the account.
     pub account: &'static str,
     /// Its share on every server.
     pub share: f64,
-    /// Instances that its callers use.
+    /// Instances at which its calls arrive.
     pub entries: &'static [usize],
-    /// Calls kept waiting at each of them.
+    /// Number of calls kept waiting at each of them.
     pub depth: usize,
 }
 
-/// Drives backlogs and measures the gap between their accounts.
+/// Keeps backlogs filled and measures the service gap between their accounts.
 #[derive(Debug, Clone)]
 pub struct LoadDriver {
     backlogs: Vec<Backlog>,
     calls: usize,
-    base: Vec<f64>,
-    /// Largest difference of normalised service since [`LoadDriver::reset_gap`].
+    base_costs: Vec<f64>,
+    /// Largest difference since [`LoadDriver::reset_gap`] between the service of two accounts, each
+    /// divided by its share.
     pub gap: f64,
 }
 
 impl LoadDriver {
-    /// A drive of `backlogs`.
+    /// Creates a driver of `backlogs`.
     pub fn new(backlogs: &[Backlog]) -> Self {
         Self {
             backlogs: backlogs.to_vec(),
             calls: 0,
-            base: vec![0.0; backlogs.len()],
+            base_costs: vec![0.0; backlogs.len()],
             gap: 0.0,
         }
     }
 
-    /// Counts the gap from now on.
+    /// Restarts the measurement of the gap.
     pub fn reset_gap(&mut self, sim: &Simulation) {
-        self.base = self
+        self.base_costs = self
             .backlogs
             .iter()
             .map(|b| sim.received_cost(b.account))
@@ -103,35 +105,36 @@
         self.gap = 0.0;
     }
 
-    /// Lets `millis` pass; callers send nothing to instances that are dead or frozen.
+    /// Runs for `millis`; instances that are dead or paused receive no calls.
     pub fn run(&mut self, sim: &mut Simulation, millis: u64) {
         sim.run(millis, |s| {
-            self.send(s);
-            self.measure(s);
+            self.fill_queues(s);
+            self.update_gap(s);
         });
     }
 
-    fn send(&mut self, sim: &mut Simulation) {
+    fn fill_queues(&mut self, sim: &mut Simulation) {
         for backlog in &self.backlogs {
             for entry in backlog.entries {
                 if sim.dead.contains(entry) || sim.paused.contains(entry) {
                     continue;
                 }
                 while sim.queue_length(*entry, backlog.account, "drafting") < backlog.depth {
-                    let cost = COSTS[self.calls % COSTS.len()];
+                    let cost = COSTS_MS[self.calls % COSTS_MS.len()];
                     self.calls += 1;
-                    let sent = sim.submit_call(*entry, backlog.account, "drafting", cost, 600_000);
-                    assert_eq!(sent, Ok(()), "{}", backlog.account);
+                    let accepted =
+                        sim.submit_call(*entry, backlog.account, "drafting", cost, 600_000);
+                    assert_eq!(accepted, Ok(()), "{}", backlog.account);
                 }
             }
         }
     }
 
-    fn measure(&mut self, sim: &Simulation) {
+    fn update_gap(&mut self, sim: &Simulation) {
         let services = self
             .backlogs
             .iter()
-            .zip(&self.base)
+            .zip(&self.base_costs)
             .map(|(b, base)| (sim.received_cost(b.account) - base) / b.share);
         let (least, most) = services.fold((f64::INFINITY, f64::NEG_INFINITY), |(l, m), s| {
             (l.min(s), m.max(s))
@@ -140,47 +143,48 @@
     }
 }
 
-/// The bound on the gap that docs/design/0010-fair-shares.md works out.
+/// Returns the bound on the service gap that is derived in docs/design/0010-fair-shares.md.
 ///
-/// `staleness` is the age of the oldest counter in milliseconds; each slot serves one unit of cost in
-/// a millisecond.
-pub fn gap_bound(slots: u16, staleness: u64, least_share: f64) -> f64 {
-    f64::from(slots) * (MAX_COST_MS + staleness as f64) / least_share
+/// `staleness_ms` is the age of the oldest counter; each slot serves one unit of cost per millisecond.
+pub fn gap_bound(slots: u16, staleness_ms: u64, least_share: f64) -> f64 {
+    f64::from(slots) * (MAX_COST_MS + staleness_ms as f64) / least_share
 }
 
-/// Calls that arrive by a fixed sequence, whatever becomes of them.
+/// Pseudorandom arrivals at a mean rate, independent of the outcome of earlier calls.
+///
+/// The sequence is the same in every run.
 #[derive(Debug, Clone)]
 pub struct ArrivalProcess {
     state: u64,
-    next: f64,
-    /// Mean calls a millisecond.
-    pub rate: f64,
+    next_ms: f64,
+    /// Mean number of calls per millisecond.
+    pub calls_per_ms: f64,
 }
 
 impl ArrivalProcess {
-    /// A arrivals with mean `rate` calls a millisecond.
-    pub fn new(rate: f64) -> Self {
+    /// Returns arrivals at a mean rate of `calls_per_ms`.
+    pub fn new(calls_per_ms: f64) -> Self {
         Self {
             state: 1,
-            next: 0.0,
-            rate,
+            next_ms: 0.0,
+            calls_per_ms,
         }
     }
 
-    /// The calls of the millisecond `now`: a number that picks the caller, and a cost.
-    pub fn due(&mut self, now: u64) -> Vec<(usize, u64)> {
+    /// Returns the calls that arrive until `now_ms`: a random number to choose the caller, and the cost.
+    pub fn due(&mut self, now_ms: u64) -> Vec<(usize, u64)> {
         let mut due = Vec::new();
-        while self.next <= now as f64 {
-            let pick = self.draw();
-            let cost = COSTS[pick % COSTS.len()];
-            let gap = -((self.draw() % 9999 + 1) as f64 / 10_000.0).ln();
-            self.next += gap / self.rate;
-            due.push((pick / COSTS.len(), cost));
+        while self.next_ms <= now_ms as f64 {
+            let random = self.next_random();
+            let cost = COSTS_MS[random % COSTS_MS.len()];
+            let interval = -((self.next_random() % 9999 + 1) as f64 / 10_000.0).ln();
+            self.next_ms += interval / self.calls_per_ms;
+            due.push((random / COSTS_MS.len(), cost));
         }
         due
     }
 
-    fn draw(&mut self) -> usize {
+    fn next_random(&mut self) -> usize {
         self.state = mix(self.state);
         (self.state >> 20) as usize
     }
