--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,6 +1,6 @@
-//! Benches of the decisions at the size to design for.
+//! Benchmarks of the scheduling code at the fleet size that hawthornmill is designed for.
 //!
-//! `cargo bench --bench decisions`, or with a name behind it.
+//! Run with `cargo bench --bench decisions`; append a name to run only the benchmarks that match it.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 use hawthornmill::wire::{Opener, Sealer};
 use hawthornmill_lab::slopes::fixture::{BusyOwner, Size, board, call, config, values};
 
-/// A release and the grant that follows from it, 230 accounts, a tenth or all of them waiting.
+/// Release of a slot and the grant that follows, with 230 accounts of which a tenth or all wait.
 fn grant(c: &mut Criterion) {
     let mut group = c.benchmark_group("grant");
     for (waiting, servers) in [(23, 70), (230, 70), (23, 140), (23, 280)] {
@@ -27,7 +27,7 @@
     group.finish();
 }
 
-/// The decision alone, from a free slot to the grant on the board, clock readings included.
+/// Only the decision: from the free slot to the recorded grant, including the clock readings.
 fn decision(c: &mut Criterion) {
     let mut group = c.benchmark_group("decision");
     for (waiting, servers) in [(23, 70), (230, 70), (23, 280)] {
@@ -40,7 +40,7 @@
     group.finish();
 }
 
-/// A call that arrives behind others, and leaves.
+/// Arrival of a call behind `ahead` others, and its cancellation.
 fn arrival(c: &mut Criterion) {
     let mut group = c.benchmark_group("arrival");
     for ahead in [16, 64, 250] {
@@ -52,12 +52,12 @@
         let mut board = board(size, 0, now);
         let arrival = call(now);
         for _ in 0..ahead {
-            entry::enqueue(&mut board, arrival, now).expect("there is room");
+            entry::enqueue(&mut board, arrival, now).expect("the queue has room");
         }
         pools::run_due(&mut board, now);
         group.bench_function(BenchmarkId::from_parameter(ahead), |b| {
             b.iter(|| {
-                let request = entry::enqueue(&mut board, arrival, now).expect("there is room");
+                let request = entry::enqueue(&mut board, arrival, now).expect("the queue has room");
                 entry::cancel(&mut board, request);
             });
         });
@@ -65,10 +65,10 @@
     group.finish();
 }
 
-/// A selector over every server's labels.
+/// Evaluation of a selector on the labels of all servers.
 fn selector(c: &mut Criterion) {
     let mut group = c.benchmark_group("selector");
-    let selector = Selector::parse("kind in (std,spare),!trial").expect("it parses");
+    let selector = Selector::parse("kind in (std,spare),!trial").expect("the selector is valid");
     for servers in [3000, 12_000] {
         let (config, _, _) = config(
             Size {
@@ -87,7 +87,7 @@
     group.finish();
 }
 
-/// A revision accepted whole, and put in force where one server's label changed.
+/// Validation of a whole revision, and installation of one in which a label of one server changed.
 fn configuration(c: &mut Criterion) {
     let mut group = c.benchmark_group("configuration");
     group.sample_size(10);
@@ -96,10 +96,10 @@
             servers,
             ..Size::DESIGN
         };
-        let texts = values(size, 2);
-        let named = manifest(2, &texts);
+        let values = values(size, 2);
+        let manifest = manifest(2, &values);
         group.bench_function(BenchmarkId::new("accept", servers), |b| {
-            b.iter(|| accept(&named, &texts).expect("it is good"));
+            b.iter(|| accept(&manifest, &values).expect("the configuration is valid"));
         });
         let now = Instant::now();
         let next = config(size, 2);
@@ -145,21 +145,21 @@
     }
 }
 
-/// A report sealed, opened and merged.
+/// Sealing, opening and merging of a report.
 fn report(c: &mut Criterion) {
     let mut group = c.benchmark_group("report");
     for costs in [10, 40] {
         let message = Message::Reports(vec![sample_report(costs)]);
         group.bench_function(BenchmarkId::new("seal", costs), |b| {
             let mut sealer = Sealer::new([7; 32], InstanceId::of("i1"), Incarnation(1), 0);
-            b.iter(|| sealer.seal(&message).expect("it fits"));
+            b.iter(|| sealer.seal(&message).expect("the message fits in a frame"));
         });
         group.bench_function(BenchmarkId::new("seal and open", costs), |b| {
             let mut sealer = Sealer::new([7; 32], InstanceId::of("i1"), Incarnation(1), 0);
             let mut opener = Opener::new([7; 32], 0);
             b.iter(|| {
-                let frame = sealer.seal(&message).expect("it fits");
-                opener.open(&frame).expect("it is authentic")
+                let frame = sealer.seal(&message).expect("the message fits in a frame");
+                opener.open(&frame).expect("the frame is authentic")
             });
         });
         group.bench_function(BenchmarkId::new("merge", costs), |b| {
