--- a/crates/hawthornmill-net/src/api/addresses.rs
+++ b/crates/hawthornmill-net/src/api/addresses.rs
@@ -5,7 +5,7 @@
 use hawthornmill::blackboard::Blackboard;
 use hawthornmill::ident::mix;
 
-use super::key_store::fresh_prefix;
+use super::key_store::issue_key_prefix;
 use crate::fleet::Fleet;
 
 /// The response body of `GET /v1/addresses`.
@@ -16,12 +16,12 @@
     serde_json::json!({
         "addresses": addresses,
         "ttl_ms": remaining_ttl_ms(fleet, discovery.ttl),
-        "key_prefix": fresh_prefix(fleet),
+        "key_prefix": issue_key_prefix(fleet),
         "key_ttl_ms": remaining_ttl_ms(fleet, discovery.keys),
     })
 }
 
-/// Milliseconds of `ttl`, limited to the time until this instance stops accepting calls.
+/// Returns `ttl` in milliseconds, limited to the time until this instance stops accepting calls.
 ///
 /// An instance is the home of the key prefixes that it issues, so while it shuts down, neither the
 /// prefix nor the addresses may outlast it.
--- a/crates/hawthornmill-net/src/api/call.rs
+++ b/crates/hawthornmill-net/src/api/call.rs
@@ -13,7 +13,7 @@
 use poem::{Body, Request, Response};
 
 use super::admission::{Admitted, admit};
-use super::key_store::fresh_prefix;
+use super::key_store::issue_key_prefix;
 use super::problem::Problem;
 use super::stream::{self, CallerConnection};
 use super::{accounting, addresses, body, idempotency, retries};
@@ -99,7 +99,7 @@
 
 /// Checks the limits of the account's queue before the body is read.
 ///
-/// The body of a call for which the queue has no room then takes no memory.
+/// A call for which the queue has no room then uses no memory for its body.
 fn check_queue_limits(fleet: &Fleet, request: &Request, admitted: &Admitted) -> Result<(), Code> {
     let length = request.header("content-length");
     let arrival = entry::Arrival {
@@ -164,7 +164,7 @@
 fn with_key_outcome(fleet: &Fleet, request: &Request, mut problem: Problem) -> Problem {
     if request.headers().contains_key(idempotency::KEY_HEADER) {
         problem.outcome = Outcome::Unknown;
-        problem.key_prefix = Some(fresh_prefix(fleet));
+        problem.key_prefix = Some(issue_key_prefix(fleet));
     }
     problem
 }
--- a/crates/hawthornmill-net/src/api/idempotency.rs
+++ b/crates/hawthornmill-net/src/api/idempotency.rs
@@ -24,7 +24,7 @@
 use super::admission::TIMEOUT_HEADER;
 use super::call::{Call, InFlightGuard, acquire_slot, attempt, reject};
 use super::call_result::{self, CallResult};
-use super::key_store::fresh_prefix;
+use super::key_store::issue_key_prefix;
 use super::problem::Problem;
 use super::stream as response_stream;
 use crate::fleet::{Fleet, SlotGuard};
@@ -57,7 +57,7 @@
             if rejected_for_key(&problem) {
                 accounting::record_rejection(fleet, &original, &problem, original.admitted.arrived);
             }
-            reject(fleet, &problem.with_key_prefix(fresh_prefix(fleet)))
+            reject(fleet, &problem.with_key_prefix(issue_key_prefix(fleet)))
         }
     }
 }
@@ -145,7 +145,7 @@
     let deadline = call.admitted.deadline;
     let digest = request_digest(&call);
     let ended = {
-        let mut home = fleet.home.lock();
+        let mut keys = fleet.home.lock();
         // Read under the lock. If the process were paused between this check and the claim, the
         // cleanup could remove the key of an earlier copy meanwhile, and this copy would run again.
         let now = fleet.clock.now();
@@ -159,10 +159,10 @@
             digest,
             expires_at: now + retention(ttl, deadline.saturating_duration_since(now)),
         };
-        match home.table.claim(&account_key, usage) {
+        match keys.table.claim(&account_key, usage) {
             ClaimResult::Run => {
                 let (sender, receiver) = watch::channel(());
-                home.running.insert(account_key.clone(), receiver.clone());
+                keys.running.insert(account_key.clone(), receiver.clone());
                 tokio::spawn(run_once(
                     Arc::clone(fleet),
                     call,
@@ -172,7 +172,7 @@
                 ));
                 receiver
             }
-            ClaimResult::InProgress => home.running[&account_key].clone(),
+            ClaimResult::InProgress => keys.running[&account_key].clone(),
             // The rejection of another copy is final; the caller needs a new key.
             ClaimResult::Rejected(_) => return Err(Problem::not_run(Code::KeyRejected, &id)),
             other => return claim_response(other, &id),
@@ -274,18 +274,18 @@
     in_flight: Arc<InFlightGuard>,
 ) {
     let result = run_claimed(&fleet, &call).await;
-    let mut home = fleet.home.lock();
+    let mut keys = fleet.home.lock();
     match result {
-        Ok(response) => home.table.complete(&account_key, Some(response)),
+        Ok(response) => keys.table.complete(&account_key, Some(response)),
         // Nothing was sent. The key stays rejected, so that a copy still in transit can't run after
         // the caller received `not_run` and retried with a new key.
         Err(problem) if problem.outcome == Outcome::NotRun => {
-            home.table.reject(&account_key, problem.code);
+            keys.table.reject(&account_key, problem.code);
         }
-        Err(_) => home.table.set_unknown(&account_key),
+        Err(_) => keys.table.set_unknown(&account_key),
     }
-    home.running.remove(&account_key);
-    drop(home);
+    keys.running.remove(&account_key);
+    drop(keys);
     drop(ended);
     drop(in_flight);
 }
--- a/crates/hawthornmill-net/src/api/key_store.rs
+++ b/crates/hawthornmill-net/src/api/key_store.rs
@@ -43,7 +43,7 @@
 }
 
 /// Issues a key prefix for this run of the process, dated now.
-pub fn fresh_prefix(fleet: &Fleet) -> Box<str> {
+pub fn issue_key_prefix(fleet: &Fleet) -> Box<str> {
     let age = fleet.clock.now().duration_since(fleet.started);
     let prefix = KeyPrefix {
         home: InstanceId::of(&fleet.settings.contact.name),
--- a/crates/hawthornmill-net/src/api/status.rs
+++ b/crates/hawthornmill-net/src/api/status.rs
@@ -83,15 +83,15 @@
         .iter()
         .map(|(id, pool)| {
             let owner = board.sessions.get(id).and_then(|session| session.owner);
-            let mine = board.owned_pools.get(id).filter(|o| o.active);
+            let owned = board.owned_pools.get(id).filter(|o| o.active);
             serde_json::json!({
                 "service": board.config.services[&pool.service].name,
                 "domain": board.config.domain_names.get(&pool.domain),
                 "owner": owner.and_then(|(o, _)| board.members.map.get(&o)).map(|m| m.contact.name.clone()),
-                "mine": mine.is_some(),
+                "mine": owned.is_some(),
                 "held_here": board.sessions.get(id).map(|session| session.held.len()),
-                "granted": mine.map(|o| o.held.len()),
-                "idle": mine.map(|o| o.idle_slots(now)),
+                "granted": owned.map(|o| o.held.len()),
+                "idle": owned.map(|o| o.idle_slots(now)),
             })
         })
         .collect()
--- a/tests/testsuite/access_control.rs
+++ b/tests/testsuite/access_control.rs
@@ -60,8 +60,8 @@
 
 async fn all_routers_serve(site: &Site) -> bool {
     for router in 0..site.routers.len() {
-        let answer = call(site, router, "token-big").await;
-        if answer.is_none_or(|a| a.status != 200) {
+        let response = call(site, router, "token-big").await;
+        if response.is_none_or(|a| a.status != 200) {
             return false;
         }
     }
@@ -161,16 +161,16 @@
         let url = format!("http://{}/v1/status", site.routers[0].listed.http);
         let client = Client::new();
 
-        let open = send(client.get(&url)).await.expect("the router responds");
+        let anonymous = send(client.get(&url)).await.expect("the router responds");
         let account = send(client.get(&url).bearer_auth("token-big")).await;
         let account = account.expect("the router responds");
         let operator = send(client.get(&url).bearer_auth("operators")).await;
         let operator = operator.expect("the router responds");
 
-        assert!(open.json()["revision"].is_u64());
-        for answer in [&open, &account] {
-            assert!(answer.json()["accounts"].is_null(), "{}", answer.text);
-            assert!(!answer.text.contains("big"), "{}", answer.text);
+        assert!(anonymous.json()["revision"].is_u64());
+        for response in [&anonymous, &account] {
+            assert!(response.json()["accounts"].is_null(), "{}", response.text);
+            assert!(!response.text.contains("big"), "{}", response.text);
         }
         assert_eq!(operator.json()["accounts"][0]["account"], "big");
         site.stop().await;
--- a/tests/testsuite/at_most_once.rs
+++ b/tests/testsuite/at_most_once.rs
@@ -23,8 +23,8 @@
 
 async fn key_prefix(site: &Site, router: usize) -> String {
     let url = format!("http://{}/v1/addresses", site.routers[router].listed.http);
-    let answer = send(reqwest::Client::new().get(url)).await;
-    let json = answer.expect("the router responds").json();
+    let response = send(reqwest::Client::new().get(url)).await;
+    let json = response.expect("the router responds").json();
     json["key_prefix"].as_str().unwrap_or_default().to_owned()
 }
 
@@ -76,12 +76,12 @@
         let key = format!("{}.1", key_prefix(&site, 0).await);
         site.routers[0].signal(Signal::SIGSTOP);
 
-        let answer = call_booking(&site, 1, &key, "1000").await.json();
+        let response = call_booking(&site, 1, &key, "1000").await.json();
         tokio::time::sleep(Duration::from_millis(300)).await;
         site.routers[0].signal(Signal::SIGCONT);
         tokio::time::sleep(Duration::from_millis(1500)).await;
 
-        assert_eq!(answer["outcome"], "unknown");
+        assert_eq!(response["outcome"], "unknown");
         assert_eq!(started_runs(&site), 0);
         site.stop().await;
     });
@@ -115,9 +115,9 @@
 
         assert_eq!(first.json()["outcome"], "unknown");
         assert_eq!(first.json()["attempt"], "unknown");
-        for answer in again {
-            assert_eq!(answer["outcome"], "unknown");
-            assert_eq!(answer["attempt"], "not_run");
+        for response in again {
+            assert_eq!(response["outcome"], "unknown");
+            assert_eq!(response["attempt"], "not_run");
         }
         assert_eq!(started_runs(&site), 1);
         site.stop().await;
--- a/tests/testsuite/end_to_end.rs
+++ b/tests/testsuite/end_to_end.rs
@@ -25,10 +25,10 @@
             seed: 1,
         };
 
-        let stories = run(&plan, &site.seeds(), &Arc::new(Watcher::default())).await;
+        let results = run(&plan, &site.seeds(), &Arc::new(Watcher::default())).await;
 
-        let summary = summarize(&stories);
-        let unfinished: Vec<_> = stories.iter().filter(|s| !s.whole()).collect();
+        let summary = summarize(&results);
+        let unfinished: Vec<_> = results.iter().filter(|result| !result.whole()).collect();
         assert!(summary.calls > 100, "{summary:?}");
         assert!(unfinished.is_empty(), "{unfinished:?}");
         let ledgers = site
--- a/tests/testsuite/invalid_input.rs
+++ b/tests/testsuite/invalid_input.rs
@@ -15,14 +15,14 @@
         .body("{\"tag\":\"big/1\",\"tokens\":3}")
 }
 
-fn summarize(answer: Option<&Answer>) -> String {
-    let Some(answer) = answer else {
-        return "no answer".into();
+fn summarize(response: Option<&Answer>) -> String {
+    let Some(response) = response else {
+        return "no response".into();
     };
-    let body = answer.json();
+    let body = response.json();
     format!(
         "{} code {} outcome {}: {}",
-        answer.status, body["code"], body["outcome"], body["title"]
+        response.status, body["code"], body["outcome"], body["title"]
     )
 }
 
--- a/tests/testsuite/response_integrity.rs
+++ b/tests/testsuite/response_integrity.rs
@@ -99,24 +99,24 @@
     for fault in faults {
         engines(&site).for_each(|e| e.misbehave(&[fault(700)]));
 
-        let answers = [
+        let responses = [
             send(generate(&site, 100)).await,
             send(generate(&site, 100)).await,
             send(generate(&site, 100)).await,
         ];
 
-        let cut = answers.iter().filter(|a| a.is_none()).count();
-        let complete = answers
+        let truncated = responses.iter().filter(|a| a.is_none()).count();
+        let complete = responses
             .iter()
             .flatten()
             .filter(|a| a.text == expected_body(100));
         assert_eq!(
-            cut + complete.count(),
+            truncated + complete.count(),
             3,
             "{:?} was forwarded as complete",
             fault(700)
         );
-        assert!(cut > 0);
+        assert!(truncated > 0);
         // The engine sees a closed connection a moment later.
         tokio::time::sleep(Duration::from_millis(300)).await;
         let running: u32 = engines(&site).map(|e| e.ledger.lock().running).sum();
@@ -135,9 +135,9 @@
             engines(&site).for_each(|e| e.misbehave(&[fault(701)]));
             let before = run_counts(&site);
 
-            let answer = send(generate(&site, 100)).await;
+            let response = send(generate(&site, 100)).await;
 
-            assert_eq!(answer.map(|a| a.text), Some(expected_body(100)));
+            assert_eq!(response.map(|a| a.text), Some(expected_body(100)));
             let after = run_counts(&site);
             assert!(after.0 - before.0 >= 2, "the response was not resumed");
             assert_eq!(after.1 - before.1, 1);
@@ -154,11 +154,13 @@
         let site = start_site("").await;
         engines(&site).for_each(|e| e.misbehave(&[EngineFault::WrongId; 4]));
 
-        let crossed = send(generate(&site, 10)).await.expect("a response");
+        let response = send(generate(&site, 10))
+            .await
+            .expect("the router responds");
 
-        assert_eq!(crossed.json()["code"], 3018);
-        assert_eq!(crossed.json()["outcome"], "unknown");
-        assert!(!crossed.text.contains("token"));
+        assert_eq!(response.json()["code"], 3018);
+        assert_eq!(response.json()["outcome"], "unknown");
+        assert!(!response.text.contains("token"));
         site.stop().await;
     });
 }
@@ -173,7 +175,12 @@
         // Takes all twelve slots; further calls wait behind them.
         let mut occupying = Vec::new();
         for _ in 0..12 {
-            occupying.push(generate(&site, 20_000).send().await.expect("a response"));
+            occupying.push(
+                generate(&site, 20_000)
+                    .send()
+                    .await
+                    .expect("the router responds"),
+            );
         }
         let queued = join_all((0..6).map(|_| generate(&site, 20_000).send()));
         let body = "{\"tag\":\"small-1/1\",\"tokens\":5}".to_owned();
@@ -186,12 +193,12 @@
             occupying.pop();
         };
 
-        let answer = tokio::select! {
-            (answer, ()) = async { tokio::join!(send(retried), free_slot) } => answer,
+        let response = tokio::select! {
+            (response, ()) = async { tokio::join!(send(retried), free_slot) } => response,
             _ = queued => panic!("no queued call ends"),
         };
 
-        let json = answer.expect("a response").json();
+        let json = response.expect("the router responds").json();
         let started = engines(&site).any(|e| e.ledger.lock().runs.contains_key("small-1/1"));
         assert!(started);
         assert_eq!(json["outcome"], "unknown");
@@ -209,8 +216,8 @@
         let calls = (0..16).map(|n| shapes[n % 4]).map(|(length, chunk)| {
             let request = call(&site, "/bytes", bytes_request(length, chunk));
             async move {
-                let answer = request.send().await.expect("a response");
-                (length, answer.bytes().await.expect("a complete body"))
+                let response = request.send().await.expect("the router responds");
+                (length, response.bytes().await.expect("a complete body"))
             }
         });
 
@@ -228,8 +235,11 @@
 fn disconnected_caller_cancels_engine_call() {
     block_on(async {
         let site = start_site("").await;
-        let answer = generate(&site, 20_000).send().await.expect("a response");
-        let mut chunks = answer.bytes_stream();
+        let response = generate(&site, 20_000)
+            .send()
+            .await
+            .expect("the router responds");
+        let mut chunks = response.bytes_stream();
         let first = chunks.next().await;
         assert!(first.is_some_and(|c| c.is_ok()));
 
@@ -249,8 +259,11 @@
     block_on(async {
         let site = start_site("").await;
         engines(&site).for_each(|e| e.misbehave(&[EngineFault::Stall(700)]));
-        let answer = generate(&site, 100).send().await.expect("a response");
-        let mut chunks = answer.bytes_stream();
+        let response = generate(&site, 100)
+            .send()
+            .await
+            .expect("the router responds");
+        let mut chunks = response.bytes_stream();
         assert!(chunks.next().await.is_some_and(|c| c.is_ok()));
 
         drop(chunks);
@@ -283,11 +296,11 @@
         for length in [16 << 20, 128 << 20] {
             let body = bytes_request(length, 64 << 10);
             let opened = (0..8).map(|_| call(&site, "/bytes", body.clone()).send());
-            let answers = join_all(opened).await;
-            assert!(answers.iter().all(Result::is_ok));
+            let responses = join_all(opened).await;
+            assert!(responses.iter().all(Result::is_ok));
             tokio::time::sleep(Duration::from_secs(1)).await;
             growth.push(resident_bytes(&site).saturating_sub(before) as f64);
-            drop(answers);
+            drop(responses);
         }
 
         let ratio = growth[1] / (8u64 * (128 << 20)) as f64;
@@ -309,7 +322,11 @@
         let mut site = start_site("").await;
         let length = 24 << 20;
         let request = call(&site, "/bytes", bytes_request(length, 64 << 10));
-        let mut chunks = request.send().await.expect("a response").bytes_stream();
+        let mut chunks = request
+            .send()
+            .await
+            .expect("the router responds")
+            .bytes_stream();
         site.routers[0].signal(Signal::SIGTERM);
 
         let mut read = 0;
@@ -335,7 +352,10 @@
 fn second_signal_reports_interrupted_calls() {
     block_on(async {
         let mut site = start_site("").await;
-        let answer = generate(&site, 20_000).send().await.expect("a response");
+        let response = generate(&site, 20_000)
+            .send()
+            .await
+            .expect("the router responds");
         site.routers[0].signal(Signal::SIGTERM);
         tokio::time::sleep(Duration::from_millis(200)).await;
         site.routers[0].signal(Signal::SIGTERM);
@@ -346,7 +366,7 @@
         assert_eq!(code, Some(1));
         assert!(log.contains("1 calls cut: a second signal"), "{log}");
         assert!(
-            answer.bytes().await.is_err(),
+            response.bytes().await.is_err(),
             "the caller took a truncated response for complete"
         );
         site.stop().await;
@@ -367,14 +387,14 @@
 
         let (count, partial) = lines.resume_point().expect("no line exceeds the limit");
         let rest: String = text.split_inclusive('\n').skip(count as usize).collect();
-        let mut filter = ResumeFilter::new(partial);
+        let mut resume_filter = ResumeFilter::new(partial);
         let mut joined = text.as_bytes()[..at].to_vec();
         for chunk in rest.as_bytes().chunks(step) {
-            let skip = filter.skip(chunk).expect("the resumed response is the same");
+            let skip = resume_filter.skip(chunk).expect("the resumed response is the same");
             joined.extend_from_slice(&chunk[skip..]);
         }
 
         prop_assert_eq!(joined, text.as_bytes());
-        prop_assert!(filter.is_done());
+        prop_assert!(resume_filter.is_done());
     }
 }
