--- a/tests/testsuite/demo.rs
+++ b/tests/testsuite/demo.rs
@@ -1,11 +1,12 @@
-//! The first command of the README.
+//! The demo program, which is the first command of the README.
 
 use std::process::Command;
 
 const DEMO: &str = env!("CARGO_BIN_EXE_hawthornmill-demo");
 
+/// Failure: the JSON output lacks a figure, has other text beside it, or reports lost or repeated calls.
 #[test]
-fn the_demo_prints_one_object_with_every_figure() {
+fn demo_output_lacks_no_figure() {
     let output = Command::new(DEMO)
         .args(["--instances", "3", "--seconds", "3", "--json"])
         .output()
@@ -13,7 +14,7 @@
 
     let errors = String::from_utf8_lossy(&output.stderr);
     let result: serde_json::Value = serde_json::from_slice(&output.stdout)
-        .unwrap_or_else(|e| panic!("standard output is one JSON object: {e}; {errors}"));
+        .unwrap_or_else(|e| panic!("standard output is not one JSON object: {e}; {errors}"));
     for key in [
         "policy",
         "accounts",
@@ -34,7 +35,7 @@
     for key in ["lost", "crossed", "truncated", "repeated"] {
         assert_eq!(result[key], 0, "{key}");
     }
-    let first = &result["accounts"][0];
+    let account = &result["accounts"][0];
     for key in [
         "name",
         "share",
@@ -43,12 +44,13 @@
         "backlogged_s",
         "refused",
     ] {
-        assert!(!first[key].is_null(), "{key} is missing");
+        assert!(!account[key].is_null(), "{key} is missing");
     }
 }
 
+/// Failure: a mistyped example name starts a demo with other settings.
 #[test]
-fn the_demo_refuses_words_that_it_does_not_know() {
+fn demo_rejects_unknown_example() {
     let output = Command::new(DEMO)
         .args(["--example", "nowhere"])
         .output()
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,8 +1,7 @@
-//! Every test of hawthornmill, in one binary.
+//! Integration tests of hawthornmill, built as one binary.
 
 mod access;
 mod bad_input;
-mod bad_servers;
 mod causes;
 mod check;
 mod configuration;
@@ -10,13 +9,13 @@
 mod demo;
 mod errors;
 mod explain;
+mod failing_servers;
 mod fleet_shares;
 mod frames;
 mod gateway;
 mod histories;
 mod keys;
 mod labels;
-mod leave;
 mod leaving;
 mod liveness;
 mod membership;
@@ -27,6 +26,7 @@
 mod path;
 mod random_input;
 mod retries;
+mod rolling_restart;
 mod routing;
 mod settings;
 mod shares;
@@ -38,7 +38,7 @@
 /// The router program under test.
 const ROUTER: &str = env!("CARGO_BIN_EXE_hawthornmill-router");
 
-/// A runtime for one test.
+/// Runs `future` on a multi-threaded runtime of its own.
 fn block_on<T>(future: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
