--- a/crates/hawthornmill-net/src/peers/handler.rs
+++ b/crates/hawthornmill-net/src/peers/handler.rs
@@ -99,8 +99,8 @@
 
 /// Returns whether this instance follows `from`, the first reader of its failure domain.
 ///
-/// The instance lists of two readers may differ for a moment. Following only one of them prevents
-/// requests to each reader in turn.
+/// The instance lists of two readers may differ for a moment. An instance that followed both would
+/// request the list from each in turn.
 fn follows(board: &Blackboard, from: InstanceId) -> bool {
     let readers = placement::readers(&board.members, board.members.own().domain);
     readers.first() == Some(&from) && !readers.contains(&board.me())
--- a/crates/hawthornmill-net/src/peers/tcp.rs
+++ b/crates/hawthornmill-net/src/peers/tcp.rs
@@ -23,7 +23,7 @@
 /// Longest time between two connection attempts to an instance that is down.
 const DOWN_RETRY_DELAY: Duration = Duration::from_secs(5);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for an instance to be heard again after its connection fails.
+/// Time within which an instance must be heard again after its connection breaks.
 const SUSPECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Starts the tasks that accept and open connections.
--- a/crates/hawthornmill-net/src/peers/udp.rs
+++ b/crates/hawthornmill-net/src/peers/udp.rs
@@ -17,10 +17,9 @@
 use super::handler;
 use crate::fleet::Fleet;
 
-/// Every so many heartbeats, one carries the sender's contact to all recipients.
+/// One heartbeat in this many carries the sender's contact to all recipients.
 const CONTACT_PERIOD: u64 = 50;
-/// Number of final heartbeats, which say that no more will follow; more than one, since UDP may lose
-/// some.
+/// Number of final heartbeats, which say that no more will follow; several, since UDP may lose one.
 const FINAL_HEARTBEATS: u8 = 3;
 /// Time for which an instance still gets heartbeats after it last needed them.
 const RECIPIENT_TTL: Duration = Duration::from_secs(30);
