--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -127,7 +127,7 @@
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         timer.tick().await;
-        fleet.feed(|board, now| {
+        fleet.apply(|board, now| {
             // This must come first, since the tick removes the state of what it completes.
             fleet.telemetry.usage.causes().observe(board, now);
             tick::tick(board, now);
@@ -184,7 +184,7 @@
             let fleet = Arc::clone(&fleet);
             tokio::spawn(async move {
                 if let Some(load) = fleet.upstream.load(&address).await {
-                    fleet.feed(|board, _| {
+                    fleet.apply(|board, _| {
                         owner::on_load_reading(board, pool, server, load.running);
                         owner::on_leaving_reading(board, pool, server, load.leaving);
                     });
@@ -231,7 +231,7 @@
     log::info!(target: "daemon", "instance {} leaves", fleet.settings.contact.name);
     let closes_at = fleet.clock.now() + fleet.settings.discovery.ttl + LEAVE_PROPAGATION;
     let _first = fleet.closes_at.set(closes_at);
-    fleet.feed(|board, _| {
+    fleet.apply(|board, _| {
         let me = board.me();
         board.members.set_leaving(me);
     });
--- a/crates/hawthornmill-net/src/entry/call.rs
+++ b/crates/hawthornmill-net/src/entry/call.rs
@@ -269,7 +269,7 @@
 /// is itself silent, would keep sending work there.
 fn note_leaving(fleet: &Fleet, server: ServerId, answer: &reqwest::Response) {
     if answer.headers().get(LEAVING).is_some_and(|v| v == "yes") {
-        fleet.feed(|board, now| entry::on_server_leaving(board, server, now));
+        fleet.apply(|board, now| entry::on_server_leaving(board, server, now));
     }
 }
 
--- a/crates/hawthornmill-net/src/entry/keyed.rs
+++ b/crates/hawthornmill-net/src/entry/keyed.rs
@@ -180,7 +180,7 @@
 /// names began to run before the stop, so it would be run after its caller has given up. Until the
 /// sockets have been read empty after a pause, no such call is taken.
 fn undatable(fleet: &Fleet) -> bool {
-    fleet.feed(|board, now| {
+    fleet.apply(|board, now| {
         // The first handler after a pause may run before the next tick.
         tick::detect_pause(board, now);
         let woke = board
--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -133,7 +133,7 @@
     }
 
     /// Applies an event to the blackboard, runs the controllers and passes on their results.
-    pub fn feed<T>(&self, event: impl FnOnce(&mut Blackboard, Instant) -> T) -> T {
+    pub fn apply<T>(&self, event: impl FnOnce(&mut Blackboard, Instant) -> T) -> T {
         let now = self.clock.now();
         let mut state = self.lock();
         // After a pause of the process, a message may be handled before the next tick.
@@ -206,7 +206,7 @@
 
     /// Handles a message from a peer.
     pub fn receive(&self, from: InstanceId, incarnation: Incarnation, message: Message) {
-        self.feed(|board, now| pools::handle_message(board, from, incarnation, message, now));
+        self.apply(|board, now| pools::handle_message(board, from, incarnation, message, now));
     }
 
     /// Sets `ready` as soon as this instance knows enough to serve; it stays set.
@@ -331,7 +331,7 @@
             return;
         }
         let key = self.key;
-        self.fleet.feed(|board, _| {
+        self.fleet.apply(|board, _| {
             entry::cancel(board, key);
         });
         self.fleet.lock().waiters.remove(&key);
@@ -395,7 +395,7 @@
     fn drop(&mut self) {
         let (pool, grant) = self.pool_and_grant();
         let (cost, failed, bytes) = (self.cost, self.failed, self.bytes);
-        self.fleet.feed(|board, now| {
+        self.fleet.apply(|board, now| {
             cross_region::spend(board, pool, bytes);
             entry::finish(board, pool, grant, cost, failed, now);
         });
--- a/crates/hawthornmill-net/src/peers/handler.rs
+++ b/crates/hawthornmill-net/src/peers/handler.rs
@@ -45,7 +45,7 @@
             fleet.outgoing.send(from, Message::ProbeAck(ack));
         }
         Message::ProbeAck(ack) => {
-            fleet.feed(|board, now| tick::on_probe_ack(board, ack, now));
+            fleet.apply(|board, now| tick::on_probe_ack(board, ack, now));
             request_config(fleet, from, ack.revision);
         }
         Message::Reports(reports) => handle_reports(fleet, from, reports),
@@ -76,7 +76,7 @@
         stable_tenths: heartbeat.steady_tenths,
         direct: true,
     };
-    let (from_reader, pull_roster) = fleet.feed(|board, now| {
+    let (from_reader, pull_roster) = fleet.apply(|board, now| {
         if let Some(contact) = heartbeat.contact {
             board.members.upsert_contact(*contact, now);
         }
@@ -107,7 +107,7 @@
 }
 
 fn handle_roster(fleet: &Arc<Fleet>, from: InstanceId, delta: RosterDelta) {
-    fleet.feed(|board, now| {
+    fleet.apply(|board, now| {
         // An instance that started while the platform is down accepts the list from any peer.
         let accepts = follows(board, from) || !board.roster.is_known();
         if accepts && board.roster.apply(delta) {
@@ -121,7 +121,7 @@
     from: InstanceId,
     reports: Vec<hawthornmill::wire::message::Report>,
 ) {
-    let revision = fleet.feed(|board, now| {
+    let revision = fleet.apply(|board, now| {
         let interval: Duration = board.tuning.report;
         for report in reports {
             let (reports, members, ledger) =
@@ -135,7 +135,7 @@
 
 /// Requests the configuration from `from` if its `revision` is newer than the installed one.
 fn request_config(fleet: &Arc<Fleet>, from: InstanceId, revision: u64) {
-    let have = fleet.feed(|board, now| {
+    let have = fleet.apply(|board, now| {
         let request = board
             .revisions
             .should_request(revision, board.config.revision, now);
@@ -184,7 +184,7 @@
     match accept::accept(manifest, &values) {
         Ok(config) => {
             let revision = config.revision;
-            let installed = fleet.feed(|board, _| board.install(config, manifest.clone(), values));
+            let installed = fleet.apply(|board, _| board.install(config, manifest.clone(), values));
             if installed {
                 log::info!(target: "config", "revision {revision} in force");
                 fleet.heartbeat_now.notify_one();
@@ -192,7 +192,7 @@
             installed
         }
         Err(faults) => {
-            fleet.feed(|board, _| board.revisions.reject(manifest, &faults));
+            fleet.apply(|board, _| board.revisions.reject(manifest, &faults));
             for fault in &faults {
                 log::error!(target: "config", "revision {} refused: {fault}", manifest.revision);
             }
--- a/crates/hawthornmill-net/src/peers/tcp.rs
+++ b/crates/hawthornmill-net/src/peers/tcp.rs
@@ -91,17 +91,17 @@
     loop {
         if let Some((reader, writer, nonce)) = connect(&fleet, to).await {
             delay = MIN_RETRY_DELAY;
-            fleet.feed(|board, _| entry::on_reconnected(board, to));
+            fleet.apply(|board, _| entry::on_reconnected(board, to));
             write_frames(&fleet, to, &mut queue, reader, writer, nonce).await;
         }
-        fleet.feed(|board, now| {
+        fleet.apply(|board, now| {
             board.broken_peers.insert(to);
             board.members.suspect(to, now, SUSPECT_TIMEOUT);
         });
         while queue.try_recv().is_ok() {}
         if !fleet.view(|board| board.members.map.contains_key(&to)) {
             fleet.outgoing.close(to);
-            fleet.feed(|board, _| board.broken_peers.remove(&to));
+            fleet.apply(|board, _| board.broken_peers.remove(&to));
             return;
         }
         let jittered = delay.mul_f64(rand::random_range(0.5..1.0));
--- a/crates/hawthornmill-net/src/peers/udp.rs
+++ b/crates/hawthornmill-net/src/peers/udp.rs
@@ -179,7 +179,7 @@
     let mut timer = tokio::time::interval(fleet.settings.tuning.report);
     loop {
         timer.tick().await;
-        let messages = fleet.feed(hawthornmill::pools::tick::build_reports);
+        let messages = fleet.apply(hawthornmill::pools::tick::build_reports);
         for (to, message) in messages {
             fleet.outgoing.send(to, message);
         }
--- a/crates/hawthornmill-net/src/platform.rs
+++ b/crates/hawthornmill-net/src/platform.rs
@@ -206,7 +206,7 @@
         return (Poll::Failed, false);
     };
     fleet.platform.lock().newest_revision = manifest.revision;
-    fleet.feed(|board, _| board.startup.platform_answered = true);
+    fleet.apply(|board, _| board.startup.platform_answered = true);
     let early = started.elapsed() < wait / 2;
     let rejected = fleet.view(|board| board.revisions.is_rejected(&manifest));
     if manifest.revision <= have || rejected {
@@ -272,7 +272,7 @@
         return;
     };
     fleet.platform.lock().own = Some(fleet.clock.now());
-    fleet.feed(|board, now| {
+    fleet.apply(|board, now| {
         if board
             .roster
             .replace(list.into_iter().map(RosterEntry::from).collect())
