--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -241,12 +241,13 @@
 /// Serves callers with cached addresses until the discovery TTL expires, then refuses new calls and
 /// waits for those in flight.
 async fn drain(fleet: &Fleet) {
-    // Other instances list this one until they learn that it is leaving, so the TTL of the last list
-    // that names it starts up to that much later.
+    // Other instances list this one until they learn that it is leaving, so the TTL of the last
+    // list that names it starts up to that much later.
     tokio::time::sleep(fleet.settings.discovery.ttl + LEAVE_PROPAGATION).await;
     fleet.closed.store(true, Ordering::SeqCst);
     // Late callers get a rejection that names other addresses. If the listener closed now, a
-    // connection not yet accepted would be reset, and its caller couldn't tell whether its call ran.
+    // connection not yet accepted would be reset, and its caller couldn't tell whether its call
+    // ran.
     tokio::time::sleep(LEAVE_PROPAGATION).await;
     while fleet.in_flight.load(Ordering::SeqCst) > 0 {
         tokio::time::sleep(TICK_INTERVAL).await;
--- a/crates/hawthornmill-net/src/fleet.rs
+++ b/crates/hawthornmill-net/src/fleet.rs
@@ -363,8 +363,8 @@
         }
     }
 
-    /// Adds response bytes, which are charged to the cross-region budget if the server is in another
-    /// region.
+    /// Adds response bytes, which are charged to the cross-region budget if the server is in
+    /// another region.
     pub fn add_bytes(&mut self, bytes: usize) {
         self.bytes += bytes;
     }
--- a/crates/hawthornmill-net/src/lib.rs
+++ b/crates/hawthornmill-net/src/lib.rs
@@ -1,8 +1,8 @@
 //! Sockets, HTTP and telemetry around the decision logic of [`hawthornmill`].
 //!
-//! Each process has one [`fleet::Fleet`], which holds the blackboard behind a lock. Adapters hold the
-//! lock for microseconds: they apply an event, run the controllers and pass on the results, which are
-//! requests dispatched to a server, rejections, and messages for peers.
+//! Each process has one [`fleet::Fleet`], which holds the blackboard behind a lock. Adapters hold
+//! the lock for microseconds: they apply an event, run the controllers and pass on the results,
+//! which are requests dispatched to a server, rejections, and messages for peers.
 //!
 //! | module | communicates with |
 //! |---|---|
--- a/crates/hawthornmill-net/src/peers/mod.rs
+++ b/crates/hawthornmill-net/src/peers/mod.rs
@@ -1,9 +1,9 @@
 //! Transport of messages between instances.
 //!
-//! Heartbeats, probes and reports go over UDP ([`udp`]): each one supersedes the one before, so a loss
-//! delays the information by one interval. Demand, grants, holdings and configuration go over TCP
-//! ([`tcp`]), with one connection from each sender to each receiver, opened on demand. All frames
-//! carry a keyed MAC.
+//! Heartbeats, probes and reports go over UDP ([`udp`]): each one supersedes the one before, so a
+//! loss delays the information by one interval. Demand, grants, holdings and configuration go over
+//! TCP ([`tcp`]), with one connection from each sender to each receiver, opened on demand. All
+//! frames carry a keyed MAC.
 
 pub mod handler;
 pub mod tcp;
--- a/crates/hawthornmill-net/src/peers/tcp.rs
+++ b/crates/hawthornmill-net/src/peers/tcp.rs
@@ -1,7 +1,8 @@
 //! TCP transport for demand, grants, holdings and configuration.
 //!
 //! The accepting side first sends an eight-byte random nonce. It is part of every frame's MAC, so
-//! frames replayed from an earlier connection are rejected. Each frame has a four-byte length prefix.
+//! frames replayed from an earlier connection are rejected. Each frame has a four-byte length
+//! prefix.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -151,8 +152,8 @@
     let mut byte = [0; 1];
     loop {
         let message = tokio::select! {
-            // The receiver sends nothing after its nonce, so a byte or the end of the stream means that
-            // the connection is unusable.
+            // The receiver sends nothing after its nonce, so a byte or the end of the stream means
+            // that the connection is unusable.
             _ = reader.read(&mut byte) => return,
             message = queue.recv() => message,
         };
--- a/crates/hawthornmill-net/src/peers/udp.rs
+++ b/crates/hawthornmill-net/src/peers/udp.rs
@@ -99,9 +99,10 @@
 
 /// Instances that this one sends heartbeats to.
 ///
-/// A recipient expects another heartbeat after each one. An instance that needs them only now and then
-/// keeps getting them for [`RECIPIENT_TTL`], and final heartbeats announce the end. Otherwise it would
-/// consider the sender down, reassign pool owners, and revert that at the next relayed report.
+/// A recipient expects another heartbeat after each one. An instance that needs them only now and
+/// then keeps getting them for [`RECIPIENT_TTL`], and final heartbeats announce the end. Otherwise
+/// it would consider the sender down, reassign pool owners, and revert that at the next relayed
+/// report.
 type Recipients = BTreeMap<InstanceId, Recipient>;
 
 /// Sends heartbeats at an interval that grows with the number of recipients, and at once after a
--- a/crates/hawthornmill-net/src/platform.rs
+++ b/crates/hawthornmill-net/src/platform.rs
@@ -16,7 +16,8 @@
 
 /// How long the platform may hold a watch request open.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// The same while the newest revision was rejected: its values may be corrected under the same number.
+/// The same while the newest revision was rejected: its values may be corrected under the same
+/// number.
 const WATCH_REJECTED_WAIT: Duration = Duration::from_secs(3);
 /// Timeout of any other request; a watch gets it on top of its wait.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
@@ -173,8 +174,8 @@
         };
         match outcome {
             Poll::Failed => pause(backoff(failures)).await,
-            // The platform may answer a watch at once with an older revision; don't ask again without
-            // a delay.
+            // The platform may answer a watch at once with an older revision; don't ask again
+            // without a delay.
             Poll::Unchanged if !fleet.ready.load(Ordering::Relaxed) => pause(RETRY_DELAYS[0]).await,
             Poll::Unchanged if role == Role::Fallback => pause(FALLBACK_INTERVAL).await,
             Poll::Unchanged if early => pause(RETRY_DELAYS[1]).await,
@@ -218,8 +219,8 @@
     if install(fleet, &manifest, values) {
         return (Poll::Installed, false);
     }
-    // A peer may have sent this revision or a newer one first, and a rejection is final. Anything else
-    // is retried.
+    // A peer may have sent this revision or a newer one first, and a rejection is final. Anything
+    // else is retried.
     let decided = fleet.view(|board| {
         board.config.revision >= manifest.revision || board.revisions.is_rejected(&manifest)
     });
--- a/tests/testsuite/demo.rs
+++ b/tests/testsuite/demo.rs
@@ -4,7 +4,8 @@
 
 const DEMO: &str = env!("CARGO_BIN_EXE_hawthornmill-demo");
 
-/// Failure: the JSON output lacks a figure, has other text beside it, or reports lost or repeated calls.
+/// Failure: the JSON output lacks a figure, has other text beside it, or reports lost or repeated
+/// calls.
 #[test]
 fn demo_output_lacks_no_figure() {
     let output = Command::new(DEMO)
--- a/tests/testsuite/failing_servers.rs
+++ b/tests/testsuite/failing_servers.rs
@@ -17,8 +17,8 @@
                        [caller small-1]\nservice = drafting\nrate = 30\ntokens = 20\n";
 const UNAVAILABLE: &str = "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
 
-/// Starts a server that responds to every request with `response`, which may be empty, and then closes
-/// the connection.
+/// Starts a server that responds to every request with `response`, which may be empty, and then
+/// closes the connection.
 ///
 /// It counts POST requests in `calls`.
 async fn start_failing_server(
@@ -50,17 +50,17 @@
     )
 }
 
-/// Failure: servers that fail fast attract most calls, since they free their slots sooner than healthy
-/// ones, and callers get errors. One server closes every connection, one responds with 503 and one
-/// refuses connections.
+/// Failure: servers that fail fast attract most calls, since they free their slots sooner than
+/// healthy ones, and callers get errors. One server closes every connection, one responds with 503
+/// and one refuses connections.
 #[test]
 fn failing_servers_fail_few_calls_and_attract_no_surplus() {
     block_on(async {
         let site = small_site(ROUTER, 3).await;
         let (closing_calls, busy_calls) =
             (Arc::<AtomicU64>::default(), Arc::<AtomicU64>::default());
-        // Bound until the end of the test but never listening, so that connections are refused and no
-        // other test's server gets the port.
+        // Bound until the end of the test but never listening, so that connections are refused and
+        // no other test's server gets the port.
         let unreachable = TcpSocket::new_v4().expect("a socket can be made");
         unreachable
             .bind(([127, 0, 0, 1], 0).into())
--- a/tests/testsuite/rolling_restart.rs
+++ b/tests/testsuite/rolling_restart.rs
@@ -51,9 +51,9 @@
     (codes, listed)
 }
 
-/// Failure: a rolling restart truncates streams, loses calls or runs a keyed booking twice. All eight
-/// routers restart in turn while more calls are queued than the servers can run and callers keep using
-/// cached addresses until their TTL expires.
+/// Failure: a rolling restart truncates streams, loses calls or runs a keyed booking twice. All
+/// eight routers restart in turn while more calls are queued than the servers can run and callers
+/// keep using cached addresses until their TTL expires.
 #[test]
 fn rolling_restart_loses_no_calls_and_repeats_no_booking() {
     block_on(async {
