--- a/crates/hawthornmill-net/src/api/call.rs
+++ b/crates/hawthornmill-net/src/api/call.rs
@@ -298,7 +298,7 @@
         .get(LEAVING_HEADER)
         .is_some_and(|v| v == "yes")
     {
-        fleet.feed(|board, now| entry::on_server_leaving(board, server, now));
+        fleet.apply(|board, now| entry::on_server_leaving(board, server, now));
     }
 }
 
--- a/crates/hawthornmill-net/src/api/idempotency.rs
+++ b/crates/hawthornmill-net/src/api/idempotency.rs
@@ -185,7 +185,7 @@
 /// The timeout in such a call counts from before the pause, so the call would run after its caller
 /// stopped waiting. After a pause, no call with a key is accepted until the sockets are drained.
 fn possibly_stale(fleet: &Fleet) -> bool {
-    fleet.feed(|board, now| {
+    fleet.apply(|board, now| {
         // The first handler after a pause may run before the next tick detects it.
         tick::detect_pause(board, now);
         let resumed_recently = board
--- a/crates/hawthornmill-net/src/daemon.rs
+++ b/crates/hawthornmill-net/src/daemon.rs
@@ -129,7 +129,7 @@
     timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         timer.tick().await;
-        fleet.feed(|board, now| {
+        fleet.apply(|board, now| {
             // This must come first, since the tick removes the state of what it completes.
             fleet.telemetry.usage.wait_tracker().observe(board, now);
             tick::tick(board, now);
@@ -189,7 +189,7 @@
             let fleet = Arc::clone(&fleet);
             tokio::spawn(async move {
                 if let Some(load) = fleet.upstream.fetch_load(&address).await {
-                    fleet.feed(|board, _| {
+                    fleet.apply(|board, _| {
                         owner::on_load_reading(board, pool, server, load.running);
                         owner::on_leaving_reading(board, pool, server, load.leaving);
                     });
@@ -236,7 +236,7 @@
     log::info!(target: "daemon", "instance {} leaves", fleet.settings.contact.name);
     let closes_at = fleet.clock.now() + fleet.settings.discovery.ttl + LEAVE_PROPAGATION;
     let _first = fleet.closes_at.set(closes_at);
-    fleet.feed(|board, _| {
+    fleet.apply(|board, _| {
         let me = board.me();
         board.members.set_leaving(me);
     });
@@ -246,12 +246,13 @@
 /// Serves callers with cached addresses until the discovery TTL expires, then refuses new calls and
 /// waits for those in flight.
 async fn drain(fleet: &Fleet) {
-    // Other instances list this one until they learn that it is leaving, so the TTL of the last list
-    // that names it starts up to that much later.
+    // Other instances list this one until they learn that it is leaving, so the TTL of the last
+    // list that names it starts up to that much later.
     tokio::time::sleep(fleet.settings.discovery.ttl + LEAVE_PROPAGATION).await;
     fleet.closed.store(true, Ordering::SeqCst);
     // Late callers get a rejection that names other addresses. If the listener closed now, a
-    // connection not yet accepted would be reset, and its caller couldn't tell whether its call ran.
+    // connection not yet accepted would be reset, and its caller couldn't tell whether its call
+    // ran.
     tokio::time::sleep(LEAVE_PROPAGATION).await;
     while fleet.in_flight.load(Ordering::SeqCst) > 0 {
         tokio::time::sleep(TICK_INTERVAL).await;
--- a/crates/hawthornmill-net/src/lib.rs
+++ b/crates/hawthornmill-net/src/lib.rs
@@ -1,12 +1,12 @@
 //! Sockets, HTTP and telemetry around the decision logic of [`hawthornmill`].
 //!
-//! Each process has one [`fleet::Fleet`], which holds the blackboard behind a lock. Adapters hold the
-//! lock for microseconds: they apply an event, run the controllers and pass on the results, which are
-//! requests dispatched to a server, rejections, and messages for peers.
+//! Each process has one [`fleet::Fleet`], which holds the blackboard behind a lock. Adapters hold
+//! the lock for microseconds: they apply an event, run the controllers and pass on the results,
+//! which are requests dispatched to a server, rejections, and messages for peers.
 //!
 //! | module | communicates with |
 //! |---|---|
-//! | [`api`] | callers, over HTTP |
+//! | [`entry`] | callers, over HTTP |
 //! | [`upstream`] | backend servers, over HTTP |
 //! | [`peers`] | other instances, over UDP and TCP |
 //! | [`platform`] | the platform's configuration service and instance list |
--- a/crates/hawthornmill-net/src/peers/tcp.rs
+++ b/crates/hawthornmill-net/src/peers/tcp.rs
@@ -1,7 +1,8 @@
 //! TCP transport for demand, grants, holdings and configuration.
 //!
 //! The accepting side first sends an eight-byte random nonce. It is part of every frame's MAC, so
-//! frames replayed from an earlier connection are rejected. Each frame has a four-byte length prefix.
+//! frames replayed from an earlier connection are rejected. Each frame has a four-byte length
+//! prefix.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +24,7 @@
 /// Longest time between two connection attempts to an instance that is down.
 const DOWN_RETRY_DELAY: Duration = Duration::from_secs(5);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for an instance to be heard again after its connection fails.
+/// Time within which an instance must be heard again after its connection breaks.
 const SUSPECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Starts the tasks that accept and open connections.
@@ -91,17 +92,17 @@
     loop {
         if let Some((reader, writer, nonce)) = connect(&fleet, to).await {
             delay = MIN_RETRY_DELAY;
-            fleet.feed(|board, _| entry::on_reconnected(board, to));
+            fleet.apply(|board, _| entry::on_reconnected(board, to));
             write_frames(&fleet, to, &mut queue, reader, writer, nonce).await;
         }
-        fleet.feed(|board, now| {
+        fleet.apply(|board, now| {
             board.broken_peers.insert(to);
             board.members.suspect(to, now, SUSPECT_TIMEOUT);
         });
         while queue.try_recv().is_ok() {}
         if !fleet.view(|board| board.members.map.contains_key(&to)) {
             fleet.outgoing.close(to);
-            fleet.feed(|board, _| board.broken_peers.remove(&to));
+            fleet.apply(|board, _| board.broken_peers.remove(&to));
             return;
         }
         let jittered = delay.mul_f64(rand::random_range(0.5..1.0));
@@ -151,8 +152,8 @@
     let mut byte = [0; 1];
     loop {
         let message = tokio::select! {
-            // The receiver sends nothing after its nonce, so a byte or the end of the stream means that
-            // the connection is unusable.
+            // The receiver sends nothing after its nonce, so a byte or the end of the stream means
+            // that the connection is unusable.
             _ = reader.read(&mut byte) => return,
             message = queue.recv() => message,
         };
--- a/crates/hawthornmill-net/src/peers/udp.rs
+++ b/crates/hawthornmill-net/src/peers/udp.rs
@@ -17,10 +17,9 @@
 use super::handler;
 use crate::fleet::Fleet;
 
-/// Every so many heartbeats, one carries the sender's contact to all recipients.
+/// One heartbeat in this many carries the sender's contact to all recipients.
 const CONTACT_PERIOD: u64 = 50;
-/// Number of final heartbeats, which say that no more will follow; more than one, since UDP may lose
-/// some.
+/// Number of final heartbeats, which say that no more will follow; several, since UDP may lose one.
 const FINAL_HEARTBEATS: u8 = 3;
 /// Time for which an instance still gets heartbeats after it last needed them.
 const RECIPIENT_TTL: Duration = Duration::from_secs(30);
@@ -100,9 +99,10 @@
 
 /// Instances that this one sends heartbeats to.
 ///
-/// A recipient expects another heartbeat after each one. An instance that needs them only now and then
-/// keeps getting them for [`RECIPIENT_TTL`], and final heartbeats announce the end. Otherwise it would
-/// consider the sender down, reassign pool owners, and revert that at the next relayed report.
+/// A recipient expects another heartbeat after each one. An instance that needs them only now and
+/// then keeps getting them for [`RECIPIENT_TTL`], and final heartbeats announce the end. Otherwise
+/// it would consider the sender down, reassign pool owners, and revert that at the next relayed
+/// report.
 type Recipients = BTreeMap<InstanceId, Recipient>;
 
 /// Sends heartbeats at an interval that grows with the number of recipients, and at once after a
@@ -180,7 +180,7 @@
     let mut timer = tokio::time::interval(fleet.settings.tuning.report);
     loop {
         timer.tick().await;
-        let messages = fleet.feed(hawthornmill::pools::tick::build_reports);
+        let messages = fleet.apply(hawthornmill::pools::tick::build_reports);
         for (to, message) in messages {
             fleet.outgoing.send(to, message);
         }
