--- a/crates/hawthornmill-net/src/connections.rs
+++ b/crates/hawthornmill-net/src/connections.rs
@@ -1,11 +1,11 @@
-//! Connections of callers, which can be broken off in the middle of an answer.
+//! Client connections that can be aborted in the middle of a response.
 //!
-//! The HTTP library ends a chunked answer in order even when its body failed: it polls a failed
-//! connection once more to shut it down, and that poll writes the last chunk. A caller would take
-//! the part that it got for the whole. So a call whose answer breaks marks its connection, which
-//! from then on refuses every read and write and is dropped without a last chunk. For the same
-//! reason a connection that its caller closed marks itself: the library would go on to wait for an
-//! answer that nobody reads, and the call would keep its slot.
+//! The HTTP library terminates a chunked response properly even if its body failed: it polls the
+//! failed connection once more to shut it down, and that poll writes the last chunk. The client
+//! would take a partial response for a complete one. A call whose response fails therefore aborts
+//! its connection: every later read and write returns an error, and the connection is dropped
+//! without a last chunk. A connection that its client closed is aborted too, because the library
+//! would otherwise keep waiting for a response that nobody reads, and the call would keep its slot.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -23,32 +23,32 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 
-type Marks = BTreeMap<SocketAddr, Arc<AtomicBool>>;
+type AbortFlags = BTreeMap<SocketAddr, Arc<AtomicBool>>;
 
-/// Open connections by the address of their other end.
+/// Open connections by remote address.
 #[derive(Debug, Default, Clone)]
 pub struct Connections {
-    open: Arc<Mutex<Marks>>,
+    open: Arc<Mutex<AbortFlags>>,
 }
 
 impl Connections {
-    fn lock(&self) -> MutexGuard<'_, Marks> {
+    fn lock(&self) -> MutexGuard<'_, AbortFlags> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What breaks the connection of `request` off.
+    /// Returns the handle that aborts the connection of `request`.
     pub fn abort_handle(&self, request: &Request) -> AbortHandle {
-        // HTTP/2 resets the one stream whose body failed; others share its connection.
+        // HTTP/2 resets only the stream whose body failed; other streams share the connection.
         if request.version() == Version::HTTP_2 {
             return AbortHandle::default();
         }
         let address = request.remote_addr().as_socket_addr();
         AbortHandle {
-            mark: address.and_then(|a| self.lock().get(a).map(Arc::clone)),
+            aborted: address.and_then(|a| self.lock().get(a).map(Arc::clone)),
         }
     }
 
-    /// Accepts connections of `listener`.
+    /// Returns an acceptor of abortable connections on `listener`.
     pub fn acceptor(&self, listener: TcpListener) -> AbortableAcceptor {
         AbortableAcceptor {
             listener,
@@ -57,22 +57,22 @@
     }
 }
 
-/// Breaks one connection off.
+/// Aborts one connection.
 #[derive(Debug, Default, Clone)]
 pub struct AbortHandle {
-    mark: Option<Arc<AtomicBool>>,
+    aborted: Option<Arc<AtomicBool>>,
 }
 
 impl AbortHandle {
-    /// Nothing more is written to the connection.
+    /// Makes every later read and write of the connection fail.
     pub fn abort(&self) {
-        if let Some(mark) = &self.mark {
-            mark.store(true, Ordering::SeqCst);
+        if let Some(aborted) = &self.aborted {
+            aborted.store(true, Ordering::SeqCst);
         }
     }
 }
 
-/// Accepts connections that can be broken off.
+/// Accepts connections that can be aborted.
 #[derive(Debug)]
 pub struct AbortableAcceptor {
     listener: TcpListener,
@@ -90,12 +90,12 @@
     async fn accept(&mut self) -> io::Result<(Connection, LocalAddr, RemoteAddr, Scheme)> {
         let (stream, remote) = self.listener.accept().await?;
         let local = stream.local_addr()?;
-        let mark = Arc::new(AtomicBool::new(false));
-        self.connections.lock().insert(remote, Arc::clone(&mark));
+        let aborted = Arc::new(AtomicBool::new(false));
+        self.connections.lock().insert(remote, Arc::clone(&aborted));
         let connection = Connection {
             stream,
             remote,
-            mark,
+            aborted,
             connections: self.connections.clone(),
         };
         Ok((
@@ -107,18 +107,18 @@
     }
 }
 
-/// A connection that can be broken off.
+/// A connection that can be aborted.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     remote: SocketAddr,
-    mark: Arc<AtomicBool>,
+    aborted: Arc<AtomicBool>,
     connections: Connections,
 }
 
 impl Connection {
-    fn open(&mut self) -> io::Result<Pin<&mut TcpStream>> {
-        if self.mark.load(Ordering::SeqCst) {
+    fn stream(&mut self) -> io::Result<Pin<&mut TcpStream>> {
+        if self.aborted.load(Ordering::SeqCst) {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         Ok(Pin::new(&mut self.stream))
@@ -128,10 +128,10 @@
 impl Drop for Connection {
     fn drop(&mut self) {
         let mut open = self.connections.lock();
-        // The other end may have connected anew from the same port.
+        // The client may have opened a new connection from the same port.
         if open
             .get(&self.remote)
-            .is_some_and(|m| Arc::ptr_eq(m, &self.mark))
+            .is_some_and(|flag| Arc::ptr_eq(flag, &self.aborted))
         {
             open.remove(&self.remote);
         }
@@ -144,13 +144,13 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
-        let result = self.open()?.poll_read(cx, buf);
-        let read = matches!(result, Poll::Ready(Ok(())));
-        if read && buf.remaining() > 0 && buf.filled().len() == before {
-            // The caller is gone. The HTTP library sees it too, but then waits for the call all the
-            // same; with the mark its next flush fails, and the call is dropped at once.
-            self.mark.store(true, Ordering::SeqCst);
+        let filled_before = buf.filled().len();
+        let result = self.stream()?.poll_read(cx, buf);
+        let completed = matches!(result, Poll::Ready(Ok(())));
+        if completed && buf.remaining() > 0 && buf.filled().len() == filled_before {
+            // The client closed the connection. The HTTP library sees this too, but still waits for
+            // the call; with the flag set, its next flush fails and the call is dropped at once.
+            self.aborted.store(true, Ordering::SeqCst);
         }
         result
     }
@@ -162,15 +162,15 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.open()?.poll_write(cx, buf)
+        self.stream()?.poll_write(cx, buf)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.open()?.poll_flush(cx)
+        self.stream()?.poll_flush(cx)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.open()?.poll_shutdown(cx)
+        self.stream()?.poll_shutdown(cx)
     }
 
     fn poll_write_vectored(
@@ -178,7 +178,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.open()?.poll_write_vectored(cx, bufs)
+        self.stream()?.poll_write_vectored(cx, bufs)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/hawthornmill-net/src/telemetry/gauges.rs
+++ b/crates/hawthornmill-net/src/telemetry/gauges.rs
@@ -1,4 +1,4 @@
-//! Gauges of queues, slots, peers and configuration, read when metrics are written.
+//! Observable instruments for queues, slots, peers and configuration, read at each export.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Weak};
@@ -11,41 +11,41 @@
 
 type Observer<'a> = &'a dyn AsyncInstrument<u64>;
 
-/// Starts every gauge of `fleet`; they read nothing once the fleet is gone.
+/// Registers the instruments of `fleet`; they observe nothing after it is dropped.
 pub fn register(fleet: &Arc<Fleet>) {
-    gauge(fleet, "revision", |f, o| {
+    register_gauge(fleet, "revision", |f, o| {
         o.observe(f.view(|b| b.config.revision), &[]);
     });
-    gauge(fleet, "in_flight", |f, o| {
+    register_gauge(fleet, "in_flight", |f, o| {
         o.observe(f.flying.load(Ordering::Relaxed) as u64, &[]);
     });
-    gauge(fleet, "stale", |f, o| {
+    register_gauge(fleet, "stale", |f, o| {
         o.observe(f.view(|b| u64::from(b.stale_since.is_some())), &[]);
     });
-    gauge(fleet, "members_live", |f, o| {
+    register_gauge(fleet, "members_live", |f, o| {
         o.observe(f.view(|b| b.members.live().count() as u64), &[]);
     });
-    gauge(fleet, "keys", |f, o| {
+    register_gauge(fleet, "keys", |f, o| {
         o.observe(f.home.lock().table.len() as u64, &[]);
     });
-    gauge(fleet, "waiting", |f, o| f.view(|b| waiting(b, o)));
-    gauge(fleet, "slots_granted", |f, o| slots(f, o, false));
-    gauge(fleet, "slots_idle", |f, o| slots(f, o, true));
-    counter(fleet, "peer_bytes", |f| &f.outgoing.sent);
-    counter(fleet, "peer_bytes_far", |f| &f.outgoing.sent_far);
-    counter(fleet, "peer_messages_dropped", |f| &f.outgoing.dropped);
-    counter(fleet, "peer_frames_refused", |f| &f.outgoing.refused);
+    register_gauge(fleet, "waiting", |f, o| f.view(|b| observe_queues(b, o)));
+    register_gauge(fleet, "slots_granted", |f, o| observe_slots(f, o, false));
+    register_gauge(fleet, "slots_idle", |f, o| observe_slots(f, o, true));
+    register_counter(fleet, "peer_bytes", |f| &f.outgoing.sent);
+    register_counter(fleet, "peer_bytes_far", |f| &f.outgoing.sent_far);
+    register_counter(fleet, "peer_messages_dropped", |f| &f.outgoing.dropped);
+    register_counter(fleet, "peer_frames_refused", |f| &f.outgoing.refused);
 }
 
-fn gauge(
+fn register_gauge(
     fleet: &Arc<Fleet>,
     name: &'static str,
     read: impl Fn(&Fleet, Observer<'_>) + Send + Sync + 'static,
 ) {
     let weak: Weak<Fleet> = Arc::downgrade(fleet);
     let meter = &fleet.telemetry.instruments.meter;
-    // The provider keeps the instrument and its callback.
-    let _kept = meter
+    // The meter provider owns the callback, so the instrument can be dropped.
+    let _instrument = meter
         .u64_observable_gauge(name)
         .with_callback(move |observer| {
             if let Some(fleet) = weak.upgrade() {
@@ -55,10 +55,10 @@
         .build();
 }
 
-fn counter(fleet: &Arc<Fleet>, name: &'static str, read: fn(&Fleet) -> &AtomicU64) {
+fn register_counter(fleet: &Arc<Fleet>, name: &'static str, read: fn(&Fleet) -> &AtomicU64) {
     let weak: Weak<Fleet> = Arc::downgrade(fleet);
     let meter = &fleet.telemetry.instruments.meter;
-    let _kept = meter
+    let _instrument = meter
         .u64_observable_counter(name)
         .with_callback(move |observer| {
             if let Some(fleet) = weak.upgrade() {
@@ -68,8 +68,8 @@
         .build();
 }
 
-/// Queues that are not empty, by service and account; there are no more than grants allow.
-fn waiting(board: &Blackboard, observer: Observer<'_>) {
+/// Observes nonempty queues by service and account; grants limit their number.
+fn observe_queues(board: &Blackboard, observer: Observer<'_>) {
     for ((service, account), queue) in &board.queues {
         let names = (
             board.config.services.get(service),
@@ -85,8 +85,8 @@
     }
 }
 
-/// Slots of the pools that this instance owns.
-fn slots(fleet: &Fleet, observer: Observer<'_>, idle: bool) {
+/// Observes held or idle slots of the pools that this instance owns.
+fn observe_slots(fleet: &Fleet, observer: Observer<'_>, idle: bool) {
     let now = fleet.clock.now();
     fleet.view(|board| {
         for (id, owned) in board.owned_pools.iter().filter(|(_, o)| o.active) {
--- a/crates/hawthornmill-net/src/telemetry/logs.rs
+++ b/crates/hawthornmill-net/src/telemetry/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines through `log4rs`, one JSON object a line.
+//! Logging with `log4rs`, one JSON object per line.
 
 use hawthornmill::codes::Code;
 use log::LevelFilter;
@@ -7,13 +7,13 @@
 use log4rs::encode::json::JsonEncoder;
 use log4rs::encode::pattern::PatternEncoder;
 
-/// Target of lines that are JSON objects already: usage records, spans and metrics.
+/// Log target of messages that are already JSON: usage records, spans and metrics.
 pub const RAW_TARGET: &str = "raw";
 
-/// Starts logging to standard output.
+/// Initializes logging to standard output.
 ///
 /// # Errors
-/// [`Code::BadValue`] when the library refuses the configuration or logging runs already.
+/// [`Code::BadValue`] if the library rejects the configuration or a logger is already set.
 pub fn init(level: LevelFilter) -> Result<(), Code> {
     let lines = ConsoleAppender::builder()
         .encoder(Box::new(JsonEncoder::new()))
@@ -31,8 +31,8 @@
                 .build(RAW_TARGET, LevelFilter::Info),
         )
         .build(Root::builder().appender("lines").build(level))
-        .map_err(|_faults| Code::BadValue)?;
+        .map_err(|_errors| Code::BadValue)?;
     log4rs::init_config(config)
         .map(drop)
-        .map_err(|_running| Code::BadValue)
+        .map_err(|_error| Code::BadValue)
 }
--- a/crates/hawthornmill-net/src/telemetry/metrics.rs
+++ b/crates/hawthornmill-net/src/telemetry/metrics.rs
@@ -1,4 +1,4 @@
-//! Instruments and the exporter that writes them as JSON lines.
+//! Metric instruments and an exporter that writes them as JSON lines.
 
 use std::time::Duration;
 
@@ -10,12 +10,13 @@
 
 use super::logs::RAW_TARGET;
 
+/// Exports each data point as one JSON line.
 #[derive(Debug)]
-struct LineExporter {
+struct JsonLineExporter {
     instance: Box<str>,
 }
 
-impl PushMetricExporter for LineExporter {
+impl PushMetricExporter for JsonLineExporter {
     async fn export(&self, metrics: &ResourceMetrics) -> OTelSdkResult {
         for scope in metrics.scope_metrics() {
             for metric in scope.metrics() {
@@ -48,6 +49,7 @@
     }
 }
 
+/// Attributes and value of a data point.
 type Point = (serde_json::Value, serde_json::Value);
 
 fn attributes<'a>(list: impl Iterator<Item = &'a opentelemetry::KeyValue>) -> serde_json::Value {
@@ -77,24 +79,24 @@
     }
 }
 
-/// The instruments of one process.
+/// Metric instruments of one process.
 #[derive(Debug)]
 pub struct Instruments {
     provider: SdkMeterProvider,
-    /// Makes further instruments.
+    /// Creates further instruments.
     pub meter: Meter,
-    /// Calls by result code; 0 for a whole answer.
+    /// Calls by result code; 0 for a complete response.
     pub calls: Counter<u64>,
-    /// Milliseconds that calls waited for a slot.
+    /// Milliseconds that calls waited for a slot; exported as `waited`.
     pub wait_ms: Histogram<f64>,
-    /// Cost charged, in the services' units.
+    /// Cost charged for calls, in the unit of their service.
     pub cost: Histogram<f64>,
 }
 
 impl Instruments {
-    /// Instruments whose values are written every `interval`.
+    /// Creates instruments whose values are exported every `interval`.
     pub fn new(interval: Duration, instance: &str) -> Self {
-        let exporter = LineExporter {
+        let exporter = JsonLineExporter {
             instance: instance.into(),
         };
         let reader = PeriodicReader::builder(exporter)
@@ -111,10 +113,10 @@
         }
     }
 
-    /// Writes what is held back.
+    /// Exports all pending values.
     pub fn flush(&self) {
         if let Err(error) = self.provider.force_flush() {
-            log::warn!(target: "telemetry", "metrics can't be written: {error}");
+            log::warn!(target: "telemetry", "failed to export metrics: {error}");
         }
     }
 }
--- a/crates/hawthornmill-net/src/telemetry/mod.rs
+++ b/crates/hawthornmill-net/src/telemetry/mod.rs
@@ -14,16 +14,16 @@
 /// Logs, spans and metrics of one process.
 #[derive(Debug)]
 pub struct Telemetry {
-    /// SpanRecorder of calls.
+    /// Spans of calls.
     pub spans: SpanRecorder,
-    /// Instruments.
+    /// Metric instruments.
     pub instruments: Instruments,
-    /// Usage records.
+    /// Usage records and checkpoints.
     pub usage: UsageWriter,
 }
 
 impl Telemetry {
-    /// Starts spans and metrics; logs are started by [`logs::init`].
+    /// Starts spans and metrics; [`logs::init`] initializes logging.
     pub fn new(settings: &TelemetrySettings, instance: &str) -> Self {
         Self {
             spans: SpanRecorder::new(settings.spans, instance),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Writes what is still held back.
+    /// Exports pending spans and metrics and flushes the log.
     pub fn flush(&self) {
         self.spans.flush();
         self.instruments.flush();
--- a/crates/hawthornmill-net/src/telemetry/spans.rs
+++ b/crates/hawthornmill-net/src/telemetry/spans.rs
@@ -1,4 +1,4 @@
-//! A span for each hop of a call, and the `traceparent` that joins them.
+//! Spans for each hop of a call, linked across hops by the `traceparent` header.
 
 use std::time::{Duration, SystemTime};
 
@@ -12,16 +12,16 @@
 
 use super::logs::RAW_TARGET;
 
-/// Writes spans as JSON lines.
+/// Exports each span as one JSON line.
 #[derive(Debug, Clone)]
-struct LineExporter {
+struct JsonLineExporter {
     instance: Box<str>,
 }
 
-impl SpanExporter for LineExporter {
+impl SpanExporter for JsonLineExporter {
     async fn export(&self, batch: Vec<SpanData>) -> OTelSdkResult {
         for span in batch {
-            log::info!(target: RAW_TARGET, "{}", line(&self.instance, &span));
+            log::info!(target: RAW_TARGET, "{}", span_to_json(&self.instance, &span));
         }
         Ok(())
     }
@@ -31,7 +31,7 @@
     }
 }
 
-fn line(instance: &str, span: &SpanData) -> serde_json::Value {
+fn span_to_json(instance: &str, span: &SpanData) -> serde_json::Value {
     let attributes: serde_json::Map<String, serde_json::Value> = span
         .attributes
         .iter()
@@ -54,7 +54,7 @@
     })
 }
 
-/// The tracer of one process.
+/// Records the spans of one process.
 #[derive(Debug)]
 pub struct SpanRecorder {
     provider: SdkTracerProvider,
@@ -63,12 +63,12 @@
 }
 
 impl SpanRecorder {
-    /// Records the part `ratio` of traces that begin here, and every trace that a caller records.
+    /// Samples a fraction `ratio` of the traces that begin here, and all that a caller sampled.
     pub fn new(ratio: f64, instance: &str) -> Self {
         let sampler = Sampler::ParentBased(Box::new(Sampler::TraceIdRatioBased(ratio)));
         let provider = SdkTracerProvider::builder()
             .with_sampler(sampler)
-            .with_batch_exporter(LineExporter {
+            .with_batch_exporter(JsonLineExporter {
                 instance: instance.into(),
             })
             .build();
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Starts the span of a call as a child of the caller's, if it sent one.
+    /// Starts the span of a call, as a child of the caller's span if `headers` name one.
     pub fn start_call(&self, headers: &HeaderMap, request: &str) -> Context {
-        let parent = self.propagator.extract(&Headers(headers));
+        let parent = self.propagator.extract(&HeaderExtractor(headers));
         let span = self
             .tracer
             .span_builder("call")
@@ -91,7 +91,7 @@
         parent.with_span(span)
     }
 
-    /// Starts a span below `parent`.
+    /// Starts a child span of `parent`.
     pub fn start_child(&self, parent: &Context, name: &'static str) -> Context {
         let span = self
             .tracer
@@ -101,25 +101,25 @@
         parent.with_span(span)
     }
 
-    /// Writes the `traceparent` of `context` into `headers`.
+    /// Injects the `traceparent` of `context` into `headers`.
     pub fn inject_context(&self, context: &Context, headers: &mut HeaderMap) {
         if context.span().span_context().is_valid() {
             self.propagator
-                .inject_context(context, &mut HeadersMut(headers));
+                .inject_context(context, &mut HeaderInjector(headers));
         }
     }
 
-    /// Writes what is held back.
+    /// Exports all pending spans.
     pub fn flush(&self) {
         if let Err(error) = self.provider.force_flush() {
-            log::warn!(target: "telemetry", "spans can't be written: {error}");
+            log::warn!(target: "telemetry", "failed to export spans: {error}");
         }
     }
 }
 
-struct Headers<'a>(&'a HeaderMap);
+struct HeaderExtractor<'a>(&'a HeaderMap);
 
-impl Extractor for Headers<'_> {
+impl Extractor for HeaderExtractor<'_> {
     fn get(&self, key: &str) -> Option<&str> {
         self.0.get(key)?.to_str().ok()
     }
@@ -129,14 +129,14 @@
     }
 }
 
-struct HeadersMut<'a>(&'a mut HeaderMap);
+struct HeaderInjector<'a>(&'a mut HeaderMap);
 
-impl Injector for HeadersMut<'_> {
+impl Injector for HeaderInjector<'_> {
     fn set(&mut self, key: &str, value: String) {
-        let pair = HeaderName::try_from(key)
+        let header = HeaderName::try_from(key)
             .ok()
             .zip(HeaderValue::try_from(value).ok());
-        if let Some((name, value)) = pair {
+        if let Some((name, value)) = header {
             self.0.insert(name, value);
         }
     }
--- a/crates/hawthornmill-net/src/telemetry/usage.rs
+++ b/crates/hawthornmill-net/src/telemetry/usage.rs
@@ -1,4 +1,4 @@
-//! Writes usage records and marks.
+//! Writes usage records and checkpoints.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,16 +9,17 @@
 
 use super::logs::RAW_TARGET;
 
-/// Time between two marks.
+/// Time between two checkpoints.
 pub const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(500);
 
-type Open = BTreeMap<(Box<str>, Box<str>), (u64, f64)>;
+/// Number and estimated cost of open calls, by service and account.
+type OpenByAccount = BTreeMap<(Box<str>, Box<str>), (u64, f64)>;
 
-/// Numbers of the records of one process run, and what a mark tells.
+/// Numbers the usage records of one process run and tracks the state that checkpoints contain.
 #[derive(Debug, Default)]
 pub struct UsageWriter {
-    last: AtomicU64,
-    open: Mutex<Open>,
+    last_seq: AtomicU64,
+    open: Mutex<OpenByAccount>,
     wait_tracker: Mutex<WaitTracker>,
 }
 
@@ -27,12 +28,12 @@
 }
 
 impl UsageWriter {
-    /// Why calls waited; the board must be locked first.
+    /// Locks the tracker of wait reasons; the blackboard must be locked before it.
     pub fn wait_tracker(&self) -> MutexGuard<'_, WaitTracker> {
         lock(&self.wait_tracker)
     }
 
-    /// A call of `account` holds a slot.
+    /// Counts a call of `account` that took a slot.
     pub fn call_started(&self, service: &str, account: &str, estimate: f64) {
         let mut open = lock(&self.open);
         let calls = open.entry((service.into(), account.into())).or_default();
@@ -40,7 +41,7 @@
         calls.1 += estimate;
     }
 
-    /// A call of `account` gave its slot back.
+    /// Removes a call of `account` that released its slot.
     pub fn call_ended(&self, service: &str, account: &str, estimate: f64) {
         let mut open = lock(&self.open);
         let key = (service.into(), account.into());
@@ -53,16 +54,17 @@
         }
     }
 
-    /// Writes a record; its number follows the one before without a gap.
+    /// Writes a record with the next sequence number.
     pub fn write_record(&self, mut record: UsageRecord) {
-        record.seq = self.last.fetch_add(1, Ordering::Relaxed) + 1;
-        print(&UsageLine::Usage { usage: record });
+        record.seq = self.last_seq.fetch_add(1, Ordering::Relaxed) + 1;
+        log_line(&UsageLine::Usage { usage: record });
     }
 
-    /// Writes how far the numbers went and what is in flight.
+    /// Writes the last sequence number and the calls in flight.
     ///
-    /// A process that is killed can't say how many records it wrote or what it was about to write.
-    /// The last mark says it for it, at most [`CHECKPOINT_INTERVAL`] old.
+    /// A killed process can't report how many records it wrote or which were still to come; its
+    /// last checkpoint does, and is at most [`CHECKPOINT_INTERVAL`] old.
+    /// `end` says that the process shuts down and writes no more records.
     pub fn write_checkpoint(&self, entry: &str, incarnation: u64, end: bool) {
         let open = lock(&self.open)
             .iter()
@@ -73,23 +75,23 @@
                 estimate: *estimate,
             })
             .collect();
-        let mark = UsageCheckpoint {
+        let checkpoint = UsageCheckpoint {
             entry: entry.into(),
             incarnation,
-            seq: self.last.load(Ordering::Relaxed),
+            seq: self.last_seq.load(Ordering::Relaxed),
             at_ms: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0, |d| d.as_millis() as u64),
             open,
             end,
         };
-        print(&UsageLine::Checkpoint { checkpoint: mark });
+        log_line(&UsageLine::Checkpoint { checkpoint });
     }
 }
 
-fn print(line: &UsageLine) {
+fn log_line(line: &UsageLine) {
     match serde_json::to_string(line) {
         Ok(text) => log::info!(target: RAW_TARGET, "{text}"),
-        Err(error) => log::error!(target: "usage", "line can't be written: {error}"),
+        Err(error) => log::error!(target: "usage", "failed to serialize a usage line: {error}"),
     }
 }
--- a/crates/hawthornmill-net/src/upstream.rs
+++ b/crates/hawthornmill-net/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Calls to backend servers.
+//! HTTP client for requests to backend servers.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 use hawthornmill::codes::Code;
 use poem::http::{HeaderMap, HeaderName, Method};
 
-/// Header that carries the request id on every hop; servers repeat it in their answers.
+/// Header that carries the request id on every hop; servers repeat it in their responses.
 pub const REQUEST_ID_HEADER: &str = "hawthornmill-request-id";
 /// Header in which a server may report the cost of a call.
 pub const COST_HEADER: &str = "hawthornmill-cost";
-/// Time to connect to a server on the same network.
-const CONNECT: Duration = Duration::from_millis(800);
-/// Bytes at the end of an answer in which a reported cost is looked for.
-const TAIL: usize = 512;
+/// Connect timeout; servers are on the same network.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Length of the end of a response that is searched for a reported cost.
+const TAIL_BYTES: usize = 512;
 
-/// Headers that belong to one hop and are not passed on.
-const HOP: &[&str] = &[
+/// Headers that are valid for one hop only and are not forwarded.
+const HOP_BY_HOP_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -31,104 +31,110 @@
     "expect",
 ];
 
-/// A request as it goes to a server.
+/// A request as it is sent to a server.
 #[derive(Debug, Clone)]
 pub struct OutboundRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query, starting with `/`.
+    /// Path and query, beginning with `/`.
     pub path: Box<str>,
-    /// Headers that are passed on.
+    /// Headers forwarded from the client, and the trace context.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete request body.
     pub body: Bytes,
-    /// Request id.
+    /// Request id, sent as [`REQUEST_ID_HEADER`].
     pub id: Box<str>,
 }
 
-/// Why no answer came.
+/// Why a request got no usable response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendError {
-    /// No connection was made, so no byte left.
+    /// No connection was established, so no byte was sent.
     Unreachable,
-    /// The connection broke or the answer can't be used; the server may have run the request.
+    /// The connection failed or the response is unusable; the server may have run the request.
     Failed(Code),
 }
 
-/// What a server reports of itself.
+/// Load that a server reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Deserialize)]
 pub struct ServerLoad {
-    /// Requests that it runs.
+    /// Number of requests in execution.
     pub running: u16,
-    /// It is about to go and wants no new work.
+    /// Whether the server is shutting down and accepts no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Connections to backend servers.
+/// HTTP clients for backend servers and other instances.
 #[derive(Debug, Clone)]
 pub struct Upstream {
     pooled: reqwest::Client,
-    single: reqwest::Client,
+    unpooled: reqwest::Client,
 }
 
 impl Upstream {
-    /// Clients without any retry of their own.
+    /// Creates clients that never retry.
     ///
     /// # Panics
-    /// When the HTTP library can't start, which a process can't survive.
+    /// If the HTTP library fails to initialize; the process can't run without it.
     pub fn new() -> Self {
         let build = |idle: usize| {
             reqwest::Client::builder()
-                .connect_timeout(CONNECT)
+                .connect_timeout(CONNECT_TIMEOUT)
                 .pool_max_idle_per_host(idle)
                 .tcp_nodelay(true)
                 .redirect(reqwest::redirect::Policy::none())
                 .retry(reqwest::retry::never())
                 .no_proxy()
                 .build()
-                .expect("the HTTP client needs no files and no network to start")
+                .expect("the HTTP client needs no files and no network to initialize")
         };
         Self {
             pooled: build(64),
-            // A connection that is used once can't be closed by the server between two calls, so
-            // a call that must not repeat never meets a half-closed connection.
-            single: build(0),
+            // Without reuse, the server can't close an idle connection just before a request, so a
+            // request that must not be repeated never fails on a half-closed connection.
+            unpooled: build(0),
         }
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
+    ///
+    /// With `single_use`, the request gets a new connection of its own.
     ///
     /// # Errors
-    /// [`SendError`], which tells whether a byte can have left.
+    /// [`SendError`], which says whether the server may have received the request.
     pub async fn send(
         &self,
         address: &str,
-        out: &OutboundRequest,
-        once: bool,
+        outbound: &OutboundRequest,
+        single_use: bool,
     ) -> Result<reqwest::Response, SendError> {
-        let client = if once { &self.single } else { &self.pooled };
-        let url = format!("http://{address}{}", out.path);
+        let client = if single_use {
+            &self.unpooled
+        } else {
+            &self.pooled
+        };
+        let url = format!("http://{address}{}", outbound.path);
         let request = client
-            .request(out.method.clone(), url)
-            .headers(out.headers.clone())
-            .header(REQUEST_ID_HEADER, &*out.id)
-            .body(out.body.clone());
-        let answer = request.send().await.map_err(|error| {
+            .request(outbound.method.clone(), url)
+            .headers(outbound.headers.clone())
+            .header(REQUEST_ID_HEADER, &*outbound.id)
+            .body(outbound.body.clone());
+        let response = request.send().await.map_err(|error| {
             if error.is_connect() || error.is_builder() {
                 SendError::Unreachable
             } else {
                 SendError::Failed(Code::UpstreamFailed)
             }
         })?;
-        let named = answer.headers().get(REQUEST_ID_HEADER);
-        if named.is_some_and(|id| id.as_bytes() != out.id.as_bytes()) {
+        let returned_id = response.headers().get(REQUEST_ID_HEADER);
+        if returned_id.is_some_and(|id| id.as_bytes() != outbound.id.as_bytes()) {
             return Err(SendError::Failed(Code::ResponseMismatch));
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    /// Reads what a server reports of itself.
+    /// Fetches the load that a server reports; `None` if the request fails.
     pub async fn fetch_load(&self, address: &str) -> Option<ServerLoad> {
         let url = format!("http://{address}/load");
         let request = self.pooled.get(url).timeout(Duration::from_millis(500));
@@ -136,9 +142,9 @@
         serde_json::from_slice(&bytes).ok()
     }
 
-    /// Client for other instances.
+    /// Returns the client without connection reuse, for the platform and other instances.
     pub fn unpooled_client(&self) -> &reqwest::Client {
-        &self.single
+        &self.unpooled
     }
 }
 
@@ -148,38 +154,38 @@
     }
 }
 
-/// Headers of `from` that are passed on.
+/// Returns the headers of `from` that are forwarded.
 pub fn forwarded_headers(from: &HeaderMap) -> HeaderMap {
     from.iter()
-        .filter(|(name, _)| passes(name))
+        .filter(|(name, _)| is_forwarded(name))
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
 
-fn passes(name: &HeaderName) -> bool {
-    !HOP.contains(&name.as_str()) && !name.as_str().starts_with("hawthornmill-")
+fn is_forwarded(name: &HeaderName) -> bool {
+    !HOP_BY_HOP_HEADERS.contains(&name.as_str()) && !name.as_str().starts_with("hawthornmill-")
 }
 
-/// The last bytes of an answer, in which a server may report the cost.
+/// The last bytes of a response, in which a server may report the cost.
 #[derive(Debug, Clone, Default)]
 pub struct ResponseTail {
     bytes: Vec<u8>,
 }
 
 impl ResponseTail {
-    /// Takes the next part of the answer.
+    /// Appends the next chunk of the response and keeps only its last bytes.
     pub fn push(&mut self, chunk: &[u8]) {
-        let from = chunk.len().saturating_sub(TAIL);
-        self.bytes.extend_from_slice(&chunk[from..]);
-        let over = self.bytes.len().saturating_sub(TAIL);
-        self.bytes.drain(..over);
+        let start = chunk.len().saturating_sub(TAIL_BYTES);
+        self.bytes.extend_from_slice(&chunk[start..]);
+        let excess = self.bytes.len().saturating_sub(TAIL_BYTES);
+        self.bytes.drain(..excess);
     }
 
-    /// The number behind the last `"cost":`, if there is one.
+    /// Parses the number after the last `"cost":`, if there is one.
     pub fn cost(&self) -> Option<f64> {
         let text = String::from_utf8_lossy(&self.bytes);
-        let (_, after) = text.rsplit_once("\"cost\":")?;
-        let number: String = after
+        let (_, rest) = text.rsplit_once("\"cost\":")?;
+        let number: String = rest
             .trim_start()
             .chars()
             .take_while(|c| c.is_ascii_digit() || matches!(c, '.' | 'e' | '+'))
