--- a/crates/hawthornmill-process/src/lib.rs
+++ b/crates/hawthornmill-process/src/lib.rs
@@ -1,11 +1,11 @@
-//! What every daemon of hawthornmill does alike.
+//! Code shared by the daemons of hawthornmill.
 //!
-//! | module | does |
+//! | module | purpose |
 //! |---|---|
-//! | [`frames`] | frames with a length before them, on streams between instances |
-//! | [`settings`] | reads a settings file and tells its faults |
-//! | [`sockets`] | listens |
-//! | [`incarnation`] | numbers the runs of a process |
+//! | [`frames`] | length-prefixed frames on streams between instances |
+//! | [`settings`] | reads settings files and prints their errors |
+//! | [`sockets`] | creates and binds TCP sockets |
+//! | [`incarnation`] | identifies the runs of a process |
 
 pub mod frames;
 pub mod incarnation;
--- a/crates/hawthornmill-process/src/settings.rs
+++ b/crates/hawthornmill-process/src/settings.rs
@@ -1,17 +1,17 @@
-//! Settings files.
+//! Loading of settings files and reporting of their errors.
 
 use std::path::Path;
 
 use hawthornmill::codes::Code;
 use hawthornmill::ini::Diagnostic;
 
-/// Exit code of a process whose settings have faults.
+/// Exit code of a process whose settings are invalid.
 pub const EXIT_INVALID_SETTINGS: u8 = 2;
 
-/// Reads the file at `path` and gives its name and text to `parse`.
+/// Reads the file at `path` and passes its name and text to `parse`.
 ///
 /// # Errors
-/// Every fault of the file.
+/// All diagnostics of the file, or the one for a file that can't be read.
 pub fn load<T>(
     path: &Path,
     parse: impl Fn(&str, &str) -> Result<T, Vec<Diagnostic>>,
@@ -21,7 +21,7 @@
     parse(&path.display().to_string(), &text)
 }
 
-/// The fault of an address that can't be bound, and why.
+/// Returns the diagnostic for an address that can't be bound.
 pub fn bind_error(address: &str, error: &std::io::Error) -> Vec<Diagnostic> {
     vec![Diagnostic {
         code: Code::BindFailed,
@@ -32,10 +32,10 @@
     }]
 }
 
-/// Writes faults to standard error and returns the exit code.
-pub fn print_diagnostics(faults: &[Diagnostic]) -> u8 {
-    for fault in faults {
-        eprintln!("{fault}");
+/// Writes diagnostics to standard error and returns [`EXIT_INVALID_SETTINGS`].
+pub fn print_diagnostics(diagnostics: &[Diagnostic]) -> u8 {
+    for diagnostic in diagnostics {
+        eprintln!("{diagnostic}");
     }
     EXIT_INVALID_SETTINGS
 }
