--- a/tests/testsuite/spans.rs
+++ b/tests/testsuite/spans.rs
@@ -1,4 +1,4 @@
-//! A span for each hop, under the caller's trace.
+//! Spans of each hop belong to the caller's trace.
 
 use std::time::Duration;
 
@@ -8,8 +8,11 @@
 
 use crate::{ROUTER, block_on};
 
-const TRACE: &str = "4bf92f3577b34da6a3ce929d0e0e4736";
+/// Trace id of the caller.
+const TRACE_ID: &str = "4bf92f3577b34da6a3ce929d0e0e4736";
 
+/// Guards against calls that can't be traced from the caller to the server: the router must continue
+/// the trace of the caller's `traceparent` with a span for each step.
 #[test]
 fn each_hop_of_a_call_has_a_span_under_the_callers_trace() {
     block_on(async {
@@ -22,19 +25,19 @@
         let call = Client::new()
             .post(url)
             .bearer_auth("token-big")
-            .header("traceparent", format!("00-{TRACE}-00f067aa0ba902b7-01"))
+            .header("traceparent", format!("00-{TRACE_ID}-00f067aa0ba902b7-01"))
             .body("{\"tag\":\"big/1\",\"tokens\":3}");
 
-        let answer = send(call).await.expect("it answers");
+        let response = send(call).await.expect("the call failed");
 
-        assert_eq!(answer.status, 200);
+        assert_eq!(response.status, 200);
         let names = wait_for_spans(&site.routers[0].log, 3).await;
         assert_eq!(names, ["call", "server", "wait"]);
         site.stop().await;
     });
 }
 
-/// Names of the spans under the trace, once there are `count` of them.
+/// Waits up to 10 s for `count` spans of the trace and returns their sorted names.
 async fn wait_for_spans(log: &std::path::Path, count: usize) -> Vec<String> {
     let mut names = Vec::new();
     for _ in 0..100 {
@@ -42,7 +45,7 @@
         names = text
             .lines()
             .filter_map(|l| serde_json::from_str::<serde_json::Value>(l).ok())
-            .filter(|l| l["kind"] == "span" && l["trace"] == TRACE)
+            .filter(|l| l["kind"] == "span" && l["trace"] == TRACE_ID)
             .map(|l| l["name"].as_str().unwrap_or_default().to_owned())
             .collect();
         names.sort();
--- a/tests/testsuite/standins.rs
+++ b/tests/testsuite/standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins do what the tests that lean on them need.
+//! The stand-ins for the platform, engines and links behave as the other tests assume.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 
 fn platform() -> (Arc<Platform>, Running) {
     let platform = Platform::new(Duration::ZERO);
-    let running = serve("127.0.0.1:0", platform.endpoint()).expect("a port is free");
+    let running = serve("127.0.0.1:0", platform.endpoint()).expect("failed to bind a port");
     (platform, running)
 }
 
@@ -27,34 +27,36 @@
 }
 
 #[test]
-fn the_platform_watch_answers_as_soon_as_a_revision_is_published() {
+fn manifest_watch_returns_when_a_revision_is_published() {
     block_on(async {
         let (platform, running) = platform();
         platform.publish(small_fleet().values());
-        let late = Arc::clone(&platform);
+        let publisher = Arc::clone(&platform);
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(100)).await;
-            late.publish(small_fleet().values());
+            publisher.publish(small_fleet().values());
         });
 
-        let answer = manifest(&running, 1, 10_000).await.expect("it answers");
+        let response = manifest(&running, 1, 10_000)
+            .await
+            .expect("the request failed");
 
-        assert_eq!(answer.json()["revision"], 2);
+        assert_eq!(response.json()["revision"], 2);
         assert_eq!(platform.calls()["manifest"], 1);
     });
 }
 
 #[test]
-fn the_platform_can_be_down_and_can_show_an_older_revision() {
+fn platform_modes_return_an_error_or_an_older_revision() {
     block_on(async {
         let (platform, running) = platform();
         platform.publish(small_fleet().values());
         platform.publish(small_fleet().values());
 
         platform.set_mode(Mode::Down);
-        let down = manifest(&running, 0, 0).await.expect("it answers");
+        let down = manifest(&running, 0, 0).await.expect("the request failed");
         platform.set_mode(Mode::Older);
-        let older = manifest(&running, 0, 0).await.expect("it answers");
+        let older = manifest(&running, 0, 0).await.expect("the request failed");
 
         assert_eq!(down.status, 503);
         assert_eq!(older.json()["revision"], 1);
@@ -62,38 +64,45 @@
 }
 
 #[test]
-fn an_engine_is_slower_with_more_requests_in_its_batch() {
+fn engine_slows_down_with_batch_size() {
     block_on(async {
         let model = EngineModel {
             slowdown: 1.0,
             ..EngineModel::default()
         };
-        let running = serve("127.0.0.1:0", Engine::new(model).endpoint()).expect("a port is free");
+        let running =
+            serve("127.0.0.1:0", Engine::new(model).endpoint()).expect("failed to bind a port");
         let url = format!("http://{}/generate", running.address);
         let client = Client::new();
-        let one = |n: usize| {
+        let generate = |n: usize| {
             let body = format!("{{\"tag\":\"x/{n}\",\"tokens\":40}}");
             send(client.post(&url).body(body))
         };
 
         let start = Instant::now();
-        one(0).await.expect("it answers");
-        let alone = start.elapsed();
+        generate(0).await.expect("the request failed");
+        let alone_time = start.elapsed();
         let start = Instant::now();
-        futures_util::future::join_all((1..9).map(one)).await;
-        let together = start.elapsed();
-
-        // Eight at once take eight times as long each; half of that leaves room for a busy machine.
-        assert!(together > alone * 4, "{alone:?} {together:?}");
+        futures_util::future::join_all((1..9).map(generate)).await;
+        let concurrent_time = start.elapsed();
+
+        // Each of eight concurrent requests takes eight times as long; the bound of four allows for
+        // a busy machine.
+        assert!(
+            concurrent_time > alone_time * 4,
+            "{alone_time:?} {concurrent_time:?}"
+        );
     });
 }
 
 #[test]
-fn a_cut_link_passes_nothing_until_it_is_mended() {
+fn cut_link_forwards_nothing_until_it_is_restored() {
     block_on(async {
         let (platform, running) = platform();
         platform.publish(small_fleet().values());
-        let relay = Relay::start(running.address).await.expect("a port is free");
+        let relay = Relay::start(running.address)
+            .await
+            .expect("failed to bind a port");
         let url = format!("http://{}/v1/manifest", relay.address);
         let client = Client::new();
         let cut = LinkState {
@@ -102,22 +111,24 @@
         };
 
         relay.set(cut);
-        let asked = client.get(&url).timeout(Duration::from_millis(300)).send();
-        let during = asked.await.is_ok();
+        let request = client.get(&url).timeout(Duration::from_millis(300)).send();
+        let reached = request.await.is_ok();
         relay.set(LinkState::default());
-        let after = send(client.get(&url)).await.map(|a| a.status);
+        let status = send(client.get(&url)).await.map(|a| a.status);
 
-        assert!(!during);
-        assert_eq!(after, Some(200));
+        assert!(!reached);
+        assert_eq!(status, Some(200));
     });
 }
 
 #[test]
-fn a_limited_link_takes_its_time() {
+fn rate_limited_link_delays_the_response() {
     block_on(async {
         let (platform, running) = platform();
         platform.publish(small_fleet().values());
-        let relay = Relay::start(running.address).await.expect("a port is free");
+        let relay = Relay::start(running.address)
+            .await
+            .expect("failed to bind a port");
         let url = format!("http://{}/v1/values/fleet?revision=1", relay.address);
         let length = small_fleet().text().len() as u64;
         relay.set(LinkState {
@@ -126,9 +137,11 @@
         });
 
         let start = Instant::now();
-        let answer = send(Client::new().get(&url)).await.expect("it answers");
+        let response = send(Client::new().get(&url))
+            .await
+            .expect("the request failed");
 
-        assert_eq!(answer.text.len() as u64, length);
+        assert_eq!(response.text.len() as u64, length);
         assert!(start.elapsed() >= Duration::from_millis(500));
     });
 }
