--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,6 +1,6 @@
 //! Benchmarks of the scheduling code at the fleet size that hawthornmill is designed for.
 //!
-//! Run with `cargo bench --bench decisions`; append a name to run only the benchmarks that match it.
+//! Run with `cargo bench --bench decisions`; append a name to run only matching benchmarks.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
--- a/crates/hawthornmill-test-support/examples/control.rs
+++ b/crates/hawthornmill-test-support/examples/control.rs
@@ -1,9 +1,9 @@
 //! Measures control traffic and configuration rollout for several numbers of routers.
 //!
 //! `control ROUTER COUNT…` starts COUNT routers of the program ROUTER with the small fleet in three
-//! failure domains, waits until they have settled, and prints one line for each COUNT: platform calls
-//! per second by kind, control bytes per second and router (mean and maximum), and the time until a
-//! change was in force on all routers, first undisturbed, then with three readers of the
+//! failure domains, waits until they have settled, and prints one line for each COUNT: platform
+//! calls per second by kind, control bytes per second and router (mean and maximum), and the time
+//! until a change was in force on all routers, first undisturbed, then with three readers of the
 //! configuration killed at the time of the change.
 
 use std::time::{Duration, Instant};
--- a/crates/hawthornmill-test-support/src/simulation.rs
+++ b/crates/hawthornmill-test-support/src/simulation.rs
@@ -1,9 +1,9 @@
 //! Runs the scheduling code of several instances in a deterministic order and in simulated time.
 //!
-//! There are no sockets, no threads and no random delays. A step is one millisecond; messages sent in a
-//! step arrive in the next one, in the order in which they were sent, unless the link between the two
-//! instances is broken. A dispatched request occupies its slot for as many milliseconds as it costs.
-//! Therefore the same calls give the same results on every machine.
+//! There are no sockets, no threads and no random delays. A step is one millisecond; messages sent
+//! in a step arrive in the next one, in the order in which they were sent, unless the link between
+//! the two instances is broken. A dispatched request occupies its slot for as many milliseconds as
+//! it costs. Therefore the same calls give the same results on every machine.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -94,7 +94,9 @@
 }
 
 impl Simulation {
-    /// Creates instances `i0`, `i1`, … in the given failure domains and regions, with `fleet` in force.
+    /// Creates instances `i0`, `i1`, … at `places`, all with `fleet` in force.
+    ///
+    /// A place is a failure domain and its region.
     pub fn new(fleet: &FleetBuilder, places: &[(&str, &str)], tuning: &Tuning) -> Self {
         let start = Instant::now();
         let contacts: Vec<Contact> = places
--- a/crates/hawthornmill-test-support/src/workload.rs
+++ b/crates/hawthornmill-test-support/src/workload.rs
@@ -1,4 +1,4 @@
-//! Generates calls that are spread unevenly over instances, and measures the service gap of accounts.
+//! Generates unevenly distributed calls, and measures the service gap between accounts.
 
 use hawthornmill::ident::mix;
 
@@ -145,7 +145,8 @@
 
 /// Returns the bound on the service gap that is derived in docs/design/0010-fair-shares.md.
 ///
-/// `staleness_ms` is the age of the oldest counter; each slot serves one unit of cost per millisecond.
+/// `staleness_ms` is the age of the oldest counter; each slot serves one unit of cost
+/// per millisecond.
 pub fn gap_bound(slots: u16, staleness_ms: u64, least_share: f64) -> f64 {
     f64::from(slots) * (MAX_COST_MS + staleness_ms as f64) / least_share
 }
@@ -171,7 +172,9 @@
         }
     }
 
-    /// Returns the calls that arrive until `now_ms`: a random number to choose the caller, and the cost.
+    /// Returns the calls that arrive until `now_ms`.
+    ///
+    /// Each has a random number, which chooses the caller, and a cost.
     pub fn due(&mut self, now_ms: u64) -> Vec<(usize, u64)> {
         let mut due = Vec::new();
         while self.next_ms <= now_ms as f64 {
--- a/crates/hawthornmill-tools/src/explain/mod.rs
+++ b/crates/hawthornmill-tools/src/explain/mod.rs
@@ -16,8 +16,8 @@
 use crate::request;
 
 /// Explain from routers' logs what each account was owed and received. Exit codes: 0 nothing is
-/// missing, 1 records are missing or unreadable, 2 a file can't be read or written. With `request ID`
-/// before the files, show what the gateways that wrote them logged about one request.
+/// missing, 1 records are missing or unreadable, 2 a file can't be read or written. With
+/// `request ID` before the files, show what the gateways that wrote them logged about one request.
 #[derive(Debug, FromArgs)]
 pub struct ExplainArgs {
     /// logs of routers; or `request`, a request's id, and logs of gateways
--- a/crates/hawthornmill-tools/src/explain/read.rs
+++ b/crates/hawthornmill-tools/src/explain/read.rs
@@ -1,8 +1,8 @@
 //! Extracts usage records from a router's log.
 //!
-//! A log also holds other lines, and may begin or end with a partial one. When a router is killed and
-//! its successor appends to the same file, the first new line follows a partial one without a line
-//! break. Therefore a line is parsed from each position at which a usage object may begin.
+//! A log also holds other lines, and may begin or end with a partial one. When a router is killed
+//! and its successor appends to the same file, the first new line follows a partial one without a
+//! line break. Therefore a line is parsed from each position at which a usage object may begin.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
--- a/crates/hawthornmill-tools/src/request/mod.rs
+++ b/crates/hawthornmill-tools/src/request/mod.rs
@@ -1,9 +1,9 @@
 //! Collects the events of one request from the logs of gateways.
 //!
-//! Logs may be given in any order, from any number of processes whose clocks differ. Within one log the
-//! order of lines is the order of events; events of different logs can only be compared by their
-//! times, and the output warns about this. A request is logged by the instance that received it; the
-//! lines before show the state that this instance had then.
+//! Logs may be given in any order, from any number of processes whose clocks differ. Within one log
+//! the order of lines is the order of events; events of different logs can only be compared by
+//! their times, and the output warns about this. A request is logged by the instance that received
+//! it; the lines before show the state that this instance had then.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
