--- a/crates/hawthornmill-net/src/lib.rs
+++ b/crates/hawthornmill-net/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! | module | communicates with |
 //! |---|---|
-//! | [`entry`] | callers, over HTTP |
+//! | [`api`] | callers, over HTTP |
 //! | [`upstream`] | backend servers, over HTTP |
 //! | [`peers`] | other instances, over UDP and TCP |
 //! | [`platform`] | the platform's configuration service and instance list |
