--- a/crates/hawthornmill-gateway/src/proxy/progress.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -20,12 +20,12 @@
     let scheduler = gateway.scheduler.borrow();
     let decision = scheduler.decision_context(request, now);
     let fields = json!({
-        "code": refusal.code.number(), "cause": refusal.cause.log_name(),
+        "code": refusal.code.number(), "cause": refusal.cause.to_string(),
         "again_ms": refusal.retry_after.as_millis() as u64,
         "waited_ms": now.duration_since(request.arrival).as_millis() as u64,
         "servers": decision.servers, "draining": decision.draining, "down": decision.down,
         "full": decision.full, "waiting": decision.queue_len, "short_at": decision.unmet_instances,
-        "lack": decision.unmet_cost, "standing": decision.share.status.log_name(), "lead": decision.share.usage_ratio,
+        "lack": decision.unmet_cost, "standing": decision.share.status.to_string(), "lead": decision.share.usage_ratio,
         "asked": decision.usage.requested, "got": decision.usage.served, "registrations": scheduler.registry.latest_revision(),
         "catalog": gateway.catalog_version(), "lag_ms": lag_ms(gateway),
         "link_wait_ms": gateway.link_monitor.borrow().queueing_delay(now).as_millis() as u64,
--- a/crates/hawthornmill/src/routing/request.rs
+++ b/crates/hawthornmill/src/routing/request.rs
@@ -1,5 +1,6 @@
 //! Requests to be scheduled, and the decisions on them.
 
+use std::fmt;
 use std::time::{Duration, Instant};
 
 use slotmap::new_key_type;
@@ -78,16 +79,16 @@
     QueueTimeout,
 }
 
-impl Cause {
-    /// Returns the name that log lines use.
-    pub const fn log_name(self) -> &'static str {
-        match self {
+impl fmt::Display for Cause {
+    /// Writes the name that log lines use.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
             Self::NoServer => "NoServer",
             Self::OverFairShare => "OthersOwed",
             Self::TooLong => "TooLong",
             Self::QueueFull => "Crowd",
             Self::QueueTimeout => "Waited",
-        }
+        })
     }
 }
 
--- a/crates/hawthornmill/src/routing/usage.rs
+++ b/crates/hawthornmill/src/routing/usage.rs
@@ -6,6 +6,7 @@
 //! instance.
 
 use std::collections::BTreeMap;
+use std::fmt;
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
@@ -43,14 +44,14 @@
     AboveFairShare,
 }
 
-impl ShareStatus {
-    /// Returns the name that log lines use.
-    pub const fn log_name(self) -> &'static str {
-        match self {
+impl fmt::Display for ShareStatus {
+    /// Writes the name that log lines use.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
             Self::BelowGuarantee => "Owed",
             Self::BelowFairShare => "Below",
             Self::AboveFairShare => "Above",
-        }
+        })
     }
 }
 
--- a/tests/testsuite/routing/log_names.rs
+++ b/tests/testsuite/routing/log_names.rs
@@ -15,7 +15,7 @@
     ];
 
     assert_eq!(
-        causes.map(Cause::log_name),
+        causes.map(|cause| cause.to_string()),
         ["NoServer", "OthersOwed", "TooLong", "Crowd", "Waited"]
     );
 }
@@ -30,7 +30,7 @@
     ];
 
     assert_eq!(
-        statuses.map(ShareStatus::log_name),
+        statuses.map(|status| status.to_string()),
         ["Owed", "Below", "Above"]
     );
 }
