--- a/crates/hawthornmill-gateway/src/state_sync.rs
+++ b/crates/hawthornmill-gateway/src/state_sync.rs
@@ -53,7 +53,7 @@
         .borrow_mut()
         .fragments(fragment_request, newest, now);
     for fragment in fragments {
-        datagrams.send(&Message::Part(fragment), [to]);
+        datagrams.send(&Message::Fragment(fragment), [to]);
     }
 }
 
@@ -92,7 +92,7 @@
     while empty < MAX_EMPTY_ROUNDS {
         let (before, fragment_request) =
             pending.with_reassembly(|a| (a.received(), a.request(request)));
-        datagrams.send(&Message::Wanted(fragment_request), [peer]);
+        datagrams.send(&Message::FragmentRequest(fragment_request), [peer]);
         let round = fragments::round_timeout(gateway.load_shedder.get().lag(gateway.now()));
         let _over = tokio::time::timeout(round, pending.wait_complete()).await;
         match pending.with_reassembly(|a| a.outcome().cloned()) {
@@ -255,10 +255,10 @@
     step.set(Step::Asked);
     let key = gateway.settings().key;
     let mut sealer = Sealer::new(key, gateway.id, gateway.incarnation, channel);
-    send_message(&mut stream, &mut sealer, &Message::Pull(request)).await?;
+    send_message(&mut stream, &mut sealer, &Message::SyncRequest(request)).await?;
     let mut opener = Opener::new(key, channel);
     match receive_message(&mut stream, &mut opener).await? {
-        Message::Knowledge(response) => Ok(*response),
+        Message::SyncResponse(response) => Ok(*response),
         _ => Err(std::io::ErrorKind::InvalidData.into()),
     }
 }
@@ -305,7 +305,7 @@
     stream.write_u64_le(channel).await?;
     let key = gateway.settings().key;
     let mut opener = Opener::new(key, channel);
-    let Message::Pull(request) = receive_message(&mut stream, &mut opener).await? else {
+    let Message::SyncRequest(request) = receive_message(&mut stream, &mut opener).await? else {
         return Err(std::io::ErrorKind::InvalidData.into());
     };
     let response = build_response(gateway, request);
@@ -313,7 +313,7 @@
     send_message(
         &mut stream,
         &mut sealer,
-        &Message::Knowledge(Box::new(response)),
+        &Message::SyncResponse(Box::new(response)),
     )
     .await
 }
--- a/crates/hawthornmill-net/src/entry/routes.rs
+++ b/crates/hawthornmill-net/src/api/routes.rs
@@ -1,4 +1,4 @@
-//! The HTTP calls of an instance.
+//! The HTTP endpoints of an instance.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,7 +12,7 @@
 use crate::fleet::Fleet;
 use hawthornmill::codes::Code;
 
-/// Every call of an instance.
+/// All endpoints of an instance.
 pub fn routes(fleet: &Arc<Fleet>) -> impl Endpoint + use<> {
     Route::new()
         .at("/v1/addresses", list_addresses)
@@ -20,23 +20,23 @@
         .at("/v1/health", health)
         .at("/v1/ready", ready)
         .at("/v1/status", show_status)
-        .at("/*rest", nothing)
+        .at("/*rest", not_found)
         .data(Arc::clone(fleet))
 }
 
 #[handler]
 async fn run_call(request: &Request, body: Body, Data(fleet): Data<&Arc<Fleet>>) -> Response {
-    call::run(fleet, request, body).await
+    call::handle(fleet, request, body).await
 }
 
 #[handler]
 fn list_addresses(Data(fleet): Data<&Arc<Fleet>>) -> Response {
-    json(&addresses::answer(fleet))
+    json(&addresses::to_json(fleet))
 }
 
 #[handler]
 fn show_status(request: &Request, Data(fleet): Data<&Arc<Fleet>>) -> Response {
-    json(&status::answer(fleet, request.headers()))
+    json(&status::to_json(fleet, request.headers()))
 }
 
 #[handler]
@@ -54,14 +54,14 @@
         .body("not ready\n")
 }
 
-/// Tells whether this instance takes new calls.
+/// Returns whether this instance accepts new calls.
 pub fn is_ready(fleet: &Fleet) -> bool {
     fleet.ready.load(Ordering::Relaxed) && !fleet.closed.load(Ordering::Relaxed)
 }
 
 #[handler]
-fn nothing(Data(fleet): Data<&Arc<Fleet>>) -> Response {
-    Problem::not_run(Code::NotFound, &fleet.request_id()).answer()
+fn not_found(Data(fleet): Data<&Arc<Fleet>>) -> Response {
+    Problem::not_run(Code::NotFound, &fleet.request_id()).to_response()
 }
 
 fn json(value: &serde_json::Value) -> Response {
--- a/crates/hawthornmill-net/src/telemetry/metrics.rs
+++ b/crates/hawthornmill-net/src/telemetry/metrics.rs
@@ -1,4 +1,4 @@
-//! Instruments and the exporter that writes them as JSON lines.
+//! Metric instruments and an exporter that writes them as JSON lines.
 
 use std::time::Duration;
 
@@ -8,14 +8,15 @@
 use opentelemetry_sdk::metrics::exporter::PushMetricExporter;
 use opentelemetry_sdk::metrics::{PeriodicReader, SdkMeterProvider, Temporality};
 
-use super::logs::RAW;
+use super::logs::RAW_TARGET;
 
+/// Exports each data point as one JSON line.
 #[derive(Debug)]
-struct LineExporter {
+struct JsonLineExporter {
     instance: Box<str>,
 }
 
-impl PushMetricExporter for LineExporter {
+impl PushMetricExporter for JsonLineExporter {
     async fn export(&self, metrics: &ResourceMetrics) -> OTelSdkResult {
         for scope in metrics.scope_metrics() {
             for metric in scope.metrics() {
@@ -28,7 +29,7 @@
                         "attributes": attributes,
                         "value": value,
                     });
-                    log::info!(target: RAW, "{line}");
+                    log::info!(target: RAW_TARGET, "{line}");
                 }
             }
         }
@@ -48,6 +49,7 @@
     }
 }
 
+/// Attributes and value of a data point.
 type Point = (serde_json::Value, serde_json::Value);
 
 fn attributes<'a>(list: impl Iterator<Item = &'a opentelemetry::KeyValue>) -> serde_json::Value {
@@ -77,24 +79,24 @@
     }
 }
 
-/// The instruments of one process.
+/// Metric instruments of one process.
 #[derive(Debug)]
-pub struct Meters {
+pub struct Instruments {
     provider: SdkMeterProvider,
-    /// Makes further instruments.
+    /// Creates further instruments.
     pub meter: Meter,
-    /// Calls by result code; 0 for a whole answer.
+    /// Calls by result code; 0 for a complete response.
     pub calls: Counter<u64>,
-    /// Milliseconds that calls waited for a slot.
-    pub waited: Histogram<f64>,
-    /// Cost charged, in the services' units.
+    /// Milliseconds that calls waited for a slot; exported as `waited`.
+    pub wait_ms: Histogram<f64>,
+    /// Cost charged for calls, in the unit of their service.
     pub cost: Histogram<f64>,
 }
 
-impl Meters {
-    /// Instruments whose values are written every `interval`.
+impl Instruments {
+    /// Creates instruments whose values are exported every `interval`.
     pub fn new(interval: Duration, instance: &str) -> Self {
-        let exporter = LineExporter {
+        let exporter = JsonLineExporter {
             instance: instance.into(),
         };
         let reader = PeriodicReader::builder(exporter)
@@ -104,17 +106,17 @@
         let meter = provider.meter("hawthornmill");
         Self {
             calls: meter.u64_counter("calls").build(),
-            waited: meter.f64_histogram("waited").with_unit("ms").build(),
+            wait_ms: meter.f64_histogram("waited").with_unit("ms").build(),
             cost: meter.f64_histogram("cost").build(),
             meter,
             provider,
         }
     }
 
-    /// Writes what is held back.
+    /// Exports all pending values.
     pub fn flush(&self) {
         if let Err(error) = self.provider.force_flush() {
-            log::warn!(target: "telemetry", "metrics can't be written: {error}");
+            log::warn!(target: "telemetry", "failed to export metrics: {error}");
         }
     }
 }
--- a/crates/hawthornmill-test-support/src/lib.rs
+++ b/crates/hawthornmill-test-support/src/lib.rs
@@ -1,10 +1,11 @@
 //! Fixtures for the tests of hawthornmill.
 //!
-//! [`fleet`] builds configuration texts, [`steps`] drives the decisions of several instances in a
-//! fixed order with a clock of its own, and [`procs`] starts real router processes around stand-ins.
+//! [`fleet`] builds fleet configurations. [`simulation`] runs several instances in a deterministic
+//! order and in simulated time, [`workload`] generates their calls, and [`procs`] starts real
+//! router processes with stand-ins for the other systems.
 
 pub mod fleet;
-pub mod loads;
-pub mod news;
+pub mod gossip;
 pub mod procs;
-pub mod steps;
+pub mod simulation;
+pub mod workload;
--- a/tests/testsuite/configuration.rs
+++ b/tests/testsuite/configuration.rs
@@ -11,9 +11,9 @@
 use hawthornmill::wire::message::ProbeAck;
 use hawthornmill_lab::demo::site::Site;
 use hawthornmill_lab::standin::platform::Mode;
-use hawthornmill_test_support::fleet::FleetText;
+use hawthornmill_test_support::fleet::FleetBuilder;
 use hawthornmill_test_support::procs::{small_fleet, small_site};
-use hawthornmill_test_support::steps::{Steps, contact};
+use hawthornmill_test_support::simulation::{Simulation, contact};
 
 use crate::{ROUTER, block_on};
 
@@ -104,8 +104,8 @@
 fn rejected_revision_is_not_fetched_again() {
     block_on(async {
         let site = small_site(ROUTER, 3).await;
-        let bad = Values::from([("fleet".into(), "[account x]\n".into())]);
-        site.platform.publish(bad);
+        let invalid = Values::from([("fleet".into(), "[account x]\n".into())]);
+        site.platform.publish(invalid);
         tokio::time::sleep(Duration::from_secs(1)).await;
 
         let calls = calls_during(&site, Duration::from_secs(4)).await;
@@ -126,19 +126,19 @@
     block_on(async {
         let site = small_site(ROUTER, 3).await;
         for revision in [2, 3] {
-            let whole = split_values(&site, revision);
-            let mut part = whole.clone();
-            part.remove("servers");
+            let complete = split_values(&site, revision);
+            let mut partial = complete.clone();
+            partial.remove("servers");
             if revision == 3 {
                 let other = split_values(&site, 99).remove("servers");
-                part.extend(other.map(|text| ("servers".into(), text)));
+                partial.extend(other.map(|text| ("servers".into(), text)));
             }
-            let manifest = manifest(revision, &whole);
-            site.platform.publish_raw(manifest.clone(), part);
+            let manifest = manifest(revision, &complete);
+            site.platform.publish_raw(manifest.clone(), partial);
             tokio::time::sleep(Duration::from_secs(1)).await;
             let during = revisions(&site).await;
 
-            site.platform.publish_raw(manifest, whole);
+            site.platform.publish_raw(manifest, complete);
             let applied = wait_for_revision(&site, revision, Duration::from_secs(7)).await;
 
             assert_eq!(during, [Some(revision - 1); 3]);
@@ -238,26 +238,26 @@
         ("b", "north"),
         ("c", "south"),
     ];
-    let load = |steps: &mut Steps| {
+    let load = |sim: &mut Simulation| {
         for entry in 0..locations.len() {
-            while steps.waiting(entry, "big", "drafting") < 8 {
-                let accepted = steps.arrive(entry, "big", "drafting", 50, 60_000);
+            while sim.queue_length(entry, "big", "drafting") < 8 {
+                let accepted = sim.submit_call(entry, "big", "drafting", 50, 60_000);
                 assert_eq!(accepted, Ok(()));
             }
         }
     };
-    let mut steps = Steps::new(&small_fleet(), &locations, &Tuning::default());
-    steps.run(6000, load);
-    let before = steps.busy;
-    steps.run(5000, load);
-    let usual = steps.busy - before;
-    let before = steps.busy;
+    let mut sim = Simulation::new(&small_fleet(), &locations, &Tuning::default());
+    sim.run(6000, load);
+    let before = sim.busy_ms;
+    sim.run(5000, load);
+    let usual = sim.busy_ms - before;
+    let before = sim.busy_ms;
 
     for change in 0..1000_u64 {
         let fleet = changed(change);
         for position in 0..locations.len() {
             let index = (position + change as usize) % locations.len();
-            let board = &mut steps.boards[index];
+            let board = &mut sim.boards[index];
             let had = board.config.revision;
             let (config, manifest, values) = fleet.accept(change + 2);
             assert!(board.install(config, manifest, values));
@@ -265,24 +265,24 @@
             assert!(!board.install(config, manifest, values));
             assert!(board.config.revision > had);
         }
-        steps.run(5, load);
+        sim.run(5, load);
     }
 
-    let utilization = (steps.busy - before) as f64 / usual as f64;
-    let digests: Vec<_> = steps.boards.iter().map(|b| b.manifest.clone()).collect();
+    let utilization = (sim.busy_ms - before) as f64 / usual as f64;
+    let digests: Vec<_> = sim.boards.iter().map(|b| b.manifest.clone()).collect();
     assert!(digests.windows(2).all(|d| d[0] == d[1]));
     assert!(utilization > 0.98, "utilization {utilization}");
 }
 
 /// The small fleet with one more account, which differs from change to change.
-fn changed(number: u64) -> FleetText {
+fn changed(number: u64) -> FleetBuilder {
     small_fleet().account(&format!("guest-{}", number % 7), "none")
 }
 
 /// A starting instance with revision 3 must not serve while a peer may have a newer revision.
 #[test]
 fn starting_instance_waits_until_its_revision_is_confirmed() {
-    let is_ready = |peers: &[(u64, bool)], answer: Option<ProbeAck>, age: u64| {
+    let is_ready = |peers: &[(u64, bool)], ack: Option<ProbeAck>, age: u64| {
         let now = Instant::now();
         let own = contact("i0", "a", "north");
         let mut board = Blackboard::new(own, Incarnation(1), Tuning::default(), now);
@@ -292,7 +292,7 @@
         board.roster.replace(Vec::new());
         for (number, (revision, live)) in peers.iter().enumerate() {
             let contact = contact(&format!("i{}", number + 1), "b", "north");
-            let sign = LivenessUpdate {
+            let update = LivenessUpdate {
                 from: InstanceId::of(&contact.name),
                 incarnation: Incarnation(1),
                 leaving: false,
@@ -303,10 +303,10 @@
             };
             board.members.upsert_contact(contact, now);
             if *live {
-                board.members.record_liveness(sign, now);
+                board.members.record_liveness(update, now);
             }
         }
-        if let Some(ack) = answer {
+        if let Some(ack) = ack {
             tick::on_probe_ack(&mut board, ack, now);
         }
         startup::is_ready(&board, now, now + Duration::from_millis(age))
--- a/tests/testsuite/explain.rs
+++ b/tests/testsuite/explain.rs
@@ -11,8 +11,8 @@
 use hawthornmill_lab::load::plan::parse;
 use hawthornmill_lab::load::{Plan, Watcher, run};
 use hawthornmill_test_support::procs::{DOMAINS, small_fleet, small_site, start};
-use hawthornmill_tools::explain::read::{read_file, read_text, write_line};
-use hawthornmill_tools::explain::{Explained, plot, text};
+use hawthornmill_tools::explain::read::{format_line, read_file, read_text};
+use hawthornmill_tools::explain::{UsageReport, plot, text};
 use nix::sys::signal::{Signal, kill};
 
 use crate::{ROUTER, block_on};
@@ -44,7 +44,7 @@
 }
 
 fn line(record: UsageRecord) -> String {
-    write_line(&UsageLine::Usage { usage: record })
+    format_line(&UsageLine::Usage { usage: record })
 }
 
 fn mark(entry: &str, seq: u64, at_ms: u64, calls: u64, end: bool) -> String {
@@ -54,7 +54,7 @@
         calls,
         estimate: 100.0 * calls as f64,
     };
-    write_line(&UsageLine::Checkpoint {
+    format_line(&UsageLine::Checkpoint {
         checkpoint: UsageCheckpoint {
             entry: entry.into(),
             incarnation: 7,
@@ -108,14 +108,14 @@
         json.contains("\"kind\":\"usage_mark\",\"mark\":{"),
         "{json}"
     );
-    let explained = Explained::new(&read_text(&small_log()), 10);
+    let explained = UsageReport::new(&read_text(&small_log()), 10);
     let json = serde_json::to_value(&explained.intervals).expect("it can be encoded");
     assert_eq!(json[0]["lines"][0]["owed"], 360.0, "{json}");
 }
 
 #[test]
 fn report_names_shares_reasons_and_missing_records() {
-    let explained = Explained::new(&read_text(&small_log()), 10);
+    let explained = UsageReport::new(&read_text(&small_log()), 10);
 
     insta::assert_snapshot!(text::table(&explained), @r"
 drafting, 10 s from 2026-12-03T00:00:00Z
@@ -152,8 +152,8 @@
     let mut lines: Vec<&str> = text.lines().chain(text.lines()).collect();
     lines.reverse();
 
-    let once = Explained::new(&read_text(&text), 10);
-    let twice = Explained::new(&read_text(&lines.join("\n")), 10);
+    let once = UsageReport::new(&read_text(&text), 10);
+    let twice = UsageReport::new(&read_text(&lines.join("\n")), 10);
 
     assert_eq!(twice.intervals, once.intervals);
     assert_eq!(twice.missing, once.missing);
@@ -186,7 +186,7 @@
         one.at_ms = START + second * 1000 + 999;
         one
     };
-    let refused = |second| {
+    let rejected = |second| {
         let mut one = at(second + 300, "late", second, 0.0);
         one.reason = Reason::QueueFull;
         one.code = 3008;
@@ -199,13 +199,13 @@
         let mut waits = at(s + 400, "busy", s, 0.0);
         waits.outcome = "not_run".into();
         waits.code = 3007;
-        [refused(s), waits]
+        [rejected(s), waits]
     });
     let lines: Vec<String> = alone.chain(both).chain(more).map(line).collect();
 
-    let explained = Explained::new(&read_text(&lines.join("\n")), 60);
+    let explained = UsageReport::new(&read_text(&lines.join("\n")), 60);
 
-    let parts = explained.intervals[0].lines.iter().map(|l| &l.part);
+    let parts = explained.intervals[0].lines.iter().map(|l| &l.usage);
     let sums: Vec<(f64, f64)> = parts.map(|p| (p.entitled, p.received)).collect();
     assert_eq!(sums, [(6000.0, 7200.0), (1500.0, 300.0)]);
 }
@@ -220,20 +220,20 @@
         for (n, (account, share)) in [("big", share), ("small", 1.0)].into_iter().enumerate() {
             let mut ran = record("r1", 4 * s + n as u64 + 1, account, share, 50.0);
             ran.at_ms = START + s * 1000 + 999;
-            let mut refused = ran.clone();
-            refused.seq += 2;
-            (refused.cost, refused.code, refused.outcome) = (0.0, 3008, "not_run".into());
-            refused.reason = Reason::QueueFull;
-            lines.extend([line(ran), line(refused)]);
+            let mut rejected = ran.clone();
+            rejected.seq += 2;
+            (rejected.cost, rejected.code, rejected.outcome) = (0.0, 3008, "not_run".into());
+            rejected.reason = Reason::QueueFull;
+            lines.extend([line(ran), line(rejected)]);
         }
         lines
     };
     let lines: Vec<String> = (0..20).flat_map(second).collect();
 
-    let explained = Explained::new(&read_text(&lines.join("\n")), 10);
+    let explained = UsageReport::new(&read_text(&lines.join("\n")), 10);
 
     let lines = explained.intervals.iter().flat_map(|i| &i.lines);
-    let parts: Vec<(f64, f64)> = lines.map(|l| (l.part.share, l.part.entitled)).collect();
+    let parts: Vec<(f64, f64)> = lines.map(|l| (l.usage.share, l.usage.entitled)).collect();
     assert_eq!(
         parts,
         [(4.0, 800.0), (1.0, 200.0), (1.0, 500.0), (1.0, 500.0)]
@@ -255,21 +255,21 @@
     late.waited_ms = 2000.0;
     let lines: Vec<String> = large.chain([late]).map(line).collect();
 
-    let explained = Explained::new(&read_text(&lines.join("\n")), 60);
+    let explained = UsageReport::new(&read_text(&lines.join("\n")), 60);
 
     let parts = explained.intervals.iter().flat_map(|i| &i.lines);
-    for part in parts.filter(|l| &*l.account == "small").map(|l| &l.part) {
+    for part in parts.filter(|l| &*l.account == "small").map(|l| &l.usage) {
         assert!((part.entitled - 50.0).abs() < 1e-9, "{part:?}");
     }
 }
 
 #[test]
 fn plot_has_both_lines_of_every_account() {
-    let svg = plot::svg(&Explained::new(&read_text(&small_log()), 1).intervals);
+    let svg = plot::svg(&UsageReport::new(&read_text(&small_log()), 1).intervals);
 
     let svg = svg.expect("the plot can be drawn");
     for word in [
-        "drafting: received (whole) and owed (broken)",
+        "drafting: received (solid) and owed (dashed)",
         "big",
         "small",
         "seconds",
@@ -288,7 +288,7 @@
 
 async fn send_load(site: &Site, seconds: u64) {
     let plan = Plan {
-        callers: parse("callers", CALLERS).expect("the plan is good"),
+        callers: parse("callers", CALLERS).expect("the plan is valid"),
         time: Duration::from_secs(seconds),
         seed: 1,
     };
@@ -318,19 +318,19 @@
     sums
 }
 
-fn explain(site: &Site) -> Explained {
+fn explain(site: &Site) -> UsageReport {
     let mut log = UsageLog::default();
     for router in &site.routers {
         read_file(&router.log, &mut log).expect("the log can be read");
     }
-    Explained::new(&log, 60)
+    UsageReport::new(&log, 60)
 }
 
-fn received(explained: &Explained) -> BTreeMap<Box<str>, f64> {
+fn received(explained: &UsageReport) -> BTreeMap<Box<str>, f64> {
     let mut sums: BTreeMap<Box<str>, f64> = BTreeMap::new();
     let lines = explained.intervals.iter().flat_map(|i| &i.lines);
     for line in lines.filter(|l| &*l.service == "drafting") {
-        *sums.entry(line.account.clone()).or_default() += line.part.received;
+        *sums.entry(line.account.clone()).or_default() += line.usage.received;
     }
     sums
 }
@@ -366,13 +366,13 @@
         tokio::time::sleep(Duration::from_millis(200)).await;
         shut_down(&mut site).await;
 
-        let answer = call.await.expect("the caller lives");
+        let response = call.await.expect("the task ends");
         let explained = explain(&site);
-        assert!(answer.is_err(), "{answer:?}");
+        assert!(response.is_err(), "{response:?}");
         let lines = explained.intervals.iter().flat_map(|i| &i.lines);
-        let cost: f64 = lines.map(|l| l.part.received).sum();
+        let cost: f64 = lines.map(|l| l.usage.received).sum();
         assert!(cost > 400.0, "{explained:?}");
-        assert!(explained.is_whole(), "{:?}", explained.missing);
+        assert!(explained.is_complete(), "{:?}", explained.missing);
     });
 }
 
@@ -387,7 +387,7 @@
 
         let explained = explain(&site);
 
-        assert!(explained.is_whole(), "{:?}", explained.missing);
+        assert!(explained.is_complete(), "{:?}", explained.missing);
         let (counted, records) = (server_cost(&site), received(&explained));
         assert!(counted.values().sum::<f64>() > 1000.0, "{counted:?}");
         for (account, cost) in &counted {
--- a/tests/testsuite/gateway/missed_updates.rs
+++ b/tests/testsuite/gateway/missed_updates.rs
@@ -8,7 +8,7 @@
 use hawthornmill::routing::fragments::split_fragments;
 use hawthornmill::routing::gossip::{InstanceReport, PeerInfo, SyncResponse};
 use hawthornmill::wire::{Message, Opener, Sealer};
-use hawthornmill_test_support::news::news_of;
+use hawthornmill_test_support::gossip::instance_report;
 use serde_json::json;
 
 use super::fleet::{Fleet, PEER_PORT, config, frame_key, request, route, send_request, wait_until};
@@ -70,10 +70,11 @@
         let report = InstanceReport {
             catalog_version: version,
             revision: 0,
-            ..news_of(info)
+            ..instance_report(info)
         };
         for _ in 0..20 {
-            self.send(&Message::News(Box::new(report.clone()))).await;
+            self.send(&Message::InstanceReport(Box::new(report.clone())))
+                .await;
         }
     }
 
@@ -89,11 +90,11 @@
                 .await
                 .expect("a datagram arrives");
             let frame = opener.open(&buffer[..length]);
-            if let Ok(Message::Wanted(wanted)) = frame.map(|f| f.message) {
+            if let Ok(Message::FragmentRequest(wanted)) = frame.map(|f| f.message) {
                 let fragments = split_fragments(&whole, &wanted);
                 let lost = usize::from(fragments.len() > 1);
                 for fragment in fragments.into_iter().skip(lost) {
-                    self.send(&Message::Part(fragment)).await;
+                    self.send(&Message::Fragment(fragment)).await;
                 }
             }
         }
@@ -316,7 +317,7 @@
         };
 
         wait_until("the instance receives the announcement", || async {
-            peer.send(&Message::Leaving(vec![leaving])).await;
+            peer.send(&Message::Departures(vec![leaving])).await;
             !fleet.gateways[0].logged("registration_leaving").is_empty()
         })
         .await;
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,44 +1,44 @@
-//! Every test of hawthornmill, in one binary.
+//! Integration tests of hawthornmill, built as one binary.
 
-mod access;
-mod bad_input;
-mod bad_servers;
+mod access_control;
+mod at_most_once;
 mod causes;
 mod check;
 mod configuration;
 mod conservation;
 mod demo;
+mod end_to_end;
 mod errors;
 mod explain;
+mod failing_servers;
 mod fleet_shares;
 mod frames;
 mod gateway;
 mod histories;
+mod invalid_input;
 mod keys;
 mod labels;
-mod leave;
 mod leaving;
 mod liveness;
 mod membership;
 mod metrics;
-mod once;
 mod overload;
 mod owner_stability;
-mod path;
 mod random_input;
+mod response_integrity;
 mod retries;
+mod rolling_restart;
 mod routing;
 mod settings;
 mod shares;
 mod spans;
 mod standins;
 mod starvation;
-mod whole;
 
 /// The router program under test.
 const ROUTER: &str = env!("CARGO_BIN_EXE_hawthornmill-router");
 
-/// A runtime for one test.
+/// Runs `future` on a multi-threaded runtime of its own.
 fn block_on<T>(future: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
