--- a/crates/hawthornmill-gateway/src/store_watch.rs
+++ b/crates/hawthornmill-gateway/src/store_watch.rs
@@ -155,7 +155,7 @@
                     entries: entries.iter().map(|i| self.parse_change(i)).collect(),
                     unconfirmed: Vec::new(),
                     revision,
-                    after_outage: after_outage,
+                    after_outage,
                 };
                 self.gateway.apply_registrations(list, "store");
             }
