--- a/crates/hawthornmill/src/routing/scheduler.rs
+++ b/crates/hawthornmill/src/routing/scheduler.rs
@@ -79,7 +79,7 @@
     pub token_rate: f64,
     location: Location,
     ttft_models: BTreeMap<ServiceId, TtftModel>,
-    paces: BTreeMap<ServiceId, QueueRate>,
+    queue_rates: BTreeMap<ServiceId, QueueRate>,
     queue: SlotMap<Ticket, QueuedRequest>,
     fleet_usage: BTreeMap<AccountId, AccountUsage>,
     shares: BTreeMap<AccountId, FairShare>,
@@ -102,7 +102,7 @@
             token_rate: 0.0,
             location,
             ttft_models: BTreeMap::new(),
-            paces: BTreeMap::new(),
+            queue_rates: BTreeMap::new(),
             queue: SlotMap::with_key(),
             fleet_usage: BTreeMap::new(),
             shares: BTreeMap::new(),
@@ -510,20 +510,20 @@
         let queued = self.queued_for(request.service);
         let ahead = queued.filter(|q| self.rank(&q.request) <= rank).count();
         let left = wait_deadline(request).saturating_duration_since(now);
-        let pace = self.paces.get(&request.service);
-        left.is_zero() || pace.is_some_and(|p| p.misses_deadline(ahead, left, now))
+        let queue_rate = self.queue_rates.get(&request.service);
+        left.is_zero() || queue_rate.is_some_and(|r| r.misses_deadline(ahead, left, now))
     }
 
     fn refuse(&self, request: &Request, cause: Cause, now: Instant) -> Refusal {
         let ahead = self.queued_for(request.service).count();
-        let pace = self
-            .paces
+        let queue_rate = self
+            .queue_rates
             .get(&request.service)
             .copied()
             .unwrap_or_default();
         // The position in the queue spreads retries well enough without a source of randomness.
         let jitter = (ahead % 8) as f64 / 8.0;
-        let retry_after = pace.retry_after(ahead, jitter, now);
+        let retry_after = queue_rate.retry_after(ahead, jitter, now);
         Refusal {
             code: Code::QueueTooLong,
             cause,
@@ -533,11 +533,11 @@
 
     fn record_dequeue(&mut self, service: ServiceId, placed: bool, now: Instant) {
         let left = self.queued_for(service).count();
-        let pace = self.paces.entry(service).or_default();
+        let queue_rate = self.queue_rates.entry(service).or_default();
         if placed {
-            pace.record_dispatch(left, now);
+            queue_rate.record_dispatch(left, now);
         } else if left == 0 {
-            pace.on_empty();
+            queue_rate.on_empty();
         }
     }
 
