--- a/crates/hawthornmill-gateway/src/proxy/admission.rs
+++ b/crates/hawthornmill-gateway/src/proxy/admission.rs
@@ -20,7 +20,7 @@
 /// A request that passed admission, with the terms of its route.
 #[derive(Debug)]
 pub struct Admitted {
-    /// The request as the desk sees it when it chooses a server.
+    /// The request as the scheduler sees it when it chooses a server.
     pub request: Request,
     /// Whether the request may be executed more than once.
     pub retry_policy: RetryPolicy,
--- a/crates/hawthornmill-gateway/src/proxy/mod.rs
+++ b/crates/hawthornmill-gateway/src/proxy/mod.rs
@@ -4,7 +4,7 @@
 //! |---|---|---|
 //! | [`read`] | bytes from a client | a [`read::ClientRequest`] |
 //! | [`admission`] | a request and the catalog | an [`admission::Admitted`], or an [`error_response::ErrorResponse`] |
-//! | queue | an admitted request | a server chosen by the desk |
+//! | queue | an admitted request | a server chosen by the scheduler |
 //! | [`mod@send`] | a request and its server | a [`send::SendOutcome`] |
 //! | [`forward`], [`events`] | a server's response | bytes to the client |
 //! | [`progress`] | the outcome | log line, counters |
--- a/crates/hawthornmill-gateway/src/proxy/progress.rs
+++ b/crates/hawthornmill-gateway/src/proxy/progress.rs
@@ -14,7 +14,7 @@
 use crate::event_log;
 use crate::gateway::Gateway;
 
-/// Logs why the desk rejected a request.
+/// Logs why the scheduler rejected a request.
 pub fn log_rejection(context: RequestContext<'_>, request: &Request, refusal: &Refusal) {
     let (gateway, now) = (context.gateway, context.gateway.now());
     let scheduler = gateway.scheduler.borrow();
