--- a/crates/hawthornmill-tools/src/request/mod.rs
+++ b/crates/hawthornmill-tools/src/request/mod.rs
@@ -149,7 +149,7 @@
         missing.push("the log begins after the process's start".into());
     }
     if !steps.iter().any(|l| FINAL_EVENTS.contains(&&*l.event)) {
-        missing.push("no final event: the process was killed, or the line was dropped".into());
+        missing.push("no last line: the process was killed, or the line was dropped".into());
     }
     let dropped = all.iter().filter(|l| &*l.event == "lines_dropped");
     let count = |name: &str, l: &LogEvent| l.fields.get(name).and_then(Value::as_u64).unwrap_or(0);
