--- a/crates/hawthornmill-gateway/src/datagrams.rs
+++ b/crates/hawthornmill-gateway/src/datagrams.rs
@@ -34,7 +34,7 @@
             return;
         };
         if frame.len() > MAX_DATAGRAM_BYTES {
-            log::warn!(target: "mates", "message of {} bytes exceeds the size of a packet", frame.len());
+            log::warn!(target: "mates", "message of {} bytes over one packet", frame.len());
         }
         self.send_frame(&frame, targets);
     }
